--- a/routegate/path_test.go
+++ b/routegate/bench_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// terse answers every request without a look at it, and allocates nothing.
-func terse(c net.Conn) {
+// serveFixedAnswer answers every request without a look at it, and allocates nothing.
+func serveFixedAnswer(c net.Conn) {
 	defer c.Close()
-	in := make([]byte, 16<<10)
+	buf := make([]byte, 16<<10)
 	answer := []byte(okAnswer)
 	for {
-		if _, err := until(c, in, "\r\n\r\n"); err != nil {
+		if _, err := readUntil(c, buf, "\r\n\r\n"); err != nil {
 			return
 		}
 		if _, err := c.Write(answer); err != nil {
@@ -22,16 +22,16 @@
 	}
 }
 
-// until reads what ends with some bytes, and returns it.
-func until(c io.Reader, in []byte, end string) ([]byte, error) {
+// readUntil reads what ends with some bytes, and returns it.
+func readUntil(c io.Reader, buf []byte, end string) ([]byte, error) {
 	for n := 0; ; {
-		m, err := c.Read(in[n:])
+		m, err := c.Read(buf[n:])
 		if err != nil {
-			return in[:n], err
+			return buf[:n], err
 		}
 		n += m
-		if bytes.HasSuffix(in[:n], []byte(end)) {
-			return in[:n], nil
+		if bytes.HasSuffix(buf[:n], []byte(end)) {
+			return buf[:n], nil
 		}
 	}
 }
@@ -40,8 +40,8 @@
 // on kept connections, with key and cap: 36 to 44 us and 75 allocations, a third of the
 // time in system calls, an eighth in allocating.
 func BenchmarkServe(b *testing.B) {
-	g, c := newGate(b, routes(), &backend{conn: listen(b, terse)})
-	withCaps(g, &limiter{left: b.N + 1})
+	g, c := newGate(b, routes(), &backend{conn: listen(b, serveFixedAnswer)})
+	withCaps(g, &fakeLimiter{remaining: b.N + 1})
 	request := []byte("GET /safe/ HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\nWheelgauge-Key: capped-key\r\nWheelgauge-Tokens: 900,100\r\n\r\n")
 	answer := make([]byte, 4<<10)
 	b.ReportAllocs()
@@ -50,7 +50,7 @@
 		if _, err := c.Write(request); err != nil {
 			b.Fatal(err)
 		}
-		got, err := until(c, answer, "\r\n\r\nok")
+		got, err := readUntil(c, answer, "\r\n\r\nok")
 		if err != nil || !bytes.HasPrefix(got, []byte("HTTP/1.1 200")) {
 			b.Fatalf("%v: %q", err, got)
 		}
--- a/routegate/caps_test.go
+++ b/routegate/caps_test.go
@@ -11,83 +11,83 @@
 	"wheelgauge/routetable"
 )
 
-// limiter lets through so many requests, and notes what is drawn and given back.
-type limiter struct {
-	mu    sync.Mutex
-	left  int
-	blind bool // no store answers: it waits for the request's own end
-	drawn float64
-	back  float64
+// fakeLimiter lets through so many requests, and notes what is drawn and given back.
+type fakeLimiter struct {
+	mu        sync.Mutex
+	remaining int
+	blocks    bool // no store answers: it waits for the request's own end
+	taken     float64
+	returned  float64
 }
 
-func (l *limiter) Take(ctx context.Context, _ *wheelgauge.Workspace, units float64) *wheelgauge.Error {
+func (l *fakeLimiter) Take(ctx context.Context, _ *wheelgauge.Workspace, units float64) *wheelgauge.Error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.blind {
+	if l.blocks {
 		<-ctx.Done()
 		return refusal(wheelgauge.ReasonNoLeader, http.StatusServiceUnavailable, "").WithRetryAfter(time.Second)
 	}
-	if l.left == 0 {
+	if l.remaining == 0 {
 		return refusal(wheelgauge.ReasonRateLimited, http.StatusTooManyRequests, "").WithRetryAfter(1500 * time.Millisecond)
 	}
-	l.left--
-	l.drawn += units
+	l.remaining--
+	l.taken += units
 	return nil
 }
 
 // returnPause lets an answer that doesn't wait for units to be given back overtake them.
 const returnPause = 20 * time.Millisecond
 
-func (l *limiter) Return(_ *wheelgauge.Workspace, units float64) {
+func (l *fakeLimiter) Return(_ *wheelgauge.Workspace, units float64) {
 	time.Sleep(returnPause)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.back += units
+	l.returned += units
 }
 
 // What a request draws of its workspace's cap, and what it has given back by the time its
 // caller reads the answer: a caller that asks again at once finds the units there.
-func TestDrawing(t *testing.T) {
-	const token = "Wheelgauge-Key: capped-key\r\nWheelgauge-Tokens: 900,100\r\n"
+func TestCapUnits(t *testing.T) {
+	const headers = "Wheelgauge-Key: capped-key\r\nWheelgauge-Tokens: 900,100\r\n"
 	tests := []struct {
-		name    string
-		path    string
-		headers string
-		left    int
-		script  []string
-		status  int
-		drawn   float64
-		back    float64
+		name      string
+		path      string
+		headers   string
+		remaining int
+		script    []string
+		status    int
+		taken     float64
+		returned  float64
 	}{
-		{"served", "/safe/", token, 9, nil, 200, 1000, 0},
+		{"served", "/safe/", headers, 9, nil, 200, 1000, 0},
 		{"tells no tokens", "/safe/", "Wheelgauge-Key: capped-key\r\n", 9, nil, 200, 70, 0},
 		{"no cap", "/safe/", "Wheelgauge-Key: free-key\r\n", 0, nil, 200, 0, 0},
-		{"beyond the cap", "/safe/", token, 0, nil, 429, 0, 0},
-		{"what did not run goes on with the same units", "/safe/", token, 1, []string{shed}, 200, 1000, 0},
-		{"nobody ran it", "/once/", token, 9, []string{shed, shed, shed}, 503, 1000, 1000},
-		{"a repeat is drawn anew", "/safe/", token, 9, []string{failure}, 200, 2000, 0},
-		{"the cap allows no repeat", "/safe/", token, 1, []string{garbage}, 502, 1000, 0},
-		{"nowhere to run", "/away/", token, 9, nil, 503, 1000, 1000},
-		{"no route", "/none/", token, 9, nil, 404, 0, 0},
+		{"beyond the cap", "/safe/", headers, 0, nil, 429, 0, 0},
+		{"what did not run goes on with the same units", "/safe/", headers, 1, []string{notRunAnswer}, 200, 1000, 0},
+		{"nobody ran it", "/once/", headers, 9, []string{notRunAnswer, notRunAnswer, notRunAnswer}, 503, 1000, 1000},
+		{"a repeat is drawn anew", "/safe/", headers, 9, []string{failureAnswer}, 200, 2000, 0},
+		{"the cap allows no repeat", "/safe/", headers, 1, []string{malformedAnswer}, 502, 1000, 0},
+		{"nowhere to run", "/away/", headers, 9, nil, 503, 1000, 1000},
+		{"no route", "/none/", headers, 9, nil, 404, 0, 0},
 		{"no key", "/safe/", "", 9, nil, 401, 0, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newBackend(t, tt.script...)
 			g, c := newGate(t, routes(), b, b)
-			l := &limiter{left: tt.left}
+			l := &fakeLimiter{remaining: tt.remaining}
 			withCaps(g, l)
-			resp, _, err := ask(t, c, tt.path, tt.headers)
+			resp, _, err := get(t, c, tt.path, tt.headers)
 			if err != nil {
 				t.Fatal(err)
 			}
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			if resp.StatusCode != tt.status || l.drawn != tt.drawn || l.back != tt.back {
-				t.Errorf("got %d, drew %.0f and gave back %.0f, want %d, %.0f, %.0f", resp.StatusCode, l.drawn, l.back, tt.status, tt.drawn, tt.back)
+			if resp.StatusCode != tt.status || l.taken != tt.taken || l.returned != tt.returned {
+				t.Errorf("got %d, drew %.0f and gave back %.0f, want %d, %.0f, %.0f", resp.StatusCode, l.taken, l.returned, tt.status, tt.taken, tt.returned)
 			}
-			if tt.status == http.StatusTooManyRequests && (resp.Header.Get("Retry-After") != "1.500" || len(b.seen()) > 0) {
-				t.Errorf("refused with Retry-After %q, %d servers got it", resp.Header.Get("Retry-After"), len(b.seen()))
+			if tt.status == http.StatusTooManyRequests && (resp.Header.Get("Retry-After") != "1.500" || len(b.received()) > 0) {
+				t.Errorf("refused with Retry-After %q, %d servers got it", resp.Header.Get("Retry-After"), len(b.received()))
 			}
 		})
 	}
@@ -107,15 +107,15 @@
 }
 
 // A request whose units no store grants in time is answered when its time is over.
-func TestDrawingKeepsTheDeadline(t *testing.T) {
+func TestCapWaitEndsAtDeadline(t *testing.T) {
 	b := newBackend(t)
 	g, c := newGate(t, routes(), b)
-	withCaps(g, &limiter{blind: true})
-	resp, _, err := ask(t, c, "/safe/", "Wheelgauge-Key: capped-key\r\nWheelgauge-Deadline-Ms: 80\r\n")
+	withCaps(g, &fakeLimiter{blocks: true})
+	resp, _, err := get(t, c, "/safe/", "Wheelgauge-Key: capped-key\r\nWheelgauge-Deadline-Ms: 80\r\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if resp.StatusCode != http.StatusServiceUnavailable || len(b.seen()) > 0 {
-		t.Errorf("got %d, %d servers got it", resp.StatusCode, len(b.seen()))
+	if resp.StatusCode != http.StatusServiceUnavailable || len(b.received()) > 0 {
+		t.Errorf("got %d, %d servers got it", resp.StatusCode, len(b.received()))
 	}
 }
--- a/routegate/crash_test.go
+++ b/routegate/crash_test.go
@@ -15,16 +15,16 @@
 	"wheelgauge/fingerprint"
 )
 
-// breaker is a server that breaks its connections off instead of an answer.
-type breaker struct {
+// abortingServer is a server that breaks its connections off instead of an answer.
+type abortingServer struct {
 	// ends is set for one whose port is closed with them.
-	ends bool
+	exits bool
 	// reset is set for one that resets connections, begun for one that answers in part.
-	reset bool
-	begun bool
+	reset   bool
+	partial bool
 }
 
-func (b breaker) start(t *testing.T) *backend {
+func (b abortingServer) start(t *testing.T) *backend {
 	t.Helper()
 	out := &backend{}
 	out.conn = listen(t, func(c net.Conn) {
@@ -34,10 +34,10 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
-		if b.begun {
-			_, _ = io.WriteString(c, cut)
+		if b.partial {
+			_, _ = io.WriteString(c, truncatedAnswer)
 		}
-		if b.ends {
+		if b.exits {
 			_ = out.conn.Close()
 		}
 		if tcp, ok := c.(*net.TCPConn); ok && b.reset {
@@ -49,77 +49,77 @@
 
 // A server that ends takes no new connection. One that breaks a connection off and goes on
 // says nothing against the request.
-func TestWhatCountsAsAnEnd(t *testing.T) {
+func TestCrashAttribution(t *testing.T) {
 	tests := []struct {
-		name string
-		b    breaker
-		path string
-		ends int
+		name    string
+		server  abortingServer
+		path    string
+		crashes int
 	}{
-		{"it ends", breaker{ends: true}, "/once/", 1},
-		{"it ends by a reset", breaker{ends: true, reset: true}, "/once/", 1},
-		{"it ends in its answer", breaker{ends: true, begun: true}, "/once/", 1},
-		{"it ends in a stream", breaker{ends: true, begun: true}, "/stream/", 1},
-		{"it breaks off only", breaker{}, "/once/", 0},
-		{"it resets only", breaker{reset: true}, "/once/", 0},
-		{"it breaks off in its answer only", breaker{begun: true}, "/once/", 0},
+		{"it ends", abortingServer{exits: true}, "/once/", 1},
+		{"it ends by a reset", abortingServer{exits: true, reset: true}, "/once/", 1},
+		{"it ends in its answer", abortingServer{exits: true, partial: true}, "/once/", 1},
+		{"it ends in a stream", abortingServer{exits: true, partial: true}, "/stream/", 1},
+		{"it breaks off only", abortingServer{}, "/once/", 0},
+		{"it resets only", abortingServer{reset: true}, "/once/", 0},
+		{"it breaks off in its answer only", abortingServer{partial: true}, "/once/", 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g, c := newGate(t, routes(), tt.b.start(t))
-			if resp, _, err := ask(t, c, tt.path, ""); err == nil && resp.StatusCode == http.StatusOK {
+			g, c := newGate(t, routes(), tt.server.start(t))
+			if resp, _, err := get(t, c, tt.path, ""); err == nil && resp.StatusCode == http.StatusOK {
 				t.Fatal("served")
 			}
-			if tt.ends == 0 {
+			if tt.crashes == 0 {
 				// A second one is answered after the server was looked after.
-				if _, _, err := ask(t, c, tt.path, ""); err != nil {
+				if _, _, err := get(t, c, tt.path, ""); err != nil {
 					t.Fatal(err)
 				}
 			}
 			// The answer is there before the server is looked after.
-			limit := time.Now().Add(testLimit)
-			noted := func() int {
+			deadline := time.Now().Add(testLimit)
+			recorded := func() int {
 				crashes, _ := g.options.Quarantine.Since(0)
 				return len(crashes)
 			}
-			for tt.ends > 0 && noted() == 0 && time.Now().Before(limit) {
+			for tt.crashes > 0 && recorded() == 0 && time.Now().Before(deadline) {
 				time.Sleep(time.Millisecond)
 			}
-			if noted() != tt.ends {
-				t.Errorf("%d ends are noted, want %d", noted(), tt.ends)
+			if recorded() != tt.crashes {
+				t.Errorf("%d ends are noted, want %d", recorded(), tt.crashes)
 			}
 		})
 	}
 }
 
-// printOf is the fingerprint of what ask sends.
-func printOf(path string) wheelgauge.Fingerprint {
+// requestFingerprint is the fingerprint of what ask sends.
+func requestFingerprint(path string) wheelgauge.Fingerprint {
 	return fingerprint.Of([]byte("GET"), []byte("h"), []byte(path), "", nil)
 }
 
-// holdBack condemns a request by what other hosts saw.
-func holdBack(g *Gate, path string) {
+// quarantineRequest condemns a request by what other hosts saw.
+func quarantineRequest(g *Gate, path string) {
 	var crashes []wheelgauge.Crash
 	for n := range 3 {
-		crashes = append(crashes, wheelgauge.Crash{Request: printOf(path), Server: strconv.Itoa(n)})
+		crashes = append(crashes, wheelgauge.Crash{Request: requestFingerprint(path), Server: strconv.Itoa(n)})
 	}
 	g.options.Quarantine.Keep(crashes)
 }
 
-func TestHeldRequestIsRefusedAtOnce(t *testing.T) {
+func TestQuarantinedRequestIsRefused(t *testing.T) {
 	b := newBackend(t)
 	g, c := newGate(t, routes(), b)
-	holdBack(g, "/safe/x")
-	resp, body, err := ask(t, c, "/safe/x", "")
+	quarantineRequest(g, "/safe/x")
+	resp, body, err := get(t, c, "/safe/x", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := wheelgauge.Outcome(resp.Header.Get(wheelgauge.HeaderOutcome))
-	if resp.StatusCode != http.StatusServiceUnavailable || e != wheelgauge.OutcomeNotRun || resp.Header.Get("Retry-After") == "" || len(b.seen()) > 0 {
-		t.Errorf("answered %d, %s (%s), sent to %d servers", resp.StatusCode, e, body, len(b.seen()))
+	outcome := wheelgauge.Outcome(resp.Header.Get(wheelgauge.HeaderOutcome))
+	if resp.StatusCode != http.StatusServiceUnavailable || outcome != wheelgauge.OutcomeNotRun || resp.Header.Get("Retry-After") == "" || len(b.received()) > 0 {
+		t.Errorf("answered %d, %s (%s), sent to %d servers", resp.StatusCode, outcome, body, len(b.received()))
 	}
 	for _, path := range []string{"/safe/y", "/safe/x?q=1", "/once/x"} {
-		resp, _, err := ask(t, c, path, "")
+		resp, _, err := get(t, c, path, "")
 		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Errorf("%s: %v, %v", path, resp, err)
 		}
@@ -128,15 +128,15 @@
 
 // A request that is cut three times by servers which end is not sent to a fourth, and one
 // that ran at a server to its end is cleared of what it stood beside.
-func TestEndsWithinOneHost(t *testing.T) {
+func TestQuarantineWithinOneHost(t *testing.T) {
 	var list []*backend
 	for range 4 {
-		list = append(list, breaker{ends: true}.start(t))
+		list = append(list, abortingServer{exits: true}.start(t))
 	}
 	g, c := newGate(t, routes(), list...)
 	var got []int
 	for range 3 {
-		resp, _, err := ask(t, c, "/safe/x", "")
+		resp, _, err := get(t, c, "/safe/x", "")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -145,38 +145,38 @@
 	if want := []int{502, 502, 503}; !slices.Equal(got, want) {
 		t.Errorf("answered %v, want %v", got, want)
 	}
-	if held := g.options.Quarantine.Condemned(); len(held) != 1 {
-		t.Errorf("held back: %v", held)
+	if quarantined := g.options.Quarantine.Condemned(); len(quarantined) != 1 {
+		t.Errorf("held back: %v", quarantined)
 	}
 }
 
 // A good end clears a request of what it stood beside; a failure doesn't: servers that
 // fail part of their requests may not have run it.
-func TestRunningWellClears(t *testing.T) {
+func TestSuccessClearsCrashes(t *testing.T) {
 	tests := []struct {
-		name   string
-		script []string
-		ends   int
+		name    string
+		script  []string
+		crashes int
 	}{
 		{"well", nil, 1},
-		{"its server fails", []string{failure, failure}, 3},
+		{"its server fails", []string{failureAnswer, failureAnswer}, 3},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g, c := newGate(t, routes(), newBackend(t, tt.script...))
 			q := g.options.Quarantine
-			request := printOf("/once/x")
+			request := requestFingerprint("/once/x")
 			for n := range 2 {
 				q.Ended(wheelgauge.Crash{Request: request, Server: fmt.Sprint(n)})
 			}
 			// The second answer comes after the gate has noted the first.
 			for _, path := range []string{"/once/x", "/once/y"} {
-				if _, _, err := ask(t, c, path, ""); err != nil {
+				if _, _, err := get(t, c, path, ""); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if ends := q.Ended(wheelgauge.Crash{Request: request, Server: "2"}); ends != tt.ends {
-				t.Errorf("%d ends count, want %d", ends, tt.ends)
+			if crashes := q.Ended(wheelgauge.Crash{Request: request, Server: "2"}); crashes != tt.crashes {
+				t.Errorf("%d ends count, want %d", crashes, tt.crashes)
 			}
 		})
 	}
--- a/routegate/deadline_test.go
+++ b/routegate/deadline_test.go
@@ -7,7 +7,7 @@
 
 // A caller that gave a request 1e15 ms was told that its time was over: the number of
 // nanoseconds filled the sign. Found by reading.
-func TestLimitOf(t *testing.T) {
+func TestParseTimeout(t *testing.T) {
 	tests := []struct {
 		text string
 		want time.Duration
@@ -15,8 +15,8 @@
 	}{
 		{"1500", 1500 * time.Millisecond, true},
 		{"0.5", 500 * time.Microsecond, true},
-		{"1e15", longestLimit, true},
-		{"Inf", longestLimit, true},
+		{"1e15", maxCallerTimeout, true},
+		{"Inf", maxCallerTimeout, true},
 		{"1e400", 0, false},
 		{"NaN", 0, false},
 		{"-5", 0, false},
@@ -25,7 +25,7 @@
 		{"soon", 0, false},
 	}
 	for _, tt := range tests {
-		if got, ok := limitOf(tt.text); got != tt.want || ok != tt.ok {
+		if got, ok := parseTimeout(tt.text); got != tt.want || ok != tt.ok {
 			t.Errorf("%q: %v, %t, want %v, %t", tt.text, got, ok, tt.want, tt.ok)
 		}
 	}
--- a/routegate/dispatch.go
+++ b/routegate/dispatch.go
@@ -27,46 +27,46 @@
 	head *fasthttp.ResponseHeader
 	body *serverconn.Body
 	// pick is nil for an exchange with another gateway.
-	pick *serverset.Pick
-	sent time.Time
+	pick   *serverset.Pick
+	sentAt time.Time
 	// clock is the same by the gate's clock, which counts suspended time.
-	clock time.Time
+	sentClock time.Time
 	// begun is set at the first event or byte of the answer.
 	begun bool
 	// pushedBack is set by an answer that turns the request away and asks to back off.
 	pushedBack bool
 	// broken is why the answer did not come whole.
-	broken error
+	err error
 	// firstAfter is how long after it was sent the first event or byte came, eventsBefore
 	// how many events came in earlier exchanges.
 	firstAfter   time.Duration
 	eventsBefore int
 }
 
-// toServer dispatches to a server of the region.
-func (c *call) toServer(ctx context.Context, k *serverset.Pick) result {
+// sendToServer dispatches to a server of the region.
+func (c *call) sendToServer(ctx context.Context, k *serverset.Pick) result {
 	s := k.Server()
-	c.tried = append(c.tried, s.Instance())
+	c.triedServers = append(c.triedServers, s.Instance())
 	conn, err := s.Pool().Get(ctx)
 	if err != nil {
 		c.cause = err.Error()
-		k.Done(unreached(err))
+		k.Done(connectOutcome(err))
 		return notSent
 	}
-	if !c.mayStillSend(k) {
+	if !c.stillAccepted(k) {
 		s.Pool().Return(conn)
 		k.Done(serverset.Left)
 		return notSent
 	}
-	x := &exchange{call: c, conn: conn, pool: s.Pool(), pick: k, sent: time.Now(), clock: c.gate.options.Clock.Now()}
+	x := &exchange{call: c, conn: conn, pool: s.Pool(), pick: k, sentAt: time.Now(), sentClock: c.gate.options.Clock.Now()}
 	defer func() {
 		x.release()
-		c.inquest(ctx, x, s)
+		c.attributeCrash(ctx, x, s)
 	}()
 	defer context.AfterFunc(ctx, conn.Abort)()
 	n := c.gate.options.Names
 	set := [][2]string{
-		{n.Deadline, left(c.due())},
+		{n.Deadline, remainingMS(c.connDeadline())},
 		{n.Target, s.Instance()},
 		{n.Priority, strconv.Itoa(c.rank)},
 	}
@@ -76,54 +76,54 @@
 	if from := k.Source(); from != "" {
 		set = append(set, [2]string{n.Fetch, from})
 	}
-	head := c.head(set)
+	head := c.requestHead(set)
 	c.sends++
 	c.runs++
 	x.eventsBefore = c.splitter.Events()
-	c.sentTo = k.Version()
-	c.gate.options.Versions.Sent(c.service, c.route.Name, c.sentTo)
-	defer c.tally(ctx, x, k)
+	c.sentVersion = k.Version()
+	c.gate.options.Versions.Sent(c.service, c.route.Name, c.sentVersion)
+	defer c.recordAnswer(ctx, x, k)
 	if err := x.roundTrip(head); err != nil {
-		x.broken = err
+		x.err = err
 		c.cause = err.Error()
 		if _, ok := errors.AsType[*answerhead.ForeignError](err); ok {
 			c.gate.options.Meter.Count("answers.foreign")
 		}
 		// The wait was longer than this, which the next prediction must know.
-		x.note()
-		k.Done(c.brokenOutcome(ctx))
+		x.recordWait()
+		k.Done(c.failureOutcome(ctx))
 		return failed
 	}
-	c.hearLimit(x, s)
-	x.pushedBack = c.hearPushback(x, k)
+	c.observeLimit(x, s)
+	x.pushedBack = c.observePushback(x, k)
 	notRun := len(httpfield.Value(x.head, n.NotRun)) > 0
 	if r, ok := serverset.ParseReported(string(httpfield.Value(x.head, n.Load))); ok {
 		k.Report(r, notRun && x.head.StatusCode() == http.StatusServiceUnavailable)
 	}
 	if status := x.head.StatusCode(); notRun || status == http.StatusMisdirectedRequest {
-		return c.shed(x, k, status)
+		return c.endNotRun(x, k, status)
 	}
-	return c.relayFrom(ctx, x, k)
+	return c.relayOrRetry(ctx, x, k)
 }
 
-func unreached(err error) serverset.Outcome {
+func connectOutcome(err error) serverset.Outcome {
 	if errors.Is(err, serverconn.ErrNoConns) {
 		return serverset.Shed
 	}
 	return serverset.Unreached
 }
 
-// brokenOutcome tells a server's failure from a caller that left, and from a
+// failureOutcome tells a server's failure from a caller that left, and from a
 // deadline, which says little of the server.
-func (c *call) brokenOutcome(ctx context.Context) serverset.Outcome {
+func (c *call) failureOutcome(ctx context.Context) serverset.Outcome {
 	if ctx.Err() != nil {
 		return serverset.Left
 	}
 	return serverset.Failed
 }
 
-// shed takes a server's word that it did not run the request.
-func (c *call) shed(x *exchange, k *serverset.Pick, status int) result {
+// endNotRun takes a server's word that it did not run the request.
+func (c *call) endNotRun(x *exchange, k *serverset.Pick, status int) result {
 	c.runs--
 	c.cause = "server answered " + strconv.Itoa(status) + " as not run"
 	_ = x.discard() // a connection that breaks here is not kept
@@ -131,36 +131,36 @@
 		k.Done(serverset.Gone)
 		return notRun
 	}
-	k.Done(x.turnedAway(serverset.Shed))
+	k.Done(x.pushbackOr(serverset.Shed))
 	return notRun
 }
 
-// turnedAway is what an answer says of the server that would otherwise count as an outcome.
-func (x *exchange) turnedAway(otherwise serverset.Outcome) serverset.Outcome {
+// pushbackOr is what an answer says of the server that would otherwise count as an outcome.
+func (x *exchange) pushbackOr(fallback serverset.Outcome) serverset.Outcome {
 	if x.pushedBack {
 		return serverset.BackedOff
 	}
-	return otherwise
+	return fallback
 }
 
-// relayFrom relays a server's answer, or decides that the request is repeated.
-func (c *call) relayFrom(ctx context.Context, x *exchange, k *serverset.Pick) result {
+// relayOrRetry relays a server's answer, or decides that the request is repeated.
+func (c *call) relayOrRetry(ctx context.Context, x *exchange, k *serverset.Pick) result {
 	status := x.head.StatusCode()
 	if status >= http.StatusInternalServerError {
-		k.Done(x.turnedAway(serverset.Failed))
-		if c.mayRepeat() {
+		k.Done(x.pushbackOr(serverset.Failed))
+		if c.mayRetry() {
 			_ = x.discard() // a connection that breaks here is not kept
-			return repeat
+			return retry
 		}
 	}
 	res := c.relay(x)
 	switch {
-	case res == answered && !c.left:
-		if x.broken == nil && status < http.StatusMultipleChoices {
-			c.ranWell()
+	case res == answered && !c.callerLeft:
+		if x.err == nil && status < http.StatusMultipleChoices {
+			c.recordSuccess()
 		}
 		k.Done(serverset.Served)
-	case ctx.Err() != nil || c.left:
+	case ctx.Err() != nil || c.callerLeft:
 		k.Done(serverset.Left)
 	default:
 		k.Done(serverset.Failed)
@@ -168,31 +168,31 @@
 	return res
 }
 
-// toPeer forwards to a gateway of another region.
-func (c *call) toPeer(ctx context.Context, p *peerset.Peer) result {
-	c.away = append(c.away, p.Name())
+// forwardToPeer forwards to a gateway of another region.
+func (c *call) forwardToPeer(ctx context.Context, p *peerset.Peer) result {
+	c.triedPeers = append(c.triedPeers, p.Name())
 	conn, err := p.Pool().Get(ctx)
 	if err != nil {
 		c.cause = err.Error()
-		c.missed(p, err)
+		c.peerFailed(p, err)
 		return notSent
 	}
 	x := &exchange{call: c, conn: conn, pool: p.Pool()}
 	defer x.release()
 	defer context.AfterFunc(ctx, conn.Abort)()
 	set := [][2]string{
-		{c.gate.options.Names.Deadline, left(c.due())},
+		{c.gate.options.Names.Deadline, remainingMS(c.connDeadline())},
 		{wheelgauge.HeaderForwardedFrom, c.gate.options.Region},
 	}
 	if c.workspace != nil {
 		set = append(set, [2]string{wheelgauge.HeaderWorkspace, c.workspace.Name})
 	}
-	head := c.head(set)
+	head := c.requestHead(set)
 	c.runs++
 	if err := x.roundTrip(head); err != nil {
 		c.cause = err.Error()
 		c.sends++
-		c.missed(p, err)
+		c.peerFailed(p, err)
 		return failed
 	}
 	outcome := wheelgauge.Outcome(httpfield.Value(x.head, wheelgauge.HeaderOutcome))
@@ -200,7 +200,7 @@
 		return c.relay(x)
 	}
 	c.cause = "gateway " + p.Name() + " answered " + strconv.Itoa(x.head.StatusCode())
-	sends := sendsOf(string(httpfield.Value(x.head, wheelgauge.HeaderSends)))
+	sends := parseSends(string(httpfield.Value(x.head, wheelgauge.HeaderSends)))
 	_ = x.discard() // a connection that breaks here is not kept
 	if outcome == wheelgauge.OutcomeNotRun {
 		c.runs--
@@ -208,7 +208,7 @@
 		// next one is a repeat, and is paid for here. Else each request would be
 		// repeated while servers are full.
 		c.sends += sends
-		if !c.hearPeerBackoff(x, p) {
+		if !c.observePeerBackoff(x, p) {
 			c.gate.options.Peers.Refused(p)
 		}
 		return notRun
@@ -217,9 +217,9 @@
 	return failed
 }
 
-// sendsOf reads how many servers another gateway sent the request to; 0 when it
+// parseSends reads how many servers another gateway sent the request to; 0 when it
 // does not tell.
-func sendsOf(header string) int {
+func parseSends(header string) int {
 	n, err := strconv.Atoi(header)
 	if err != nil {
 		return 0
@@ -227,10 +227,10 @@
 	return max(0, n)
 }
 
-// missed keeps work off a gateway that failed, and off its region if the
+// peerFailed keeps work off a gateway that failed, and off its region if the
 // network gave it up; this request's own deadline says nothing of either.
-func (c *call) missed(p *peerset.Peer, err error) {
-	if c.over() {
+func (c *call) peerFailed(p *peerset.Peer, err error) {
+	if c.expired() {
 		return
 	}
 	c.gate.options.Peers.Pause(p)
@@ -242,7 +242,7 @@
 // roundTrip sends a request and reads the head of its answer.
 func (x *exchange) roundTrip(head []byte) error {
 	c := x.call
-	if err := x.conn.Send(head, c.request.Body(), c.due()); err != nil {
+	if err := x.conn.Send(head, c.request.Body(), c.connDeadline()); err != nil {
 		return err
 	}
 	var err error
@@ -254,21 +254,21 @@
 
 func (x *exchange) release() { x.pool.Put(x.conn, x.head, x.body) }
 
-func (x *exchange) first() {
-	if x.call.first == 0 {
-		x.call.first = time.Since(x.call.started)
+func (x *exchange) noteFirstByte() {
+	if x.call.firstAfter == 0 {
+		x.call.firstAfter = time.Since(x.call.started)
 	}
 	if x.firstAfter == 0 {
-		x.firstAfter = time.Since(x.sent)
+		x.firstAfter = time.Since(x.sentAt)
 	}
 	if x.pick != nil && !x.begun {
 		x.begun = true
 		x.pick.Began()
-		x.note()
+		x.recordWait()
 	}
 }
 
-// note compares the predicted wait with the one so far.
-func (x *exchange) note() {
-	x.call.gate.seen.note(x.call.route.Name, x.pick.Wait(), time.Since(x.sent))
+// recordWait compares the predicted wait with the one so far.
+func (x *exchange) recordWait() {
+	x.call.gate.waits.observe(x.call.route.Name, x.pick.Wait(), time.Since(x.sentAt))
 }
--- a/routegate/gate.go
+++ b/routegate/gate.go
@@ -28,20 +28,20 @@
 )
 
 const (
-	// startWait is how long a request waits at a host that has just started for what is
+	// startupWait is how long a request waits at a host that has just started for what is
 	// needed to place it: as long as stores that start with the hosts take to tell it.
 	// Refused at once, callers would come back as late and have one try less.
-	startWait = 500 * time.Millisecond
-	// startSpan is how long after its start a host lets requests wait at all: one that
+	startupWait = 500 * time.Millisecond
+	// startupWindow is how long after its start a host lets requests wait at all: one that
 	// still knows nothing then is cut off, and says so at once.
-	startSpan = 1200 * time.Millisecond
-	// startRetry is when a caller of a host comes back that does not know its
+	startupWindow = 1200 * time.Millisecond
+	// startupRetryAfter is when a caller of a host comes back that does not know its
 	// configuration or servers yet: stores tell it within some eager heartbeats.
-	startRetry = 400 * time.Millisecond
-	// leaveRetry is when a caller of a leaving host goes to another one.
-	leaveRetry = time.Millisecond
-	// busyRetry is when a caller comes back that was refused for load.
-	busyRetry = 500 * time.Millisecond
+	startupRetryAfter = 400 * time.Millisecond
+	// leavingRetryAfter is when a caller of a leaving host goes to another one.
+	leavingRetryAfter = time.Millisecond
+	// minOverloadRetryAfter is when a caller comes back that was refused for load.
+	minOverloadRetryAfter = 500 * time.Millisecond
 )
 
 // Options of a Gate.
@@ -73,30 +73,30 @@
 
 // Gate is safe for concurrent use.
 type Gate struct {
-	options Options
-	table   atomic.Pointer[routetable.Table]
-	listed  atomic.Bool
+	options      Options
+	table        atomic.Pointer[routetable.Table]
+	serversKnown atomic.Bool
 	// ready is closed once requests can be placed.
 	ready     chan struct{}
 	readyOnce sync.Once
 	// waitUntil is until when requests wait for that, each for startWait at most.
-	waitUntil time.Time
-	startWait time.Duration
+	startupDeadline time.Time
+	startupWait     time.Duration
 	// starting is how many wait now.
-	starting atomic.Int64
+	startupWaiters atomic.Int64
 	// confirmed is when the configuration was last known to be the newest.
-	confirmed atomic.Pointer[time.Time]
-	reserved  map[string]bool
-	sampled   atomic.Uint64
+	confirmedAt     atomic.Pointer[time.Time]
+	reservedHeaders map[string]bool
+	successes       atomic.Uint64
 	// leaving is nil while the process does not leave.
 	leaving   atomic.Pointer[departure]
-	durations durations
-	active    inFlight
-	seen      waits
+	durations routeDurations
+	active    inFlightCalls
+	waits     waitStats
 	// turns are those of callers that wait for limits of servers, returns those that wait
 	// until servers take work again.
-	turns   turns
-	returns turns
+	limitRetries   retrySchedules
+	backoffRetries retrySchedules
 }
 
 // New returns a gate without a configuration: it refuses everything as not run.
@@ -117,19 +117,19 @@
 		o.Clock = wheelgauge.SteadyClock{}
 	}
 	return &Gate{
-		options: o, reserved: reservedNames(o.Names), ready: make(chan struct{}),
-		waitUntil: time.Now().Add(startSpan), startWait: startWait,
+		options: o, reservedHeaders: reservedNames(o.Names), ready: make(chan struct{}),
+		startupDeadline: time.Now().Add(startupWindow), startupWait: startupWait,
 	}
 }
 
 // SetTable puts a configuration in force.
 func (g *Gate) SetTable(t *routetable.Table) {
 	g.table.Store(t)
-	g.noteReady()
+	g.signalReady()
 }
 
-// noteReady lets requests go on that wait for what is needed to place them.
-func (g *Gate) noteReady() {
+// signalReady lets requests go on that wait for what is needed to place them.
+func (g *Gate) signalReady() {
 	if g.Ready() {
 		g.readyOnce.Do(func() { close(g.ready) })
 	}
@@ -137,12 +137,12 @@
 
 // awaitReady waits until requests can be placed, but not for long.
 func (g *Gate) awaitReady(ctx context.Context) {
-	wait := min(g.startWait, time.Until(g.waitUntil))
+	wait := min(g.startupWait, time.Until(g.startupDeadline))
 	if wait <= 0 || g.Ready() {
 		return
 	}
-	g.starting.Add(1)
-	defer g.starting.Add(-1)
+	g.startupWaiters.Add(1)
+	defer g.startupWaiters.Add(-1)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -155,13 +155,13 @@
 // Confirm tells that no newer configuration is known now.
 func (g *Gate) Confirm() {
 	now := g.options.Clock.Now()
-	g.confirmed.Store(&now)
+	g.confirmedAt.Store(&now)
 }
 
-// stateAge is how long ago the configuration was last known to be the newest;
+// configAge is how long ago the configuration was last known to be the newest;
 // -1 if it never was.
-func (g *Gate) stateAge() time.Duration {
-	at := g.confirmed.Load()
+func (g *Gate) configAge() time.Duration {
+	at := g.confirmedAt.Load()
 	if at == nil {
 		return -1
 	}
@@ -170,12 +170,12 @@
 
 // SetListed tells that the servers are known.
 func (g *Gate) SetListed() {
-	g.listed.Store(true)
-	g.noteReady()
+	g.serversKnown.Store(true)
+	g.signalReady()
 }
 
 // Ready tells whether requests can be placed.
-func (g *Gate) Ready() bool { return g.table.Load() != nil && g.listed.Load() }
+func (g *Gate) Ready() bool { return g.table.Load() != nil && g.serversKnown.Load() }
 
 // Table returns the configuration in force; nil when there is none.
 func (g *Gate) Table() *routetable.Table { return g.table.Load() }
@@ -196,32 +196,32 @@
 func (g *Gate) ServePeer(ctx context.Context, r *callerhttp.Request) { g.serve(ctx, r, true) }
 
 func (g *Gate) serve(ctx context.Context, r *callerhttp.Request, forwarded bool) {
-	c := g.open(r, forwarded)
+	c := g.newCall(r, forwarded)
 	g.awaitReady(ctx)
-	if fault := g.admit(c); fault != nil {
-		c.refuse(fault)
+	if apiErr := g.admit(c); apiErr != nil {
+		c.refuse(apiErr)
 	} else {
-		g.work(ctx, c)
+		g.runTracked(ctx, c)
 	}
 	c.close()
 }
 
-// work runs a request, which may be ended from outside.
-func (g *Gate) work(ctx context.Context, c *call) {
+// runTracked runs a request, which may be ended from outside.
+func (g *Gate) runTracked(ctx context.Context, c *call) {
 	g.active.add(c)
 	defer g.active.remove(c)
 	c.run(ctx)
 }
 
-// open gathers what decides about a request.
-func (g *Gate) open(r *callerhttp.Request, forwarded bool) *call {
+// newCall gathers what decides about a request.
+func (g *Gate) newCall(r *callerhttp.Request, forwarded bool) *call {
 	h, n := r.Header(), g.options.Names
 	c := &call{gate: g, request: r, forwarded: forwarded, id: string(httpfield.Value(h, n.RequestID)), started: r.Arrived()}
-	c.asleep = g.asleep()
+	c.suspendedBefore = g.suspendedFor()
 	c.prompt = prompt.Parse(string(httpfield.Value(h, n.Prompt)), string(httpfield.Value(h, n.Tokens)), string(httpfield.Value(h, n.Hint)))
-	c.lastEvent = string(httpfield.Value(h, n.LastEvent))
-	if limit, ok := limitOf(string(httpfield.Value(h, n.Deadline))); ok {
-		c.deadline = r.Arrived().Add(limit)
+	c.lastEventID = string(httpfield.Value(h, n.LastEvent))
+	if timeout, ok := parseTimeout(string(httpfield.Value(h, n.Deadline))); ok {
+		c.deadline = r.Arrived().Add(timeout)
 	}
 	return c
 }
@@ -230,7 +230,7 @@
 func (g *Gate) admit(c *call) *wheelgauge.Error {
 	t := g.table.Load()
 	if t == nil {
-		return refusal(wheelgauge.ReasonNoConfiguration, http.StatusServiceUnavailable, "no configuration is known yet").WithRetryAfter(startRetry)
+		return refusal(wheelgauge.ReasonNoConfiguration, http.StatusServiceUnavailable, "no configuration is known yet").WithRetryAfter(startupRetryAfter)
 	}
 	c.version = t.Version()
 	h := c.request.Header()
@@ -238,29 +238,29 @@
 	if c.route == nil {
 		return refusal(wheelgauge.ReasonNotFound, http.StatusNotFound, "no route for this host and path")
 	}
-	if fault := g.identify(c, t); fault != nil {
-		return fault
+	if apiErr := g.identify(c, t); apiErr != nil {
+		return apiErr
 	}
 	c.rank = t.Rank(c.workspace, c.route)
-	if c.homeless() {
+	if c.noCommonHome() {
 		return refusal(wheelgauge.ReasonResidency, http.StatusMisdirectedRequest, "route and workspace have no home in common")
 	}
-	if g.tooLong(c.route.Name, c.route.Timeout, 0) {
+	if g.mayOutlastProcess(c.route.Name, c.route.Timeout, 0) {
 		return leavingRefusal()
 	}
-	limit := c.started.Add(c.route.Timeout)
-	if c.deadline.IsZero() || limit.Before(c.deadline) {
-		c.deadline = limit
+	routeDeadline := c.started.Add(c.route.Timeout)
+	if c.deadline.IsZero() || routeDeadline.Before(c.deadline) {
+		c.deadline = routeDeadline
 	}
-	if !g.listed.Load() {
-		return refusal(wheelgauge.ReasonNoServer, http.StatusServiceUnavailable, "no servers are known yet").WithRetryAfter(startRetry)
+	if !g.serversKnown.Load() {
+		return refusal(wheelgauge.ReasonNoServer, http.StatusServiceUnavailable, "no servers are known yet").WithRetryAfter(startupRetryAfter)
 	}
 	c.service = routetable.Pick(c.route)
 	return nil
 }
 
 func leavingRefusal() *wheelgauge.Error {
-	return refusal(wheelgauge.ReasonDraining, http.StatusServiceUnavailable, "this host is leaving").WithRetryAfter(leaveRetry)
+	return refusal(wheelgauge.ReasonDraining, http.StatusServiceUnavailable, "this host is leaving").WithRetryAfter(leavingRetryAfter)
 }
 
 func refusal(reason wheelgauge.Reason, status int, detail string) *wheelgauge.Error {
--- a/routegate/gate_test.go
+++ b/routegate/gate_test.go
@@ -26,17 +26,17 @@
 )
 
 const (
-	testLimit   = 10 * time.Second
-	signed      = "Wheelgauge-Signature: s\r\n"
-	okAnswer    = "HTTP/1.1 200 OK\r\n" + signed + "Content-Length: 2\r\n\r\nok"
-	failure     = "HTTP/1.1 500 Internal Server Error\r\n" + signed + "Content-Length: 3\r\n\r\nbad"
-	shed        = "HTTP/1.1 503 Service Unavailable\r\nWheelgauge-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-	unsigned503 = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-	other       = "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"
-	cut         = "HTTP/1.1 200 OK\r\n" + signed + "Content-Length: 9\r\n\r\nok"
-	unsigned    = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	garbage     = "no answer at all\r\n\r\n"
-	events      = "HTTP/1.1 200 OK\r\n" + signed + "Transfer-Encoding: chunked\r\n\r\n"
+	testLimit         = 10 * time.Second
+	signatureHeader   = "Wheelgauge-Signature: s\r\n"
+	okAnswer          = "HTTP/1.1 200 OK\r\n" + signatureHeader + "Content-Length: 2\r\n\r\nok"
+	failureAnswer     = "HTTP/1.1 500 Internal Server Error\r\n" + signatureHeader + "Content-Length: 3\r\n\r\nbad"
+	notRunAnswer      = "HTTP/1.1 503 Service Unavailable\r\nWheelgauge-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+	unsigned503Answer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+	misdirectedAnswer = "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"
+	truncatedAnswer   = "HTTP/1.1 200 OK\r\n" + signatureHeader + "Content-Length: 9\r\n\r\nok"
+	unsignedAnswer    = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	malformedAnswer   = "no answer at all\r\n\r\n"
+	streamHead        = "HTTP/1.1 200 OK\r\n" + signatureHeader + "Transfer-Encoding: chunked\r\n\r\n"
 )
 
 // chunk renders one chunk of a body.
@@ -47,9 +47,9 @@
 	mu     sync.Mutex
 	script []string
 	// always is the answer when the script is over; success when empty.
-	always string
-	heads  []http.Header
-	conn   net.Listener
+	fallback string
+	headers  []http.Header
+	conn     net.Listener
 }
 
 func newBackend(t testing.TB, script ...string) *backend {
@@ -88,16 +88,16 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
-		answer := b.next(req.Header)
+		answer := b.nextAnswer(req.Header)
 		_, _ = c.Write([]byte(answer))
-		if b.ends(answer) {
+		if b.closesAfter(answer) {
 			return
 		}
 	}
 }
 
-// ends tells whether the connection ends with an answer that is none, or not whole.
-func (b *backend) ends(answer string) bool {
+// closesAfter tells whether the connection ends with an answer that is none, or not whole.
+func (b *backend) closesAfter(answer string) bool {
 	resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(answer)), nil)
 	if err != nil {
 		return true
@@ -106,22 +106,22 @@
 	return err != nil || resp.ContentLength < 0
 }
 
-func (b *backend) next(h http.Header) string {
+func (b *backend) nextAnswer(h http.Header) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.heads = append(b.heads, h)
+	b.headers = append(b.headers, h)
 	if len(b.script) == 0 {
-		return cmp.Or(b.always, okAnswer)
+		return cmp.Or(b.fallback, okAnswer)
 	}
 	s := b.script[0]
 	b.script = b.script[1:]
 	return s
 }
 
-func (b *backend) seen() []http.Header {
+func (b *backend) received() []http.Header {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.heads
+	return b.headers
 }
 
 // gate returns a gate before the backends, all of one service, and a
@@ -172,7 +172,7 @@
 	}
 }
 
-func ask(t *testing.T, c net.Conn, path, headers string) (*http.Response, string, error) {
+func get(t *testing.T, c net.Conn, path, headers string) (*http.Response, string, error) {
 	t.Helper()
 	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\n%s\r\n", path, headers); err != nil {
 		t.Fatal(err)
@@ -197,29 +197,29 @@
 		{"served", "/once/", nil, 200, "", 1},
 		{"no route", "/none/", nil, 404, wheelgauge.OutcomeNotRun, 0},
 		{"no server where it may run", "/away/", nil, 503, wheelgauge.OutcomeNotRun, 0},
-		{"a failure is repeated", "/safe/", []string{failure}, 200, "", 2},
-		{"the last failure is the server's own", "/safe/", []string{failure, failure}, 500, "", 2},
-		{"a failure that ran is not repeated", "/once/", []string{failure}, 500, "", 1},
-		{"a broken answer is repeated", "/safe/", []string{cut}, 200, "", 2},
-		{"a broken answer may have run", "/once/", []string{cut}, 502, wheelgauge.OutcomeUnknown, 1},
-		{"garbage is repeated", "/safe/", []string{garbage}, 200, "", 2},
-		{"garbage may have run", "/once/", []string{garbage}, 502, wheelgauge.OutcomeUnknown, 1},
-		{"no signature is no success", "/once/", []string{unsigned}, 502, wheelgauge.OutcomeUnknown, 1},
-		{"what did not run goes on", "/once/", []string{shed}, 200, "", 2},
-		{"another server has the address", "/once/", []string{other}, 200, "", 2},
-		{"nobody ran it", "/once/", []string{shed, shed, shed}, 503, wheelgauge.OutcomeNotRun, 2},
+		{"a failure is repeated", "/safe/", []string{failureAnswer}, 200, "", 2},
+		{"the last failure is the server's own", "/safe/", []string{failureAnswer, failureAnswer}, 500, "", 2},
+		{"a failure that ran is not repeated", "/once/", []string{failureAnswer}, 500, "", 1},
+		{"a broken answer is repeated", "/safe/", []string{truncatedAnswer}, 200, "", 2},
+		{"a broken answer may have run", "/once/", []string{truncatedAnswer}, 502, wheelgauge.OutcomeUnknown, 1},
+		{"garbage is repeated", "/safe/", []string{malformedAnswer}, 200, "", 2},
+		{"garbage may have run", "/once/", []string{malformedAnswer}, 502, wheelgauge.OutcomeUnknown, 1},
+		{"no signature is no success", "/once/", []string{unsignedAnswer}, 502, wheelgauge.OutcomeUnknown, 1},
+		{"what did not run goes on", "/once/", []string{notRunAnswer}, 200, "", 2},
+		{"another server has the address", "/once/", []string{misdirectedAnswer}, 200, "", 2},
+		{"nobody ran it", "/once/", []string{notRunAnswer, notRunAnswer, notRunAnswer}, 503, wheelgauge.OutcomeNotRun, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newBackend(t, tt.script...)
 			_, c := newGate(t, routes(), b, b)
-			resp, _, err := ask(t, c, tt.path, "")
+			resp, _, err := get(t, c, tt.path, "")
 			if err != nil {
 				t.Fatal(err)
 			}
 			outcome := wheelgauge.Outcome(resp.Header.Get(wheelgauge.HeaderOutcome))
-			if resp.StatusCode != tt.status || outcome != tt.outcome || len(b.seen()) != tt.sends {
-				t.Errorf("got %d %q after %d sends, want %d %q after %d", resp.StatusCode, outcome, len(b.seen()), tt.status, tt.outcome, tt.sends)
+			if resp.StatusCode != tt.status || outcome != tt.outcome || len(b.received()) != tt.sends {
+				t.Errorf("got %d %q after %d sends, want %d %q after %d", resp.StatusCode, outcome, len(b.received()), tt.status, tt.outcome, tt.sends)
 			}
 			if tt.outcome == wheelgauge.OutcomeNotRun && tt.status == 503 && resp.Header.Get("Retry-After") == "" {
 				t.Error("a refusal does not say when to come back")
@@ -231,15 +231,15 @@
 	}
 }
 
-func TestHeadersThatOnlyTheSystemSets(t *testing.T) {
+func TestReservedHeaders(t *testing.T) {
 	b := newBackend(t)
 	_, c := newGate(t, routes(), b)
-	_, _, err := ask(t, c, "/safe/", "Wheelgauge-Target: forged\r\nWheelgauge-Priority: 0\r\nWheelgauge-Deadline-Ms: 700\r\nWheelgauge-Forwarded-From: there\r\n"+
+	_, _, err := get(t, c, "/safe/", "Wheelgauge-Target: forged\r\nWheelgauge-Priority: 0\r\nWheelgauge-Deadline-Ms: 700\r\nWheelgauge-Forwarded-From: there\r\n"+
 		"Connection: X-Hop\r\nX-Hop: 1\r\nX-End: 2\r\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := b.seen()[0]
+	h := b.received()[0]
 	if h.Get("Wheelgauge-Target") != "i0" || h.Get("Wheelgauge-Priority") != "3" || h.Get(wheelgauge.HeaderForwardedFrom) != "" || h.Get("X-Hop") != "" || h.Get("X-End") != "2" {
 		t.Errorf("the server got %v", h)
 	}
@@ -252,29 +252,29 @@
 	one, two := "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"
 	end := "0\r\n\r\n"
 	tests := []struct {
-		name   string
-		path   string
-		script []string
-		body   string
-		whole  bool
-		last   string // what the second server is told
+		name        string
+		path        string
+		script      []string
+		body        string
+		complete    bool
+		lastEventID string // what the second server is told
 	}{
-		{"whole", "/stream/", []string{events + chunk(one) + chunk(two) + end}, one + two, true, ""},
-		{"cut", "/stream/", []string{events + chunk(one) + chunk("id: 2\nda")}, one, false, ""},
-		{"resumed after the last whole event", "/resume/", []string{events + chunk(one) + chunk("id: 2\nda"), events + chunk(two) + end}, one + two, true, "1"},
-		{"broken before the first event", "/resume/", []string{events + chunk("id: 1"), events + chunk(one+two) + end}, one + two, true, ""},
-		{"resumed once only", "/resume/", []string{events + chunk(one), events + chunk("id:")}, one, false, "1"},
+		{"whole", "/stream/", []string{streamHead + chunk(one) + chunk(two) + end}, one + two, true, ""},
+		{"cut", "/stream/", []string{streamHead + chunk(one) + chunk("id: 2\nda")}, one, false, ""},
+		{"resumed after the last whole event", "/resume/", []string{streamHead + chunk(one) + chunk("id: 2\nda"), streamHead + chunk(two) + end}, one + two, true, "1"},
+		{"broken before the first event", "/resume/", []string{streamHead + chunk("id: 1"), streamHead + chunk(one+two) + end}, one + two, true, ""},
+		{"resumed once only", "/resume/", []string{streamHead + chunk(one), streamHead + chunk("id:")}, one, false, "1"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newBackend(t, tt.script...)
 			_, c := newGate(t, routes(), b, b)
-			_, body, err := ask(t, c, tt.path, "")
-			if body != tt.body || (err == nil) != tt.whole {
-				t.Errorf("got %q, %v, want %q, whole: %v", body, err, tt.body, tt.whole)
+			_, body, err := get(t, c, tt.path, "")
+			if body != tt.body || (err == nil) != tt.complete {
+				t.Errorf("got %q, %v, want %q, whole: %v", body, err, tt.body, tt.complete)
 			}
-			if heads := b.seen(); len(heads) > 1 && heads[1].Get("Last-Event-Id") != tt.last {
-				t.Errorf("resumed after %q, want %q", heads[1].Get("Last-Event-Id"), tt.last)
+			if headers := b.received(); len(headers) > 1 && headers[1].Get("Last-Event-Id") != tt.lastEventID {
+				t.Errorf("resumed after %q, want %q", headers[1].Get("Last-Event-Id"), tt.lastEventID)
 			}
 		})
 	}
@@ -296,7 +296,7 @@
 		}
 	}()
 	_, c := newGate(t, routes(), &backend{conn: l})
-	resp, _, err := ask(t, c, "/once/", "Wheelgauge-Deadline-Ms: 50\r\n")
+	resp, _, err := get(t, c, "/once/", "Wheelgauge-Deadline-Ms: 50\r\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -308,7 +308,7 @@
 func TestNoConfigurationIsNotRun(t *testing.T) {
 	g, c := newGate(t, routes())
 	g.table.Store(nil)
-	resp, body, err := ask(t, c, "/safe/", "")
+	resp, body, err := get(t, c, "/safe/", "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -321,8 +321,8 @@
 // back.
 func TestNoServersKnownIsNotRun(t *testing.T) {
 	g, c := newGate(t, routes())
-	g.listed.Store(false)
-	resp, body, err := ask(t, c, "/safe/", "")
+	g.serversKnown.Store(false)
+	resp, body, err := get(t, c, "/safe/", "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -338,19 +338,19 @@
 	g, c := newGate(t, routes(), b)
 	table := g.table.Swap(nil)
 	g.ready, g.readyOnce = make(chan struct{}), sync.Once{}
-	g.startWait, g.waitUntil = testLimit, time.Now().Add(testLimit)
+	g.startupWait, g.startupDeadline = testLimit, time.Now().Add(testLimit)
 	go func() {
-		for g.starting.Load() == 0 {
+		for g.startupWaiters.Load() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		g.SetTable(table)
 	}()
-	if resp, body, err := ask(t, c, "/safe/", ""); err != nil || resp.StatusCode != http.StatusOK {
+	if resp, body, err := get(t, c, "/safe/", ""); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("got %v %s, %v", resp, body, err)
 	}
 	g.table.Store(nil)
-	g.ready, g.waitUntil = make(chan struct{}), time.Now()
-	if resp, _, err := ask(t, c, "/safe/", ""); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
+	g.ready, g.startupDeadline = make(chan struct{}), time.Now()
+	if resp, _, err := get(t, c, "/safe/", ""); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("a host that has known nothing for a while answers %v, %v", resp, err)
 	}
 }
@@ -358,22 +358,22 @@
 func TestLeavingHostRefusesLongRequests(t *testing.T) {
 	b := newBackend(t)
 	g, c := newGate(t, routes(), b)
-	g.durations.note("stream", 3*time.Second)
-	g.durations.note("safe", time.Millisecond)
+	g.durations.observe("stream", 3*time.Second)
+	g.durations.observe("safe", time.Millisecond)
 	g.LeaveBy(time.Now().Add(5 * time.Second))
 	leaving := g.leaving.Load()
-	if g.tooLong("stream", testLimit, 0) {
+	if g.mayOutlastProcess("stream", testLimit, 0) {
 		t.Error("a request that is usually done in time is refused while callers cannot know")
 	}
-	leaving.told = leaving.told.Add(-knownTime)
-	if resp, _, err := ask(t, c, "/safe/", ""); err != nil || resp.StatusCode != http.StatusOK {
+	leaving.announcedAt = leaving.announcedAt.Add(-leavePropagation)
+	if resp, _, err := get(t, c, "/safe/", ""); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("a short request got %v, %v", resp, err)
 	}
-	resp, _, err := ask(t, c, "/stream/", "")
+	resp, _, err := get(t, c, "/stream/", "")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Fatalf("a long request got %v, %v, want 503", resp, err)
 	}
-	if len(b.seen()) != 1 {
+	if len(b.received()) != 1 {
 		t.Error("the long request reached a server")
 	}
 }
@@ -402,44 +402,44 @@
 // A forwarded request is repeated by the host it came to only: both together
 // would run it on more servers than its route allows.
 func TestForwardedRequestIsNotRepeated(t *testing.T) {
-	b := newBackend(t, failure)
+	b := newBackend(t, failureAnswer)
 	g, _ := newGate(t, routes(), b, b)
-	resp, _, err := ask(t, peerConn(t, g), "/safe/", "")
+	resp, _, err := get(t, peerConn(t, g), "/safe/", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if resp.StatusCode != http.StatusInternalServerError || len(b.seen()) != 1 {
-		t.Errorf("got %d after %d sends, want the server's 500 after one", resp.StatusCode, len(b.seen()))
+	if resp.StatusCode != http.StatusInternalServerError || len(b.received()) != 1 {
+		t.Errorf("got %d after %d sends, want the server's 500 after one", resp.StatusCode, len(b.received()))
 	}
 }
 
 // A host that leaves does not start what is over in time only if it ran here.
-func TestLeavingHostMindsTheWay(t *testing.T) {
+func TestLeavingHostCountsLinkLatency(t *testing.T) {
 	g, c := newGate(t, routes())
 	g.options.Peers.SetHosts([]wheelgauge.FleetHost{{Name: "far", Region: "there", Peer: "127.0.0.1:1", Ready: true}})
 	g.options.Peers.SetUses([]wheelgauge.RegionUse{{Region: "there", Uses: []wheelgauge.ServiceUse{{Service: "s", Servers: 1, Slots: 4}}}})
 	g.options.Peers.Reached("there", testLimit)
-	g.durations.note("away", time.Millisecond)
+	g.durations.observe("away", time.Millisecond)
 	g.LeaveBy(time.Now().Add(testLimit / 2))
 	leaving := g.leaving.Load()
-	leaving.told = leaving.told.Add(-knownTime)
-	resp, body, err := ask(t, c, "/away/", "")
+	leaving.announcedAt = leaving.announcedAt.Add(-leavePropagation)
+	resp, body, err := get(t, c, "/away/", "")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, string(wheelgauge.ReasonDraining)) {
 		t.Errorf("got %v, %s, %v, want a refusal by a host that leaves", resp, body, err)
 	}
 }
 
 // A refusal tells a gateway, but no caller, how many servers were asked.
-func TestRefusalTellsSends(t *testing.T) {
+func TestRefusalReportsSends(t *testing.T) {
 	tests := []struct {
 		name      string
 		forwarded bool
 		script    []string
 		want      string
 	}{
-		{"servers refused", true, []string{shed, shed, shed}, "2"},
-		{"a server broke off", true, []string{cut}, "1"},
-		{"to a caller", false, []string{shed, shed, shed}, ""},
+		{"servers refused", true, []string{notRunAnswer, notRunAnswer, notRunAnswer}, "2"},
+		{"a server broke off", true, []string{truncatedAnswer}, "1"},
+		{"to a caller", false, []string{notRunAnswer, notRunAnswer, notRunAnswer}, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -448,7 +448,7 @@
 			if tt.forwarded {
 				c = peerConn(t, g)
 			}
-			resp, _, err := ask(t, c, "/once/", "")
+			resp, _, err := get(t, c, "/once/", "")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/routegate/names_test.go
+++ b/routegate/headernames_test.go
@@ -13,7 +13,7 @@
 		start, lines, _ := strings.Cut(head, "\r\n")
 		return start + "\r\n" + strings.ToLower(lines) + "\r\n\r\n" + body
 	}
-	stray := saying(okAnswer, "X-Request-Id: another")
+	otherAnswer := withHeaders(okAnswer, "X-Request-Id: another")
 	tests := []struct {
 		name   string
 		script []string
@@ -21,9 +21,9 @@
 		sends  int
 	}{
 		{"a signature", []string{okAnswer}, 200, 1},
-		{"not run", []string{shed, okAnswer}, 200, 2},
-		{"an answer to another request", []string{stray + okAnswer}, 200, 1},
-		{"a limit", []string{limited(okAnswer, "2")}, 200, 1},
+		{"not run", []string{notRunAnswer, okAnswer}, 200, 2},
+		{"an answer to another request", []string{otherAnswer + okAnswer}, 200, 1},
+		{"a limit", []string{withLimits(okAnswer, "2")}, 200, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -40,12 +40,12 @@
 			}
 			b := newBackend(t, script...)
 			g, c := newGate(t, routes(), b, b)
-			resp, _, err := ask(t, c, "/once/", "")
+			resp, _, err := get(t, c, "/once/", "")
 			if err != nil {
 				t.Fatal(err)
 			}
-			if resp.StatusCode != tt.status || len(b.seen()) != tt.sends {
-				t.Errorf("got %d after %d sends, want %d after %d", resp.StatusCode, len(b.seen()), tt.status, tt.sends)
+			if resp.StatusCode != tt.status || len(b.received()) != tt.sends {
+				t.Errorf("got %d after %d sends, want %d after %d", resp.StatusCode, len(b.received()), tt.status, tt.sends)
 			}
 			if _, ok := g.options.Limits.Rate("i0"); tt.name == "a limit" && !ok && resp.StatusCode == http.StatusOK {
 				t.Error("the limit was not heard")
@@ -59,10 +59,10 @@
 	for _, name := range []string{"Wheelgauge-Deadline-Ms", "wheelgauge-deadline-ms", "WHEELGAUGE-DEADLINE-MS"} {
 		b := newBackend(t)
 		_, c := newGate(t, routes(), b)
-		if _, _, err := ask(t, c, "/safe/", name+": 700\r\n"); err != nil {
+		if _, _, err := get(t, c, "/safe/", name+": 700\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		if left := b.seen()[0].Get("Wheelgauge-Deadline-Ms"); len(left) != 3 {
+		if left := b.received()[0].Get("Wheelgauge-Deadline-Ms"); len(left) != 3 {
 			t.Errorf("%s: the server has %q ms, want what is left of 700", name, left)
 		}
 	}
--- a/routegate/headers.go
+++ b/routegate/headers.go
@@ -28,8 +28,8 @@
 	return out
 }
 
-// named returns the header names that a Connection header lists.
-func named(connection []byte) map[string]bool {
+// connectionTokens returns the header names that a Connection header lists.
+func connectionTokens(connection []byte) map[string]bool {
 	var out map[string]bool
 	for name := range strings.SplitSeq(string(connection), ",") {
 		if name = strings.ToLower(strings.TrimSpace(name)); name != "" {
@@ -42,57 +42,57 @@
 	return out
 }
 
-// line adds one header line.
-func line(dst []byte, name, value string) []byte {
+// appendHeader adds one header line.
+func appendHeader(dst []byte, name, value string) []byte {
 	dst = append(dst, name...)
 	dst = append(dst, ": "...)
 	dst = append(dst, value...)
 	return append(dst, "\r\n"...)
 }
 
-// head renders the request as it goes to a server or to another gateway.
-func (c *call) head(set [][2]string) []byte {
+// requestHead renders the request as it goes to a server or to another gateway.
+func (c *call) requestHead(set [][2]string) []byte {
 	h := c.request.Header()
 	dst := make([]byte, 0, 1024)
 	dst = append(dst, h.Method()...)
 	dst = append(dst, ' ')
 	dst = append(dst, h.RequestURI()...)
 	dst = append(dst, " HTTP/1.1\r\n"...)
-	listed := named(h.Peek("Connection"))
+	connectionHeaders := connectionTokens(h.Peek("Connection"))
 	lastEvent := strings.ToLower(c.gate.options.Names.LastEvent)
 	for name, value := range h.All() {
-		low := strings.ToLower(string(name))
-		if hopByHop[low] || c.gate.reserved[low] || listed[low] || low == lastEvent {
+		lower := strings.ToLower(string(name))
+		if hopByHop[lower] || c.gate.reservedHeaders[lower] || connectionHeaders[lower] || lower == lastEvent {
 			continue
 		}
-		dst = line(dst, string(name), string(value))
+		dst = appendHeader(dst, string(name), string(value))
 	}
 	if body := c.request.Body(); len(body) > 0 || !h.IsGet() && !h.IsHead() {
-		dst = line(dst, "Content-Length", strconv.Itoa(len(body)))
+		dst = appendHeader(dst, "Content-Length", strconv.Itoa(len(body)))
 	}
-	if c.lastEvent != "" {
-		dst = line(dst, c.gate.options.Names.LastEvent, c.lastEvent)
+	if c.lastEventID != "" {
+		dst = appendHeader(dst, c.gate.options.Names.LastEvent, c.lastEventID)
 	}
 	for _, s := range set {
 		if s[0] != "" {
-			dst = line(dst, s[0], s[1])
+			dst = appendHeader(dst, s[0], s[1])
 		}
 	}
 	return append(dst, "\r\n"...)
 }
 
-// left renders what is left until a deadline, in whole milliseconds.
-func left(deadline time.Time) string {
+// remainingMS renders what is left until a deadline, in whole milliseconds.
+func remainingMS(deadline time.Time) string {
 	return strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10)
 }
 
-// answerFields are the headers of an answer that go on to the caller.
-func answerFields(h *fasthttp.ResponseHeader) []callerhttp.Field {
-	listed := named(h.Peek("Connection"))
+// responseFields are the headers of an answer that go on to the caller.
+func responseFields(h *fasthttp.ResponseHeader) []callerhttp.Field {
+	connectionHeaders := connectionTokens(h.Peek("Connection"))
 	fields := make([]callerhttp.Field, 0, 8)
 	for name, value := range h.All() {
-		low := strings.ToLower(string(name))
-		if hopByHop[low] || listed[low] {
+		lower := strings.ToLower(string(name))
+		if hopByHop[lower] || connectionHeaders[lower] {
 			continue
 		}
 		fields = append(fields, callerhttp.NewField(string(name), string(value)))
--- a/routegate/identify.go
+++ b/routegate/identify.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// knownFresh is how long ago the configuration must have been known to be the
+	// maxConfigAge is how long ago the configuration must have been known to be the
 	// newest for an unknown key to be refused for good: some heartbeats, so that a host
 	// which is cut off, or has just started, sends callers on. They do not come back
 	// after a 401.
-	knownFresh = time.Second
-	// unsureRetry is when a caller comes back whose key may be newer than the
+	maxConfigAge = time.Second
+	// staleConfigRetryAfter is when a caller comes back whose key may be newer than the
 	// configuration here: one heartbeat and a fetch.
-	unsureRetry = 300 * time.Millisecond
+	staleConfigRetryAfter = 300 * time.Millisecond
 )
 
 // identify finds the workspace of a request, or says why it is refused.
@@ -30,7 +30,7 @@
 	if !t.KeysNeeded() {
 		return nil
 	}
-	key, count := g.key(c.request.Header())
+	key, count := g.callerKey(c.request.Header())
 	if count == 0 && c.route.Open {
 		return nil
 	}
@@ -40,8 +40,8 @@
 	if c.workspace != nil {
 		return nil
 	}
-	if age := g.stateAge(); age < 0 || age > knownFresh {
-		return refusal(wheelgauge.ReasonNoConfiguration, http.StatusServiceUnavailable, "this key may be newer than the configuration here").WithRetryAfter(unsureRetry)
+	if age := g.configAge(); age < 0 || age > maxConfigAge {
+		return refusal(wheelgauge.ReasonNoConfiguration, http.StatusServiceUnavailable, "this key may be newer than the configuration here").WithRetryAfter(staleConfigRetryAfter)
 	}
 	return refusal(wheelgauge.ReasonUnauthorized, http.StatusUnauthorized, "no workspace has this key")
 }
@@ -54,13 +54,13 @@
 		return nil
 	}
 	if c.workspace = t.Workspace(name); c.workspace == nil {
-		return refusal(wheelgauge.ReasonNoConfiguration, http.StatusServiceUnavailable, "no workspace of this name is known here").WithRetryAfter(unsureRetry)
+		return refusal(wheelgauge.ReasonNoConfiguration, http.StatusServiceUnavailable, "no workspace of this name is known here").WithRetryAfter(staleConfigRetryAfter)
 	}
 	return nil
 }
 
-// key returns the caller's key and how many it sent.
-func (g *Gate) key(h *fasthttp.RequestHeader) (key []byte, count int) {
+// callerKey returns the caller's key and how many it sent.
+func (g *Gate) callerKey(h *fasthttp.RequestHeader) (key []byte, count int) {
 	keys := httpfield.Values(h, g.options.Names.Key)
 	if len(keys) == 0 {
 		return nil, 0
@@ -74,9 +74,9 @@
 	return c.route.AllowedIn(region) && c.workspace.AllowedIn(region)
 }
 
-// homeless tells whether the request may run nowhere: its route and its workspace have
+// noCommonHome tells whether the request may run nowhere: its route and its workspace have
 // no home in common.
-func (c *call) homeless() bool {
+func (c *call) noCommonHome() bool {
 	if c.workspace == nil || len(c.route.Homes) == 0 || len(c.workspace.Homes) == 0 {
 		return false
 	}
--- a/routegate/waking.go
+++ b/routegate/inflight.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// inFlight are the requests that the gate works on.
-type inFlight struct {
+// inFlightCalls are the requests that the gate works on.
+type inFlightCalls struct {
 	mu    sync.Mutex
 	calls map[*call]struct{}
 }
 
-func (f *inFlight) add(c *call) {
+func (f *inFlightCalls) add(c *call) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.calls == nil {
@@ -17,7 +17,7 @@
 	f.calls[c] = struct{}{}
 }
 
-func (f *inFlight) remove(c *call) {
+func (f *inFlightCalls) remove(c *call) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.calls, c)
@@ -31,7 +31,7 @@
 	defer g.active.mu.Unlock()
 	ended := 0
 	for c := range g.active.calls {
-		if !c.over() {
+		if !c.expired() {
 			continue
 		}
 		c.request.Interrupt()
--- a/routegate/limit_test.go
+++ b/routegate/limit_test.go
@@ -13,8 +13,8 @@
 	"wheelgauge/serverlimit"
 )
 
-// limited is an answer that names limits.
-func limited(answer string, limits ...string) string {
+// withLimits is an answer that names limits.
+func withLimits(answer string, limits ...string) string {
 	status, rest, _ := strings.Cut(answer, "\r\n")
 	for _, l := range limits {
 		rest = "Wheelgauge-Limit: " + l + "\r\n" + rest
@@ -24,7 +24,7 @@
 
 // What a server says of its limit is heard in any answer of its own; only a success without
 // it says that there is none.
-func TestLimitIsHeard(t *testing.T) {
+func TestObserveLimit(t *testing.T) {
 	tests := []struct {
 		name   string
 		script []string
@@ -32,22 +32,22 @@
 		known  bool
 	}{
 		{"none", []string{okAnswer}, 0, false},
-		{"in a success", []string{limited(okAnswer, "2.5")}, 2.5, true},
-		{"in a failure", []string{limited(failure, "2.5")}, 2.5, true},
-		{"in a refusal", []string{limited(shed, "0.2")}, 0.2, true},
-		{"of another server at the address", []string{limited(other, "2.5")}, 0, false},
-		{"it changes", []string{limited(okAnswer, "2.5"), limited(okAnswer, "1")}, 1, true},
-		{"it ends", []string{limited(okAnswer, "2.5"), okAnswer}, 0, false},
-		{"a failure without it", []string{limited(okAnswer, "2.5"), failure}, 2.5, true},
-		{"not a number", []string{limited(okAnswer, "2.5"), limited(okAnswer, "many")}, 2.5, true},
-		{"negative", []string{limited(okAnswer, "-1")}, 0, false},
-		{"doubled", []string{limited(okAnswer, "5", "3", "x")}, 3, true},
+		{"in a success", []string{withLimits(okAnswer, "2.5")}, 2.5, true},
+		{"in a failure", []string{withLimits(failureAnswer, "2.5")}, 2.5, true},
+		{"in a refusal", []string{withLimits(notRunAnswer, "0.2")}, 0.2, true},
+		{"of another server at the address", []string{withLimits(misdirectedAnswer, "2.5")}, 0, false},
+		{"it changes", []string{withLimits(okAnswer, "2.5"), withLimits(okAnswer, "1")}, 1, true},
+		{"it ends", []string{withLimits(okAnswer, "2.5"), okAnswer}, 0, false},
+		{"a failure without it", []string{withLimits(okAnswer, "2.5"), failureAnswer}, 2.5, true},
+		{"not a number", []string{withLimits(okAnswer, "2.5"), withLimits(okAnswer, "many")}, 2.5, true},
+		{"negative", []string{withLimits(okAnswer, "-1")}, 0, false},
+		{"doubled", []string{withLimits(okAnswer, "5", "3", "x")}, 3, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g, c := newGate(t, routes(), newBackend(t, tt.script...))
 			for range tt.script {
-				if _, _, err := ask(t, c, "/once/", ""); err != nil {
+				if _, _, err := get(t, c, "/once/", ""); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -58,22 +58,22 @@
 	}
 }
 
-// permits gives so many permits, then none, after a wait.
-type permits struct {
-	mu    sync.Mutex
-	left  int
-	after time.Duration
-	asked []time.Duration
+// fakePermits gives so many permits, then none, after a wait.
+type fakePermits struct {
+	mu        sync.Mutex
+	remaining int
+	after     time.Duration
+	maxWaits  []time.Duration
 }
 
-func (p *permits) Take(_ context.Context, _ string, patience time.Duration) (time.Duration, bool) {
+func (p *fakePermits) Take(_ context.Context, _ string, maxWait time.Duration) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asked = append(p.asked, patience)
-	if p.after > patience || p.left == 0 {
+	p.maxWaits = append(p.maxWaits, maxWait)
+	if p.after > maxWait || p.remaining == 0 {
 		return max(p.after, time.Millisecond), false
 	}
-	p.left--
+	p.remaining--
 	return p.after, true
 }
 
@@ -82,15 +82,15 @@
 func TestPermits(t *testing.T) {
 	const objective = 400 * time.Millisecond
 	tests := []struct {
-		name    string
-		permits *permits
-		status  int
-		asked   []time.Duration
+		name     string
+		permits  *fakePermits
+		status   int
+		maxWaits []time.Duration
 	}{
-		{"allowed", &permits{left: 1}, 200, []time.Duration{0}},
-		{"allowed soon", &permits{left: 1, after: 30 * time.Millisecond}, 200, []time.Duration{0, objective / 4}},
-		{"allowed too late", &permits{left: 1, after: 200 * time.Millisecond}, 503, []time.Duration{0}},
-		{"never", &permits{after: 200 * time.Millisecond}, 503, []time.Duration{0}},
+		{"allowed", &fakePermits{remaining: 1}, 200, []time.Duration{0}},
+		{"allowed soon", &fakePermits{remaining: 1, after: 30 * time.Millisecond}, 200, []time.Duration{0, objective / 4}},
+		{"allowed too late", &fakePermits{remaining: 1, after: 200 * time.Millisecond}, 503, []time.Duration{0}},
+		{"never", &fakePermits{after: 200 * time.Millisecond}, 503, []time.Duration{0}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -102,14 +102,14 @@
 			g, c := newGate(t, list, b)
 			g.options.Permits = tt.permits
 			g.options.Limits.Named("i0", 1)
-			resp, _, err := ask(t, c, "/once/", "")
+			resp, _, err := get(t, c, "/once/", "")
 			if err != nil {
 				t.Fatal(err)
 			}
-			if resp.StatusCode != tt.status || !slices.Equal(tt.permits.asked, tt.asked) {
-				t.Errorf("got %d, asked with patience %v; want %d, %v", resp.StatusCode, tt.permits.asked, tt.status, tt.asked)
+			if resp.StatusCode != tt.status || !slices.Equal(tt.permits.maxWaits, tt.maxWaits) {
+				t.Errorf("got %d, asked with patience %v; want %d, %v", resp.StatusCode, tt.permits.maxWaits, tt.status, tt.maxWaits)
 			}
-			if got := len(b.seen()); got != tt.status/200%2 {
+			if got := len(b.received()); got != tt.status/200%2 {
 				t.Errorf("the server got %d requests", got)
 			}
 			refused := resp.StatusCode == http.StatusServiceUnavailable
@@ -124,12 +124,12 @@
 // given under an earlier limit is not used.
 func TestAwaitPermit(t *testing.T) {
 	tests := []struct {
-		name  string
-		left  bool
-		after time.Duration
+		name       string
+		callerLeft bool
+		after      time.Duration
 		// rate is the limit by then.
-		rate float64
-		good bool
+		rate   float64
+		usable bool
 	}{
 		{"it is due", false, time.Millisecond, 2, true},
 		{"it was not given ahead", false, 0, 1, true},
@@ -140,14 +140,14 @@
 		t.Run(tt.name, func(t *testing.T) {
 			ctx, leave := context.WithCancel(context.Background())
 			defer leave()
-			if tt.left {
+			if tt.callerLeft {
 				leave()
 			}
 			limits := serverlimit.New(time.Now)
 			limits.Named("s", tt.rate)
 			c := &call{gate: New(Options{Limits: limits})}
-			if good := c.awaitPermit(ctx, "s", 2, tt.after); good != tt.good {
-				t.Errorf("it is good: %v, want %v", good, tt.good)
+			if usable := c.waitForPermit(ctx, "s", 2, tt.after); usable != tt.usable {
+				t.Errorf("it is good: %v, want %v", usable, tt.usable)
 			}
 		})
 	}
--- a/routegate/pushback.go
+++ b/routegate/pushback.go
@@ -11,17 +11,17 @@
 	"wheelgauge/serverset"
 )
 
-// returnSpread is within what time after a backoff callers come back that were refused in it.
-const returnSpread = 500 * time.Millisecond
+// backoffRetrySpread is within what time after a backoff callers come back that were refused in it.
+const backoffRetrySpread = 500 * time.Millisecond
 
-// hearPushback takes what a server's answer asks of this host: to back off, or nothing more as it
+// observePushback takes what a server's answer asks of this host: to back off, or nothing more as it
 // leaves. It tells whether the answer asks to back off.
-func (c *call) hearPushback(x *exchange, k *serverset.Pick) (backsOff bool) {
+func (c *call) observePushback(x *exchange, k *serverset.Pick) (backsOff bool) {
 	status := x.head.StatusCode()
 	if status == http.StatusMisdirectedRequest {
 		return false // another server answered
 	}
-	c.hearLeaving(x, k)
+	c.observeLeaving(x, k)
 	if status != http.StatusServiceUnavailable {
 		return false
 	}
@@ -39,7 +39,7 @@
 	return ok && wait > 0
 }
 
-func (c *call) hearLeaving(x *exchange, k *serverset.Pick) {
+func (c *call) observeLeaving(x *exchange, k *serverset.Pick) {
 	name := c.gate.options.Names.Leaving
 	if name == "" {
 		return
@@ -54,9 +54,9 @@
 	}
 }
 
-// mayStillSend tells whether the server chosen still takes the request: it may have asked for
+// stillAccepted tells whether the server chosen still takes the request: it may have asked for
 // none while a permit or a connection was waited for.
-func (c *call) mayStillSend(k *serverset.Pick) bool {
+func (c *call) stillAccepted(k *serverset.Pick) bool {
 	if k.Allowed() {
 		return true
 	}
@@ -67,9 +67,9 @@
 	return false
 }
 
-// hearPeerBackoff tells whether a gateway refused a request as all servers there back off, and
+// observePeerBackoff tells whether a gateway refused a request as all servers there back off, and
 // takes until when.
-func (c *call) hearPeerBackoff(x *exchange, p *peerset.Peer) bool {
+func (c *call) observePeerBackoff(x *exchange, p *peerset.Peer) bool {
 	wait, ok := pushback.ParseRetryAfter(httpfield.Values(x.head, "Retry-After"), nil)
 	if !ok || wheelgauge.Reason(httpfield.Value(x.head, wheelgauge.HeaderReason)) != wheelgauge.ReasonBackoff {
 		return false
@@ -78,13 +78,13 @@
 	return true
 }
 
-// backoffEnds returns when the first server takes the request again, where all that might take
+// backoffLeft returns when the first server takes the request again, where all that might take
 // it rest, in this region and at the gateways of others that were asked; ok is false if there
 // is another reason to wait.
-func (c *call) backoffEnds() (after time.Duration, ok bool) {
+func (c *call) backoffLeft() (after time.Duration, ok bool) {
 	o := c.gate.options
 	if c.allowedIn(o.Region) {
-		job := serverset.NewJob(c.service, c.prompt, c.rank, nil).Within(c.allowedIn).Of(c.versions)
+		job := serverset.NewJob(c.service, c.prompt, c.rank, nil).Within(c.allowedIn).Of(c.versionChoice)
 		if after, ok = o.Servers.BackoffEnds(job); ok && after == 0 {
 			return 0, false
 		}
@@ -92,15 +92,15 @@
 	if c.forwarded {
 		return after, ok
 	}
-	if there, backsOff := o.Peers.BackoffEnds(c.service, c.allowedIn); backsOff && (!ok || there < after) {
-		return there, true
+	if remote, backsOff := o.Peers.BackoffEnds(c.service, c.allowedIn); backsOff && (!ok || remote < after) {
+		return remote, true
 	}
 	return after, ok
 }
 
-// afterBackoff says when a caller comes back that was refused as servers back off: they return one
+// backoffRetryAfter says when a caller comes back that was refused as servers back off: they return one
 // after another as fast as the service answers, within returnSpread.
-func (c *call) afterBackoff(over time.Duration) time.Duration {
-	over = (over + time.Millisecond - 1).Truncate(time.Millisecond)
-	return c.gate.returns.next(c.service, c.gate.options.Clock.Now(), over, over+returnSpread)
+func (c *call) backoffRetryAfter(remaining time.Duration) time.Duration {
+	remaining = (remaining + time.Millisecond - 1).Truncate(time.Millisecond)
+	return c.gate.backoffRetries.next(c.service, c.gate.options.Clock.Now(), remaining, remaining+backoffRetrySpread)
 }
--- a/routegate/pushback_test.go
+++ b/routegate/pushback_test.go
@@ -17,64 +17,66 @@
 	"wheelgauge/serverset"
 )
 
-const leavingWord = "Wheelgauge-Leaving: 1"
+const leavingHeader = "Wheelgauge-Leaving: 1"
 
 func anyJob() serverset.Job { return serverset.NewJob("s", prompt.Prompt{}, 0, nil) }
 
-// saying is an answer with more header lines.
-func saying(answer string, lines ...string) string {
+// withHeaders is an answer with more header lines.
+func withHeaders(answer string, lines ...string) string {
 	status, rest, _ := strings.Cut(answer, "\r\n")
 	return status + "\r\n" + strings.Join(append(lines, rest), "\r\n")
 }
 
-func backingOff(seconds float64) string { return saying(shed, fmt.Sprintf("Retry-After: %g", seconds)) }
+func backoffAnswer(seconds float64) string {
+	return withHeaders(notRunAnswer, fmt.Sprintf("Retry-After: %g", seconds))
+}
 
 // A server's own answers may push back; only its 503 asks to back off.
-func TestPushbackIsHeard(t *testing.T) {
-	const rest = 30 * time.Second
+func TestObservePushback(t *testing.T) {
+	const backoff = 30 * time.Second
 	tests := []struct {
-		name       string
-		answer     string
-		backingOff bool
-		leaving    bool
+		name        string
+		answer      string
+		wantBackoff bool
+		wantLeaving bool
 	}{
 		{"nothing", okAnswer, false, false},
-		{"a rest", backingOff(30), true, false},
-		{"a rest, in lower case", saying(shed, "retry-after: 30"), true, false},
-		{"a rest as a date", saying(shed, "Date: Thu, 16 Apr 2026 09:28:13 GMT", "Retry-After: Thu, 16 Apr 2026 09:28:43 GMT"), true, false},
-		{"a rest by an answer that may have run", saying(unsigned503, "Retry-After: 30"), true, false},
-		{"a rest of no time", backingOff(0), false, false},
-		{"a rest that cannot be read", saying(shed, "Retry-After: soon"), false, false},
-		{"a time to come back in a success", saying(okAnswer, "Retry-After: 30"), false, false},
-		{"a time to come back in a failure", saying(failure, "Retry-After: 30"), false, false},
-		{"a rest of another server at the address", saying(other, "Retry-After: 30", leavingWord), false, false},
-		{"leaving, in a success", saying(okAnswer, leavingWord), false, true},
-		{"leaving, in a failure", saying(failure, leavingWord), false, true},
-		{"leaving, in a refusal", saying(shed, leavingWord), false, true},
-		{"leaving and a rest", saying(backingOff(30), leavingWord), true, true},
-		{"not leaving", saying(okAnswer, "Wheelgauge-Leaving: 0"), false, false},
+		{"a rest", backoffAnswer(30), true, false},
+		{"a rest, in lower case", withHeaders(notRunAnswer, "retry-after: 30"), true, false},
+		{"a rest as a date", withHeaders(notRunAnswer, "Date: Thu, 16 Apr 2026 09:28:13 GMT", "Retry-After: Thu, 16 Apr 2026 09:28:43 GMT"), true, false},
+		{"a rest by an answer that may have run", withHeaders(unsigned503Answer, "Retry-After: 30"), true, false},
+		{"a rest of no time", backoffAnswer(0), false, false},
+		{"a rest that cannot be read", withHeaders(notRunAnswer, "Retry-After: soon"), false, false},
+		{"a time to come back in a success", withHeaders(okAnswer, "Retry-After: 30"), false, false},
+		{"a time to come back in a failure", withHeaders(failureAnswer, "Retry-After: 30"), false, false},
+		{"a rest of another server at the address", withHeaders(misdirectedAnswer, "Retry-After: 30", leavingHeader), false, false},
+		{"leaving, in a success", withHeaders(okAnswer, leavingHeader), false, true},
+		{"leaving, in a failure", withHeaders(failureAnswer, leavingHeader), false, true},
+		{"leaving, in a refusal", withHeaders(notRunAnswer, leavingHeader), false, true},
+		{"leaving and a rest", withHeaders(backoffAnswer(30), leavingHeader), true, true},
+		{"not leaving", withHeaders(okAnswer, "Wheelgauge-Leaving: 0"), false, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g, c := newGate(t, routes(), newBackend(t, tt.answer))
 			k := g.options.Servers.Choose(anyJob())
 			defer k.Done(serverset.Left)
-			if _, _, err := ask(t, c, "/once/", ""); err != nil {
+			if _, _, err := get(t, c, "/once/", ""); err != nil {
 				t.Fatal(err)
 			}
-			asked := k.Pushback()
-			if asked.BackingOff(time.Now().Add(rest-time.Second)) != tt.backingOff || asked.Leaving() != tt.leaving {
-				t.Errorf("it asks %+v, want a rest %t, leaving %t", asked, tt.backingOff, tt.leaving)
+			state := k.Pushback()
+			if state.BackingOff(time.Now().Add(backoff-time.Second)) != tt.wantBackoff || state.Leaving() != tt.wantLeaving {
+				t.Errorf("it asks %+v, want a rest %t, leaving %t", state, tt.wantBackoff, tt.wantLeaving)
 			}
 		})
 	}
 }
 
-// resumable is a stream that breaks off after its first event.
-const resumable = events + "f\r\nid: 1\ndata: a\n\n\r\n"
+// brokenStream is a stream that breaks off after its first event.
+const brokenStream = streamHead + "f\r\nid: 1\ndata: a\n\n\r\n"
 
 // A server that rests, or leaves, gets no request by any way there.
-func TestNoWayToAServerThatPushesBack(t *testing.T) {
+func TestPushedBackServerGetsNoRequest(t *testing.T) {
 	tests := []struct {
 		name      string
 		path      string
@@ -86,26 +88,26 @@
 		status  int
 	}{
 		{"the first send", "/once/", false, nil, false, 200},
-		{"a repeat after a failure", "/safe/", false, []string{failure}, false, 502},
-		{"a repeat after a broken answer", "/safe/", false, []string{cut}, false, 502},
-		{"a repeat of what did not run", "/once/", false, []string{shed}, false, 503},
-		{"a resumed stream", "/resume/", false, []string{resumable}, false, 200},
+		{"a repeat after a failure", "/safe/", false, []string{failureAnswer}, false, 502},
+		{"a repeat after a broken answer", "/safe/", false, []string{truncatedAnswer}, false, 502},
+		{"a repeat of what did not run", "/once/", false, []string{notRunAnswer}, false, 503},
+		{"a resumed stream", "/resume/", false, []string{brokenStream}, false, 200},
 		{"a forwarded request", "/once/", true, nil, false, 200},
-		{"a forwarded one that did not run", "/once/", true, []string{shed}, false, 503},
+		{"a forwarded one that did not run", "/once/", true, []string{notRunAnswer}, false, 503},
 		{"after a permit was waited for", "/once/", false, nil, true, 200},
 	}
 	for _, tt := range tests {
-		for _, ask := range []string{"rest", "leaving"} {
-			t.Run(tt.name+", "+ask, func(t *testing.T) {
-				quiet, other := newBackend(t), newBackend(t, tt.script...)
-				g, c := newGate(t, routes(), quiet, other)
+		for _, kind := range []string{"rest", "leaving"} {
+			t.Run(tt.name+", "+kind, func(t *testing.T) {
+				pushedBack, other := newBackend(t), newBackend(t, tt.script...)
+				g, c := newGate(t, routes(), pushedBack, other)
 				if tt.forwarded {
 					c = peerConn(t, g)
 				}
-				tell := func() {
-					k := pickOf(t, g, "i0")
+				pushBack := func() {
+					k := pickInstance(t, g, "i0")
 					defer k.Done(serverset.Left)
-					if ask == "rest" {
+					if kind == "rest" {
 						k.BackOff(testLimit)
 						return
 					}
@@ -113,18 +115,18 @@
 				}
 				if tt.permits {
 					g.options.Limits.Named("i0", 1)
-					g.options.Permits = waitingPermits(tell)
+					g.options.Permits = permitHook(pushBack)
 				} else {
-					tell()
+					pushBack()
 				}
-				resp, _, _ := send(t, c, tt.path)
+				resp, _, _ := tryGet(t, c, tt.path)
 				if resp == nil || resp.StatusCode != tt.status {
 					t.Errorf("got %v, want %d", resp, tt.status)
 				}
-				if got := len(quiet.seen()); got > 0 {
+				if got := len(pushedBack.received()); got > 0 {
 					t.Errorf("the server got %d requests", got)
 				}
-				if len(other.seen()) == 0 {
+				if len(other.received()) == 0 {
 					t.Error("the other server got none")
 				}
 			})
@@ -132,8 +134,8 @@
 	}
 }
 
-// pickOf chooses a server by its name.
-func pickOf(t *testing.T, g *Gate, instance string) *serverset.Pick {
+// pickInstance chooses a server by its name.
+func pickInstance(t *testing.T, g *Gate, instance string) *serverset.Pick {
 	t.Helper()
 	var tried []string
 	for {
@@ -149,16 +151,16 @@
 	}
 }
 
-// waitingPermits are given at once, after something has happened.
-type waitingPermits func()
+// permitHook are given at once, after something has happened.
+type permitHook func()
 
-func (w waitingPermits) Take(context.Context, string, time.Duration) (time.Duration, bool) {
+func (w permitHook) Take(context.Context, string, time.Duration) (time.Duration, bool) {
 	w()
 	return 0, true
 }
 
-// send is as ask, for answers that may break off.
-func send(t *testing.T, c net.Conn, path string) (*http.Response, string, error) {
+// tryGet is as ask, for answers that may break off.
+func tryGet(t *testing.T, c net.Conn, path string) (*http.Response, string, error) {
 	t.Helper()
 	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\n\r\n", path); err != nil {
 		t.Fatal(err)
@@ -176,9 +178,9 @@
 	tests := []struct {
 		name string
 		// rests are those of the servers, none below 0.
-		rests  []time.Duration
-		status int
-		soon   time.Duration
+		backoffs []time.Duration
+		status   int
+		want     time.Duration
 	}{
 		{"one", []time.Duration{8 * time.Second}, 503, 8 * time.Second},
 		{"the first of three", []time.Duration{9 * time.Second, 5 * time.Second, 7 * time.Second}, 503, 5 * time.Second},
@@ -189,20 +191,20 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var backends []*backend
-			for range tt.rests {
+			for range tt.backoffs {
 				backends = append(backends, newBackend(t))
 			}
 			g, c := newGate(t, routes(), backends...)
 			began := time.Now()
-			for i, rest := range tt.rests {
-				if rest > 0 {
-					k := pickOf(t, g, fmt.Sprint("i", i))
-					k.BackOff(rest)
+			for i, backoff := range tt.backoffs {
+				if backoff > 0 {
+					k := pickInstance(t, g, fmt.Sprint("i", i))
+					k.BackOff(backoff)
 					k.Done(serverset.BackedOff)
 				}
 			}
 			for range 3 {
-				resp, body, err := ask(t, c, "/safe/", "")
+				resp, body, err := get(t, c, "/safe/", "")
 				if err != nil || resp.StatusCode != tt.status {
 					t.Fatalf("got %v, %v, want %d", resp, err, tt.status)
 				}
@@ -213,13 +215,13 @@
 					t.Errorf("refused with %v %s", resp.Header, body)
 				}
 				after, ok := pushback.ParseSeconds(resp.Header.Get("Retry-After"))
-				if left := tt.soon - time.Since(began); !ok || after < left || after > tt.soon+returnSpread+time.Millisecond {
+				if left := tt.want - time.Since(began); !ok || after < left || after > tt.want+backoffRetrySpread+time.Millisecond {
 					t.Errorf("told to come back after %s, %s are left of the rest", after, left)
 				}
 			}
 			for i, b := range backends {
-				if tt.rests[i] > 0 && len(b.seen()) > 0 {
-					t.Errorf("server %d got %d requests in its backoff", i, len(b.seen()))
+				if tt.backoffs[i] > 0 && len(b.received()) > 0 {
+					t.Errorf("server %d got %d requests in its backoff", i, len(b.received()))
 				}
 			}
 		})
@@ -228,44 +230,44 @@
 
 // A gateway whose servers back off is not asked before they take work again.
 func TestForwardToAGatewayWhoseServersBackOff(t *testing.T) {
-	const rest = 7 * time.Second
+	const backoff = 7 * time.Second
 	tests := []struct {
 		name string
 		// here is the rest of the own region's server, which may not be used below 0.
-		here time.Duration
-		path string
-		soon time.Duration
+		localBackoff time.Duration
+		path         string
+		want         time.Duration
 	}{
-		{"nothing may run here", -1, "/away/", rest},
-		{"servers here rest longer", 9 * time.Second, "/safe/", rest},
+		{"nothing may run here", -1, "/away/", backoff},
+		{"servers here rest longer", 9 * time.Second, "/safe/", backoff},
 		{"servers here rest shorter", 4 * time.Second, "/safe/", 4 * time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			far := newBackend(t, backingOff(rest.Seconds()))
-			there, _ := newGate(t, routes(), far)
-			there.options.Region = "there"
+			far := newBackend(t, backoffAnswer(backoff.Seconds()))
+			remote, _ := newGate(t, routes(), far)
+			remote.options.Region = "there"
 			g, c := newGate(t, routes(), newBackend(t))
-			at := peerConn(t, there).RemoteAddr().String()
+			at := peerConn(t, remote).RemoteAddr().String()
 			g.options.Peers.SetHosts([]wheelgauge.FleetHost{{Name: "far", Region: "there", Peer: at, Ready: true}})
 			g.options.Peers.SetUses([]wheelgauge.RegionUse{{Region: "there", Uses: []wheelgauge.ServiceUse{{Service: "s", Servers: 1, Slots: 4}}}})
-			if tt.here > 0 {
-				k := pickOf(t, g, "i0")
-				k.BackOff(tt.here)
+			if tt.localBackoff > 0 {
+				k := pickInstance(t, g, "i0")
+				k.BackOff(tt.localBackoff)
 				k.Done(serverset.BackedOff)
 			}
 			began := time.Now()
 			for range 3 {
-				resp, _, err := ask(t, c, tt.path, "")
+				resp, _, err := get(t, c, tt.path, "")
 				if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 					t.Fatalf("got %v, %v", resp, err)
 				}
 				after, ok := pushback.ParseSeconds(resp.Header.Get("Retry-After"))
-				if left := tt.soon - time.Since(began); !ok || after < left || after > tt.soon+2*returnSpread {
+				if left := tt.want - time.Since(began); !ok || after < left || after > tt.want+2*backoffRetrySpread {
 					t.Errorf("told to come back after %s, %s are left", after, left)
 				}
 			}
-			if got := len(far.seen()); got != 1 {
+			if got := len(far.received()); got != 1 {
 				t.Errorf("the server there got %d requests, want 1", got)
 			}
 		})
--- a/routegate/relay.go
+++ b/routegate/relay.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// wholeBytes is the largest answer that is read before any of it is sent
+	// maxBufferedBytes is the largest answer that is read before any of it is sent
 	// on, so that one that breaks can still be repeated or refused.
-	wholeBytes = 256 << 10
-	// pieceBytes is read at once of a longer answer or a stream.
-	pieceBytes = 16 << 10
+	maxBufferedBytes = 256 << 10
+	// relayBufferBytes is read at once of a longer answer or a stream.
+	relayBufferBytes = 16 << 10
 )
 
 var errUnsigned = errors.New("a success without the server's signature")
@@ -38,43 +38,43 @@
 		c.cause = fmt.Sprintf("resume answered %d", status)
 		return failed
 	}
-	return c.relayWhole(x)
+	return c.relayBuffered(x)
 }
 
-// relayWhole passes on an answer that is not a stream.
-func (c *call) relayWhole(x *exchange) result {
+// relayBuffered passes on an answer that is not a stream.
+func (c *call) relayBuffered(x *exchange) result {
 	status := x.head.StatusCode()
-	if x.body.Length() > wholeBytes {
-		return c.relayLong(x, nil)
+	if x.body.Length() > maxBufferedBytes {
+		return c.relayUnbuffered(x, nil)
 	}
-	body, err := io.ReadAll(io.LimitReader(x.body, wholeBytes))
+	body, err := io.ReadAll(io.LimitReader(x.body, maxBufferedBytes))
 	if err != nil {
-		x.broken = err
+		x.err = err
 		c.cause = err.Error()
 		return failed
 	}
-	x.first()
-	if len(body) == wholeBytes {
-		return c.relayLong(x, body)
+	x.noteFirstByte()
+	if len(body) == maxBufferedBytes {
+		return c.relayUnbuffered(x, body)
 	}
 	length := len(body)
 	if c.request.Header().IsHead() && x.head.ContentLength() > 0 {
 		length = x.head.ContentLength()
 	}
 	c.status = status
-	c.request.Begin(status, answerFields(x.head), length)
+	c.request.Begin(status, responseFields(x.head), length)
 	if _, err := c.request.Write(body); err != nil {
-		return c.lost(err)
+		return c.endWriteFailed(err)
 	}
 	if err := c.request.End(); err != nil {
-		return c.lost(err)
+		return c.endWriteFailed(err)
 	}
 	return answered
 }
 
-// lost ends a request whose caller does not take the answer.
-func (c *call) lost(err error) result {
-	c.leave()
+// endWriteFailed ends a request whose caller does not take the answer.
+func (c *call) endWriteFailed(err error) result {
+	c.endCallerLeft()
 	c.cause = err.Error()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		c.gate.options.Meter.Count("answers.unread")
@@ -83,31 +83,31 @@
 	return answered
 }
 
-// relayLong passes on a long answer piece by piece; begun holds what was read.
-func (c *call) relayLong(x *exchange, begun []byte) result {
+// relayUnbuffered passes on a long answer piece by piece; begun holds what was read.
+func (c *call) relayUnbuffered(x *exchange, buffered []byte) result {
 	c.status = x.head.StatusCode()
-	c.request.Begin(c.status, answerFields(x.head), max(-1, x.body.Length()))
-	piece := make([]byte, pieceBytes)
+	c.request.Begin(c.status, responseFields(x.head), max(-1, x.body.Length()))
+	buf := make([]byte, relayBufferBytes)
 	for {
-		if _, err := c.request.Write(begun); err != nil {
-			return c.lost(err)
+		if _, err := c.request.Write(buffered); err != nil {
+			return c.endWriteFailed(err)
 		}
-		n, err := x.body.Read(piece)
-		begun = piece[:n]
+		n, err := x.body.Read(buf)
+		buffered = buf[:n]
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
-			x.broken = err
+			x.err = err
 			c.fail(err.Error(), "")
 			return answered
 		}
 	}
-	if _, err := c.request.Write(begun); err != nil {
-		return c.lost(err)
+	if _, err := c.request.Write(buffered); err != nil {
+		return c.endWriteFailed(err)
 	}
 	if err := c.request.End(); err != nil {
-		return c.lost(err)
+		return c.endWriteFailed(err)
 	}
 	return answered
 }
@@ -115,61 +115,61 @@
 // relayStream passes on whole events. A stream that breaks is resumed where
 // its route allows, else cut.
 func (c *call) relayStream(x *exchange) result {
-	piece := make([]byte, pieceBytes)
+	buf := make([]byte, relayBufferBytes)
 	for {
-		n, err := x.body.Read(piece)
-		whole, ok := c.splitter.Feed(piece[:n])
-		if len(whole) > 0 {
-			x.first()
-			if sendErr := c.sendEvents(x, whole); sendErr != nil {
-				return c.lost(sendErr)
+		n, err := x.body.Read(buf)
+		complete, ok := c.splitter.Feed(buf[:n])
+		if len(complete) > 0 {
+			x.noteFirstByte()
+			if sendErr := c.writeEvents(x, complete); sendErr != nil {
+				return c.endWriteFailed(sendErr)
 			}
 		}
 		switch {
 		case errors.Is(err, io.EOF):
 			return c.endStream(x)
 		case err != nil:
-			x.broken = err
-			return c.broken(err)
+			x.err = err
+			return c.endBrokenStream(err)
 		case !ok:
-			return c.broken(errors.New("an event is too long"))
+			return c.endBrokenStream(errors.New("an event is too long"))
 		}
 	}
 }
 
-func (c *call) sendEvents(x *exchange, whole []byte) error {
+func (c *call) writeEvents(x *exchange, complete []byte) error {
 	now := time.Now()
 	if !c.request.Begun() {
 		c.status = x.head.StatusCode()
-		c.request.Begin(http.StatusOK, answerFields(x.head), -1)
-		c.lastAt = now
+		c.request.Begin(http.StatusOK, responseFields(x.head), -1)
+		c.lastEventAt = now
 	}
-	c.pause = max(c.pause, now.Sub(c.lastAt))
-	c.lastAt = now
-	_, err := c.request.Write(whole)
+	c.longestPause = max(c.longestPause, now.Sub(c.lastEventAt))
+	c.lastEventAt = now
+	_, err := c.request.Write(complete)
 	return err
 }
 
 // endStream completes a stream; what follows the last whole event belongs to it.
 func (c *call) endStream(x *exchange) result {
 	if rest := c.splitter.Rest(); len(rest) > 0 || !c.request.Begun() {
-		if err := c.sendEvents(x, rest); err != nil {
-			return c.lost(err)
+		if err := c.writeEvents(x, rest); err != nil {
+			return c.endWriteFailed(err)
 		}
 	}
-	x.first()
+	x.noteFirstByte()
 	if err := c.request.End(); err != nil {
-		return c.lost(err)
+		return c.endWriteFailed(err)
 	}
 	return answered
 }
 
-// broken drops what came of an unfinished event and remembers where to resume.
-func (c *call) broken(err error) result {
+// endBrokenStream drops what came of an unfinished event and remembers where to resume.
+func (c *call) endBrokenStream(err error) result {
 	c.cause = err.Error()
 	c.splitter.Rest()
 	if id := c.splitter.LastID(); id != "" {
-		c.lastEvent = id
+		c.lastEventID = id
 	}
 	return failed
 }
--- a/routegate/arrivals_test.go
+++ b/routegate/retrybudget_test.go
@@ -25,30 +25,30 @@
 // fleet is several hosts before servers that are all full, with a clock of its
 // own.
 type fleet struct {
-	t       *testing.T
-	mu      sync.Mutex
-	at      time.Time
-	servers map[string][]*backend
-	callers []string
-	budget  retrybudget.Options
+	t         *testing.T
+	mu        sync.Mutex
+	current   time.Time
+	servers   map[string][]*backend
+	addresses []string
+	budget    retrybudget.Options
 }
 
 func (f *fleet) now() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.at
+	return f.current
 }
 
-func (f *fleet) pass(d time.Duration) {
+func (f *fleet) advance(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.at = f.at.Add(d)
+	f.current = f.current.Add(d)
 }
 
 // newFleet starts hosts, spread over regions with some full servers each.
 func newFleet(t *testing.T, hosts, regions, servers int, budget retrybudget.Options) *fleet {
 	t.Helper()
-	f := &fleet{t: t, at: time.Now(), servers: map[string][]*backend{}, budget: budget}
+	f := &fleet{t: t, current: time.Now(), servers: map[string][]*backend{}, budget: budget}
 	var gates []*Gate
 	var all []wheelgauge.FleetHost
 	var uses []wheelgauge.RegionUse
@@ -56,7 +56,7 @@
 		region := fmt.Sprint("region-", r)
 		for range servers {
 			b := newBackend(t)
-			b.always = shed
+			b.fallback = notRunAnswer
 			f.servers[region] = append(f.servers[region], b)
 		}
 		uses = append(uses, wheelgauge.RegionUse{Region: region, Uses: []wheelgauge.ServiceUse{{Service: "s", Servers: servers, Slots: 4 * servers}}})
@@ -65,7 +65,7 @@
 		region := fmt.Sprint("region-", n%regions)
 		g := f.gate(fmt.Sprint("host-", n), region)
 		gates = append(gates, g)
-		f.callers = append(f.callers, f.listen(g, g.Serve))
+		f.addresses = append(f.addresses, f.listen(g, g.Serve))
 		all = append(all, wheelgauge.FleetHost{Name: fmt.Sprint("host-", n), Region: region, Peer: f.listen(g, g.ServePeer), Ready: true})
 	}
 	for _, g := range gates {
@@ -119,7 +119,7 @@
 
 // request sends one request to a host and returns the status.
 func (f *fleet) request(host int, path, id string) int {
-	c, err := net.Dial("tcp", f.callers[host])
+	c, err := net.Dial("tcp", f.addresses[host])
 	if err != nil {
 		f.t.Error(err)
 		return 0
@@ -144,7 +144,7 @@
 	ids := map[string]bool{}
 	for _, servers := range f.servers {
 		for _, b := range servers {
-			for _, h := range b.seen() {
+			for _, h := range b.received() {
 				all++
 				ids[h.Get("X-Request-Id")] = true
 			}
@@ -157,12 +157,12 @@
 // and most of these sends were not counted as repeats: a host counts the sends
 // of its own, and one that forwarded a request, and got it back as not run, had
 // sent nothing itself. All hosts together went over the bound on repeats.
-func TestArrivalsOverAllHosts(t *testing.T) {
+func TestRetryBudgetOverAllHosts(t *testing.T) {
 	const (
-		rounds  = 60                     // within one window
-		pause   = 150 * time.Millisecond // between rounds: a server that was full is tried again
-		perHost = 2                      // requests at each host in a round
-		servers = 3                      // full ones in each region
+		rounds        = 60                     // within one window
+		roundInterval = 150 * time.Millisecond // between rounds: a server that was full is tried again
+		perHost       = 2                      // requests at each host in a round
+		servers       = 3                      // full ones in each region
 	)
 	tests := []struct {
 		name    string
@@ -197,13 +197,13 @@
 					}
 				}
 				group.Wait()
-				f.pass(pause)
+				f.advance(roundInterval)
 			}
 			all, requests := f.arrivals()
-			most := o.Ratio*float64(sent) + o.Slack
+			limit := o.Ratio*float64(sent) + o.Slack
 			t.Logf("%d requests, %d arrivals of %d of them", sent, all, requests)
-			if float64(all-requests) > most {
-				t.Errorf("%d arrivals beyond the first of their request, want %.0f at most", all-requests, most)
+			if float64(all-requests) > limit {
+				t.Errorf("%d arrivals beyond the first of their request, want %.0f at most", all-requests, limit)
 			}
 		})
 	}
--- a/routegate/turns_test.go
+++ b/routegate/retryschedule_test.go
@@ -7,7 +7,7 @@
 
 // Callers that are refused come back as fast as permits come, and none later than it can
 // wait.
-func TestTurns(t *testing.T) {
+func TestRetrySchedule(t *testing.T) {
 	const latest = 2500 * time.Millisecond
 	tests := []struct {
 		name string
@@ -15,7 +15,7 @@
 		permits int
 		refused int
 		// within counts those who come back within a second.
-		within int
+		wantWithin int
 	}{
 		{"few callers", 8, 4, 4},
 		{"many callers", 8, 100, 8},
@@ -25,7 +25,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			var ts turns
+			var ts retrySchedules
 			for range 10 * tt.permits {
 				now = now.Add(time.Second / time.Duration(tt.permits))
 				ts.served("s", now)
@@ -40,8 +40,8 @@
 					within++
 				}
 			}
-			if within < tt.within || within > tt.within+1 {
-				t.Errorf("%d come back within a second, want %d", within, tt.within)
+			if within < tt.wantWithin || within > tt.wantWithin+1 {
+				t.Errorf("%d come back within a second, want %d", within, tt.wantWithin)
 			}
 		})
 	}
--- a/routegate/slow_test.go
+++ b/routegate/slowreader_test.go
@@ -17,18 +17,18 @@
 	"wheelgauge/callerhttp"
 )
 
-// flood is a stream that never ends.
-type flood struct {
+// endlessStream is a stream that never ends.
+type endlessStream struct {
 	sent  atomic.Int64
 	ended chan error
 }
 
-func (f *flood) serve(c net.Conn) {
+func (f *endlessStream) serve(c net.Conn) {
 	defer c.Close()
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		return
 	}
-	_, _ = c.Write([]byte(events))
+	_, _ = c.Write([]byte(streamHead))
 	for n := 0; ; n++ {
 		event := fmt.Sprintf("id: %d\ndata: %s\n\n", n, strings.Repeat("x", 4000))
 		sent, err := c.Write([]byte(chunk(event)))
@@ -42,7 +42,7 @@
 
 // A caller that takes nothing of a stream is cut off, while others are served.
 func TestCallerThatDoesNotRead(t *testing.T) {
-	f := &flood{ended: make(chan error, 1)}
+	f := &endlessStream{ended: make(chan error, 1)}
 	slow := &backend{conn: listen(t, f.serve)}
 	g, quick := newGate(t, routes(), slow)
 	s, err := callerhttp.Listen("127.0.0.1:0", callerhttp.Options{Limits: g.Limits, Serve: g.Serve, Conns: 8, Unread: 300 * time.Millisecond})
@@ -58,7 +58,7 @@
 	if _, err := fmt.Fprint(c, "GET /stream/ HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	if resp, _, err := ask(t, quick, "/none/", ""); err != nil || resp.StatusCode != http.StatusNotFound {
+	if resp, _, err := get(t, quick, "/none/", ""); err != nil || resp.StatusCode != http.StatusNotFound {
 		t.Errorf("another caller got %v, %v", resp, err)
 	}
 	select {
@@ -66,12 +66,12 @@
 	case <-time.After(testLimit):
 		t.Fatal("the server is still held up")
 	}
-	for end := time.Now().Add(testLimit); counted(t, g, "answers.unread") == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testLimit); counterValue(t, g, "answers.unread") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("it is not counted")
 		}
 	}
-	if got := counted(t, g, "requests.ok"); got != 0 {
+	if got := counterValue(t, g, "requests.ok"); got != 0 {
 		t.Errorf("%d requests count as served", got)
 	}
 	// What is on the way is in the buffers of two connections.
@@ -80,8 +80,8 @@
 	}
 }
 
-// counted reads one of the gate's counters.
-func counted(t *testing.T, g *Gate, name string) int {
+// counterValue reads one of the gate's counters.
+func counterValue(t *testing.T, g *Gate, name string) int {
 	t.Helper()
 	var out bytes.Buffer
 	g.options.Meter.WriteJSON(&out)
@@ -103,27 +103,27 @@
 
 // Streams that nobody reads hold no more memory than connections are counted by.
 func TestMemoryOfSlowReaders(t *testing.T) {
-	f := &flood{ended: make(chan error, 2*slowStreams)}
+	f := &endlessStream{ended: make(chan error, 2*slowStreams)}
 	server := &backend{conn: listen(t, f.serve)}
 	g, _ := newGate(t, routes(), server)
 	s, err := callerhttp.Listen("127.0.0.1:0", callerhttp.Options{Limits: g.Limits, Serve: g.Serve, Conns: slowStreams, Unread: slowLimit})
 	if err != nil {
 		t.Fatal(err)
 	}
-	alone := f.held(t, server.conn.Addr().String())
-	held := f.held(t, s.Address()) - alone
-	t.Logf("%d kB a stream, and %d kB of the stand-in", held>>10, alone>>10)
-	if held > wheelgauge.SlowConnBytes {
-		t.Errorf("a stream that nobody reads holds %d bytes, want %d at most", held, wheelgauge.SlowConnBytes)
+	baseline := f.memoryPerStream(t, server.conn.Addr().String())
+	perStream := f.memoryPerStream(t, s.Address()) - baseline
+	t.Logf("%d kB a stream, and %d kB of the stand-in", perStream>>10, baseline>>10)
+	if perStream > wheelgauge.SlowConnBytes {
+		t.Errorf("a stream that nobody reads holds %d bytes, want %d at most", perStream, wheelgauge.SlowConnBytes)
 	}
 	_ = s.Close(t.Context())
 }
 
-// held asks an address for streams, reads none, and returns the memory that each holds when
+// memoryPerStream asks an address for streams, reads none, and returns the memory that each holds when
 // all are held up.
-func (f *flood) held(t *testing.T, address string) int {
+func (f *endlessStream) memoryPerStream(t *testing.T, address string) int {
 	t.Helper()
-	before, from := settled(t), f.sent.Load()
+	before, from := settledMemory(t), f.sent.Load()
 	for range slowStreams {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
@@ -141,18 +141,18 @@
 		}
 		sent, last = last, f.sent.Load()
 	}
-	return int(inUse()-before) / slowStreams
+	return int(memoryInUse()-before) / slowStreams
 }
 
-// settled returns the memory in use once it falls no more: what earlier tests held goes first.
-func settled(t *testing.T) uint64 {
+// settledMemory returns the memory in use once it falls no more: what earlier tests held goes first.
+func settledMemory(t *testing.T) uint64 {
 	t.Helper()
-	const still = 64 << 10
-	last := inUse()
+	const tolerance = 64 << 10
+	last := memoryInUse()
 	for until := time.Now().Add(slowLimit); time.Now().Before(until); {
 		time.Sleep(100 * time.Millisecond)
-		now := inUse()
-		if now+still >= last {
+		now := memoryInUse()
+		if now+tolerance >= last {
 			return now
 		}
 		last = now
@@ -161,8 +161,8 @@
 	return 0
 }
 
-// inUse returns the memory in use, in bytes.
-func inUse() uint64 {
+// memoryInUse returns the memory in use, in bytes.
+func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/routegate/suspend_test.go
+++ b/routegate/suspend_test.go
@@ -14,27 +14,27 @@
 	"wheelgauge/fake/fakeclock"
 )
 
-// nap suspends the host while it draws units of a cap, as once a request was judged and
+// suspendingLimiter suspends the host while it draws units of a cap, as once a request was judged and
 // before it is sent.
-type nap struct {
-	limiter
-	clock *fakeclock.Clock
-	by    time.Duration
+type suspendingLimiter struct {
+	fakeLimiter
+	clock    *fakeclock.Clock
+	duration time.Duration
 }
 
-func (n *nap) Take(ctx context.Context, w *wheelgauge.Workspace, units float64) *wheelgauge.Error {
-	n.clock.Suspend(n.by)
-	return n.limiter.Take(ctx, w, units)
+func (n *suspendingLimiter) Take(ctx context.Context, w *wheelgauge.Workspace, units float64) *wheelgauge.Error {
+	n.clock.Suspend(n.duration)
+	return n.fakeLimiter.Take(ctx, w, units)
 }
 
 // A request whose caller's time has gone by while the host was suspended is not sent: it
 // was, with the time that it had before, to a server that worked for nobody.
-func TestSuspendedBetweenJudgingAndSending(t *testing.T) {
+func TestSuspendedBeforeSending(t *testing.T) {
 	tests := []struct {
-		name   string
-		by     time.Duration
-		status int
-		sent   int
+		name    string
+		suspend time.Duration
+		status  int
+		sent    int
 	}{
 		{"not at all", 0, http.StatusOK, 1},
 		{"for less than it has", 3 * time.Second, http.StatusOK, 1},
@@ -47,20 +47,20 @@
 			g, c := newGate(t, routes(), b)
 			clock := &fakeclock.Clock{}
 			g.options.Clock = clock
-			withCaps(g, &nap{limiter: limiter{left: 9}, clock: clock, by: tt.by})
-			resp, _, err := ask(t, c, "/safe/", "Wheelgauge-Key: capped-key\r\nWheelgauge-Deadline-Ms: 5000\r\n")
+			withCaps(g, &suspendingLimiter{fakeLimiter: fakeLimiter{remaining: 9}, clock: clock, duration: tt.suspend})
+			resp, _, err := get(t, c, "/safe/", "Wheelgauge-Key: capped-key\r\nWheelgauge-Deadline-Ms: 5000\r\n")
 			if err != nil {
 				t.Fatal(err)
 			}
-			if resp.StatusCode != tt.status || len(b.seen()) != tt.sent {
-				t.Errorf("answered %d, sent %d times", resp.StatusCode, len(b.seen()))
+			if resp.StatusCode != tt.status || len(b.received()) != tt.sent {
+				t.Errorf("answered %d, sent %d times", resp.StatusCode, len(b.received()))
 			}
 			if tt.sent == 0 {
 				return
 			}
-			left := b.seen()[0].Get(wheelgauge.HeaderDeadline)
-			if most := (5*time.Second - tt.by).Milliseconds(); len(left) == 0 || atoi(t, left) > most {
-				t.Errorf("the server has %s ms, %d are left", left, most)
+			left := b.received()[0].Get(wheelgauge.HeaderDeadline)
+			if limit := (5*time.Second - tt.suspend).Milliseconds(); len(left) == 0 || atoi(t, left) > limit {
+				t.Errorf("the server has %s ms, %d are left", left, limit)
 			}
 		})
 	}
@@ -68,7 +68,7 @@
 
 // A host that wakes does not know its configuration to be the newest: it sends callers with
 // unknown keys on, where it said 401, which they don't come back after.
-func TestKeysAfterWaking(t *testing.T) {
+func TestKeysAfterSuspend(t *testing.T) {
 	g, c := newGate(t, routes(), newBackend(t))
 	clock := &fakeclock.Clock{}
 	g.options.Clock = clock
@@ -83,7 +83,7 @@
 	}
 	for _, s := range steps {
 		clock.Suspend(s.suspend)
-		resp, _, err := ask(t, c, "/safe/", "Wheelgauge-Key: new-key\r\n")
+		resp, _, err := get(t, c, "/safe/", "Wheelgauge-Key: new-key\r\n")
 		if err != nil || resp.StatusCode != s.status {
 			t.Errorf("after %s: %v, %v, want %d", s.suspend, resp, err, s.status)
 		}
@@ -101,7 +101,7 @@
 
 // A request in flight whose time went by while the host was suspended is ended when it
 // wakes, and its server's side closed; one that has time left goes on.
-func TestWaking(t *testing.T) {
+func TestWakeEndsExpiredRequests(t *testing.T) {
 	tests := []struct {
 		name    string
 		suspend time.Duration
@@ -113,14 +113,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			asked, answer, closed := make(chan struct{}), make(chan struct{}), make(chan struct{})
+			received, answer, closed := make(chan struct{}), make(chan struct{}), make(chan struct{})
 			b := &backend{conn: listen(t, func(c net.Conn) {
 				defer c.Close()
 				in := bufio.NewReader(c)
 				if _, err := http.ReadRequest(in); err != nil {
 					return
 				}
-				close(asked)
+				close(received)
 				go func() {
 					_, _ = in.ReadByte()
 					close(closed)
@@ -137,7 +137,7 @@
 			g.options.Clock = clock
 			got := make(chan int, 1)
 			go func() {
-				resp, _, err := ask(t, c, "/once/", "Wheelgauge-Deadline-Ms: 5000\r\n")
+				resp, _, err := get(t, c, "/once/", "Wheelgauge-Deadline-Ms: 5000\r\n")
 				if err != nil {
 					t.Error(err)
 					got <- 0
@@ -145,7 +145,7 @@
 				}
 				got <- resp.StatusCode
 			}()
-			<-asked
+			<-received
 			clock.Suspend(tt.suspend)
 			if ended := g.Wake(); ended != tt.ended {
 				t.Errorf("%d are ended, want %d", ended, tt.ended)
--- a/routegate/waits_test.go
+++ b/routegate/waitstats_test.go
@@ -6,13 +6,13 @@
 )
 
 func TestWaitsCorrectPredictions(t *testing.T) {
-	var w waits
+	var w waitStats
 	if got := w.correct("r", time.Second); got != time.Second {
 		t.Errorf("nothing seen: %s", got)
 	}
 	for range 200 {
-		w.note("r", 100*time.Millisecond, 800*time.Millisecond)
-		w.note("exact", 800*time.Millisecond, 100*time.Millisecond)
+		w.observe("r", 100*time.Millisecond, 800*time.Millisecond)
+		w.observe("exact", 800*time.Millisecond, 100*time.Millisecond)
 	}
 	if got := w.correct("r", 100*time.Millisecond); got < 500*time.Millisecond || got > 600*time.Millisecond {
 		t.Errorf("seen eight times as long: %s", got)
@@ -27,11 +27,11 @@
 
 // What requests take longer than predicted everywhere is no reason to send them
 // away; only what goes beyond it is a queue of this region's.
-func TestExcessOfWaits(t *testing.T) {
+func TestWaitExcess(t *testing.T) {
 	tests := []struct {
 		name      string
 		predicted time.Duration
-		seen      time.Duration
+		observed  time.Duration
 		want      time.Duration
 	}{
 		{"as at an idle server", 100 * time.Millisecond, 150 * time.Millisecond, 0},
@@ -40,12 +40,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var w waits
+			var w waitStats
 			if got := w.excess("r"); got != 0 {
 				t.Errorf("nothing seen: %s", got)
 			}
 			for range 200 {
-				w.note("r", tt.predicted, tt.seen)
+				w.observe("r", tt.predicted, tt.observed)
 			}
 			if got := w.excess("r"); got.Round(5*time.Millisecond) != tt.want {
 				t.Errorf("excess %s, want %s", got, tt.want)
--- a/routegate/workspace_test.go
+++ b/routegate/workspace_test.go
@@ -40,10 +40,10 @@
 		path    string
 		headers string
 		// unsure is set when the host does not know its configuration to be the newest.
-		unsure    bool
-		status    int
-		workspace string // what the server is told
-		priority  string
+		staleConfig bool
+		status      int
+		workspace   string // what the server is told
+		priority    string
 	}{
 		{"a key", "/safe/", key + "desk-key-1", false, 200, "desk", "3"},
 		{"another key of it", "/once/", key + "desk-key-2", false, 200, "desk", "2"},
@@ -70,14 +70,14 @@
 			b := newBackend(t)
 			g, c := newGate(t, routes(), b)
 			withWorkspaces(g)
-			if !tt.unsure {
+			if !tt.staleConfig {
 				g.Confirm()
 			}
 			headers := tt.headers
 			if headers != "" {
 				headers += "\r\n"
 			}
-			resp, body, err := ask(t, c, tt.path, headers)
+			resp, body, err := get(t, c, tt.path, headers)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -85,15 +85,15 @@
 				t.Fatalf("got %d %s, want %d", resp.StatusCode, body, tt.status)
 			}
 			if tt.status != 200 {
-				if len(b.seen()) > 0 || resp.Header.Get(wheelgauge.HeaderOutcome) != string(wheelgauge.OutcomeNotRun) {
-					t.Errorf("refused, and %d servers got it", len(b.seen()))
+				if len(b.received()) > 0 || resp.Header.Get(wheelgauge.HeaderOutcome) != string(wheelgauge.OutcomeNotRun) {
+					t.Errorf("refused, and %d servers got it", len(b.received()))
 				}
 				if tt.status == 503 && resp.Header.Get("Retry-After") == "" {
 					t.Error("a caller who may come back is not told when")
 				}
 				return
 			}
-			h := b.seen()[0]
+			h := b.received()[0]
 			if h.Get(wheelgauge.HeaderWorkspace) != tt.workspace || h.Get("Wheelgauge-Priority") != tt.priority {
 				t.Errorf("the server was told workspace %q, priority %s", h.Get(wheelgauge.HeaderWorkspace), h.Get("Wheelgauge-Priority"))
 			}
@@ -125,15 +125,15 @@
 			if tt.workspace != "" {
 				headers += "Wheelgauge-Workspace: " + tt.workspace + "\r\n"
 			}
-			resp, body, err := ask(t, peerConn(t, g), "/safe/", headers)
+			resp, body, err := get(t, peerConn(t, g), "/safe/", headers)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if resp.StatusCode != tt.status {
 				t.Fatalf("got %d %s, want %d", resp.StatusCode, body, tt.status)
 			}
-			if tt.status == 200 && b.seen()[0].Get(wheelgauge.HeaderWorkspace) != tt.workspace {
-				t.Errorf("the server was told %q", b.seen()[0].Get(wheelgauge.HeaderWorkspace))
+			if tt.status == 200 && b.received()[0].Get(wheelgauge.HeaderWorkspace) != tt.workspace {
+				t.Errorf("the server was told %q", b.received()[0].Get(wheelgauge.HeaderWorkspace))
 			}
 		})
 	}
