--- a/routegate/bench_test.go
+++ b/routegate/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// serveFixedAnswer answers every request without a look at it, and allocates nothing.
+// serveFixedAnswer answers every request the same without parsing it, and allocates nothing.
 func serveFixedAnswer(c net.Conn) {
 	defer c.Close()
 	buf := make([]byte, 16<<10)
@@ -22,7 +22,7 @@
 	}
 }
 
-// readUntil reads what ends with some bytes, and returns it.
+// readUntil reads until the data ends with the given bytes, and returns the data.
 func readUntil(c io.Reader, buf []byte, end string) ([]byte, error) {
 	for n := 0; ; {
 		m, err := c.Read(buf[n:])
@@ -36,9 +36,9 @@
 	}
 }
 
-// BenchmarkServe measures the path of a request from the caller's first byte to the last
-// on kept connections, with key and cap: 36 to 44 us and 75 allocations, a third of the
-// time in system calls, an eighth in allocating.
+// BenchmarkServe measures a request from the first byte of the caller to the last byte of the
+// answer, on kept connections, with key and cap: 36 to 44 us and 75 allocations, a third of
+// the time in system calls, an eighth in allocating.
 func BenchmarkServe(b *testing.B) {
 	g, c := newGate(b, routes(), &backend{conn: listen(b, serveFixedAnswer)})
 	withCaps(g, &fakeLimiter{remaining: b.N + 1})
--- a/routegate/call.go
+++ b/routegate/call.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	// maxSends bounds the dispatches of one request, those that servers did
-	// not run included.
+	// maxSends bounds the dispatches of one request, including those that servers did not run.
 	maxSends = 3
-	// successLogInterval: one success in so many is logged; failures always are.
+	// successLogInterval is the sampling of successful requests in the log: one in this many.
+	// Failures are always logged.
 	successLogInterval = 64
 )
 
-// result is how one dispatch ended.
+// result is the outcome of one dispatch.
 type result int
 
 const (
-	// answered: the caller has its answer, or its connection is cut.
+	// answered: the caller has its answer, or its connection is closed.
 	answered result = iota
-	// notSent: no byte left for a server.
+	// notSent: no byte was sent to a server.
 	notSent
-	// notRun: a server or gateway said that it did not run the request.
+	// notRun: a server or gateway reported that it did not run the request.
 	notRun
 	// failed: the request may have run, and the caller has no answer yet.
 	failed
-	// retry: the request ran and failed, and its repeat is paid for.
+	// retry: the request ran and failed, and its retry is taken from the budget.
 	retry
 )
 
-// call is one request on its way through the gate.
+// call is one request in progress.
 type call struct {
 	gate    *Gate
 	request *callerhttp.Request
 	route   *wheelgauge.PathRoute
 	// workspace is nil for a request without one.
 	workspace *wheelgauge.Workspace
-	// rank orders the request in engines, 0 first.
+	// rank is the priority of the request in engines, 0 first.
 	rank        int
 	service     string
 	id          string
@@ -53,26 +53,27 @@
 	lastEventID string
 	forwarded   bool
 	started     time.Time
-	// deadline is when the request's time is over if the host was not suspended since it
-	// came, asleep for how long the host was by then; see due.
+	// deadline is when the request expires if the host is not suspended after its arrival;
+	// suspendedBefore is how long the host had been suspended by then. See connDeadline.
 	deadline        time.Time
 	suspendedBefore time.Duration
 	version         uint64
 	splitter        eventstream.Splitter
-	// print is the request's fingerprint once it was asked for.
+	// cachedFingerprint is set by the first call of fingerprint.
 	cachedFingerprint wheelgauge.Fingerprint
 
-	// drawn are units of the workspace's cap that were drawn and not used yet.
+	// capUnits are units taken from the cap of the workspace and not used yet.
 	capUnits float64
-	// capWait is how long drawing them took.
+	// capWait is the time spent on taking cap units.
 	capWait time.Duration
-	// permitWait is how long asking for permits took.
+	// permitWait is the time spent on waiting for permits.
 	permitWait time.Duration
 
-	// versions may get the request; freeVersions ends that choice.
+	// versionChoice holds the versions that may get the request; releaseChoice ends that
+	// choice.
 	versionChoice wheelgauge.VersionChoice
 	releaseChoice func()
-	// sentTo is the version of the last server that the request was sent to.
+	// sentVersion is the version of the last server that the request was sent to.
 	sentVersion string
 
 	triedServers []string
@@ -81,11 +82,12 @@
 	runs         int
 	status       int
 	cause        string
-	// pick is the last server chosen, for the log.
+	// lastPick is the last server chosen, for the log.
 	lastPick      *serverset.Pick
 	predictedWait time.Duration
 	firstAfter    time.Duration
-	// lastAt is when the last events came, pause the longest time between two.
+	// lastEventAt is when the last events arrived, longestPause the longest gap between two
+	// arrivals.
 	lastEventAt  time.Time
 	longestPause time.Duration
 	callerLeft   bool
@@ -112,7 +114,7 @@
 			return
 		}
 		if c.expired() {
-			continue // drawing took all that was left
+			continue // taking cap units used up the remaining time
 		}
 		if firstDispatch && !c.forwarded {
 			c.gate.options.Budget.First(c.service)
@@ -149,14 +151,14 @@
 	}
 }
 
-// mayRetry tells whether a request that may have run may run again, and pays
-// for it. A forwarded request is repeated by the host it came to only, which
-// alone knows on how many servers it ran.
+// mayRetry reports whether a request that may have run may run again, and takes the retry from
+// the budget. A forwarded request is retried only by the host that the caller connected to, as
+// no other knows on how many servers it ran.
 func (c *call) mayRetry() bool {
 	return !c.forwarded && c.route.Repeatable() && c.runs < c.route.Attempts && c.sends < maxSends && c.gate.options.Budget.Repeat(c.service)
 }
 
-// dispatch sends the request once, where the least wait is predicted.
+// dispatch sends the request once, to where the shortest wait is predicted.
 func (c *call) dispatch(ctx context.Context) result {
 	p := c.placeForVersion(ctx)
 	defer c.releaseVersions()
@@ -182,7 +184,7 @@
 	return answered
 }
 
-// fail gives the request up and answers at once.
+// fail ends the request with an error, or closes the connection if the answer has begun.
 func (c *call) fail(cause, detail string) {
 	c.cause = cause
 	if c.request.Begun() {
@@ -204,15 +206,15 @@
 	}
 }
 
-// overloadRetryDivisor of what is left to a refused caller passes before it comes back:
-// later, where it can wait, the crowd has thinned out more.
+// A refused caller returns after its remaining time divided by overloadRetryDivisor, at most
+// after maxOverloadRetryAfter: the later it can return, the fewer other callers it competes with.
 const (
 	overloadRetryDivisor  = 4
 	maxOverloadRetryAfter = 3 * time.Second
 )
 
-// overloadRetryAfter says when a refused caller should try again: when limits of servers allow
-// something again, if it is by them.
+// overloadRetryAfter returns when a refused caller should retry. If server limits caused the
+// refusal, that is when they allow requests again.
 func (c *call) overloadRetryAfter() time.Duration {
 	latest := min(maxOverloadRetryAfter, max(minOverloadRetryAfter, time.Until(c.connDeadline())/overloadRetryDivisor))
 	earliest, limited := c.gate.options.Servers.Soonest(c.job())
@@ -222,8 +224,8 @@
 	return max(minOverloadRetryAfter, c.gate.limitRetries.next(c.service, c.gate.options.Clock.Now(), earliest, latest))
 }
 
-// refuse answers with an error. Units that were not used are given back first: the caller
-// may be back as soon as it has read the answer.
+// refuse answers with an error. Unused cap units are returned first, as the caller may retry
+// as soon as it has read the answer.
 func (c *call) refuse(e *wheelgauge.Error) {
 	c.returnCapUnits()
 	c.status = e.Status()
@@ -236,14 +238,14 @@
 	c.request.Refuse(e.WithRequestID(c.id))
 }
 
-// endCallerLeft ends a request whose caller has left.
+// endCallerLeft ends a request whose caller disconnected.
 func (c *call) endCallerLeft() {
 	c.callerLeft = true
 	c.cause = "caller left"
 	c.request.Cut()
 }
 
-// close writes what came of the request.
+// close returns unused cap units, and records and logs the result of the request.
 func (c *call) close() {
 	c.returnCapUnits()
 	g := c.gate
@@ -278,7 +280,8 @@
 		"events", c.splitter.Events(), "pause_ms", c.longestPause.Milliseconds(), "expected_tokens", c.prompt.Output(), "load", c.placementInputs())
 }
 
-// placementInputs are what the last choice of a server was made by; empty without one.
+// placementInputs renders the load figures behind the last choice of a server; empty without
+// one.
 func (c *call) placementInputs() string {
 	if c.lastPick == nil {
 		return ""
--- a/routegate/caps.go
+++ b/routegate/caps.go
@@ -7,9 +7,9 @@
 	"wheelgauge"
 )
 
-// takeCapUnits draws units of the workspace's cap for the next dispatch, unless those drawn for
-// an earlier one were not used. A forwarded request is counted by the host that the
-// caller came to.
+// takeCapUnits takes units of the workspace cap for the next dispatch, unless those of an
+// earlier dispatch are unused. A forwarded request is counted by the host that the caller
+// connected to.
 func (c *call) takeCapUnits(ctx context.Context) *wheelgauge.Error {
 	caps := c.gate.options.Caps
 	if caps == nil || c.forwarded || c.capUnits > 0 || c.workspace == nil || !c.workspace.Cap.Bounds() {
@@ -27,7 +27,7 @@
 	return apiErr
 }
 
-// endOverCap ends a request that may not be sent, or not once more.
+// endOverCap ends a request whose dispatch or retry the cap does not allow.
 func (c *call) endOverCap(ctx context.Context, apiErr *wheelgauge.Error) {
 	switch {
 	case ctx.Err() != nil:
@@ -39,7 +39,7 @@
 	}
 }
 
-// returnCapUnits returns units that were drawn for a request that was not run.
+// returnCapUnits returns units that were taken for a request that did not run.
 func (c *call) returnCapUnits() {
 	if c.capUnits > 0 {
 		c.gate.options.Caps.Return(c.workspace, c.capUnits)
--- a/routegate/caps_test.go
+++ b/routegate/caps_test.go
@@ -11,11 +11,11 @@
 	"wheelgauge/routetable"
 )
 
-// fakeLimiter lets through so many requests, and notes what is drawn and given back.
+// fakeLimiter allows a number of requests, and sums the units taken and returned.
 type fakeLimiter struct {
 	mu        sync.Mutex
 	remaining int
-	blocks    bool // no store answers: it waits for the request's own end
+	blocks    bool // no store answers: Take waits until the context ends
 	taken     float64
 	returned  float64
 }
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// returnPause lets an answer that doesn't wait for units to be given back overtake them.
+// returnPause lets an answer that does not wait for Return arrive before it.
 const returnPause = 20 * time.Millisecond
 
 func (l *fakeLimiter) Return(_ *wheelgauge.Workspace, units float64) {
@@ -45,8 +45,8 @@
 	l.returned += units
 }
 
-// What a request draws of its workspace's cap, and what it has given back by the time its
-// caller reads the answer: a caller that asks again at once finds the units there.
+// Checks which units a request takes from the cap of its workspace, and which are returned by
+// the time the caller reads the answer: a caller that retries at once must find them there.
 func TestCapUnits(t *testing.T) {
 	const headers = "Wheelgauge-Key: capped-key\r\nWheelgauge-Tokens: 900,100\r\n"
 	tests := []struct {
@@ -60,14 +60,14 @@
 		returned  float64
 	}{
 		{"served", "/safe/", headers, 9, nil, 200, 1000, 0},
-		{"tells no tokens", "/safe/", "Wheelgauge-Key: capped-key\r\n", 9, nil, 200, 70, 0},
+		{"without a token count", "/safe/", "Wheelgauge-Key: capped-key\r\n", 9, nil, 200, 70, 0},
 		{"no cap", "/safe/", "Wheelgauge-Key: free-key\r\n", 0, nil, 200, 0, 0},
-		{"beyond the cap", "/safe/", headers, 0, nil, 429, 0, 0},
-		{"what did not run goes on with the same units", "/safe/", headers, 1, []string{notRunAnswer}, 200, 1000, 0},
-		{"nobody ran it", "/once/", headers, 9, []string{notRunAnswer, notRunAnswer, notRunAnswer}, 503, 1000, 1000},
-		{"a repeat is drawn anew", "/safe/", headers, 9, []string{failureAnswer}, 200, 2000, 0},
-		{"the cap allows no repeat", "/safe/", headers, 1, []string{malformedAnswer}, 502, 1000, 0},
-		{"nowhere to run", "/away/", headers, 9, nil, 503, 1000, 1000},
+		{"over the cap", "/safe/", headers, 0, nil, 429, 0, 0},
+		{"a request that did not run keeps its units", "/safe/", headers, 1, []string{notRunAnswer}, 200, 1000, 0},
+		{"no server ran it", "/once/", headers, 9, []string{notRunAnswer, notRunAnswer, notRunAnswer}, 503, 1000, 1000},
+		{"a retry takes units again", "/safe/", headers, 9, []string{failureAnswer}, 200, 2000, 0},
+		{"the cap allows no retry", "/safe/", headers, 1, []string{malformedAnswer}, 502, 1000, 0},
+		{"no server may run it", "/away/", headers, 9, nil, 503, 1000, 1000},
 		{"no route", "/none/", headers, 9, nil, 404, 0, 0},
 		{"no key", "/safe/", "", 9, nil, 401, 0, 0},
 	}
@@ -84,16 +84,16 @@
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			if resp.StatusCode != tt.status || l.taken != tt.taken || l.returned != tt.returned {
-				t.Errorf("got %d, drew %.0f and gave back %.0f, want %d, %.0f, %.0f", resp.StatusCode, l.taken, l.returned, tt.status, tt.taken, tt.returned)
+				t.Errorf("got %d, took %.0f and returned %.0f, want %d, %.0f, %.0f", resp.StatusCode, l.taken, l.returned, tt.status, tt.taken, tt.returned)
 			}
 			if tt.status == http.StatusTooManyRequests && (resp.Header.Get("Retry-After") != "1.500" || len(b.received()) > 0) {
-				t.Errorf("refused with Retry-After %q, %d servers got it", resp.Header.Get("Retry-After"), len(b.received()))
+				t.Errorf("refused with Retry-After %q and sent to %d servers, want 1.500 and none", resp.Header.Get("Retry-After"), len(b.received()))
 			}
 		})
 	}
 }
 
-// withCaps puts workspaces in force, one with a cap that l holds.
+// withCaps applies a configuration with workspaces, one of them with a cap enforced by l.
 func withCaps(g *Gate, l wheelgauge.CapLimiter) {
 	g.options.Caps = l
 	g.SetTable(routetable.New(&wheelgauge.RouteSet{
@@ -106,7 +106,7 @@
 	g.Confirm()
 }
 
-// A request whose units no store grants in time is answered when its time is over.
+// A request whose units no store grants in time is answered at its deadline.
 func TestCapWaitEndsAtDeadline(t *testing.T) {
 	b := newBackend(t)
 	g, c := newGate(t, routes(), b)
@@ -116,6 +116,6 @@
 		t.Fatal(err)
 	}
 	if resp.StatusCode != http.StatusServiceUnavailable || len(b.received()) > 0 {
-		t.Errorf("got %d, %d servers got it", resp.StatusCode, len(b.received()))
+		t.Errorf("got %d, sent to %d servers, want 503 and none", resp.StatusCode, len(b.received()))
 	}
 }
--- a/routegate/crash.go
+++ b/routegate/crash.go
@@ -12,11 +12,12 @@
 	"wheelgauge/serverset"
 )
 
-// minLoggedCrashes is how many servers must have ended under a request before each is logged:
-// some tens are in flight at each, and all but one only stand beside it.
+// minLoggedCrashes is how many servers must have crashed with a request in flight before each
+// crash is logged: some tens of requests are in flight at each server, and all but one are
+// unrelated to the crash.
 const minLoggedCrashes = 2
 
-// fingerprint tells what the request asks, the same for all its tries at all hosts.
+// fingerprint identifies the content of the request, the same for all attempts at all hosts.
 func (c *call) fingerprint() wheelgauge.Fingerprint {
 	if c.cachedFingerprint == "" {
 		h := c.request.Header()
@@ -25,13 +26,13 @@
 	return c.cachedFingerprint
 }
 
-// quarantined tells whether the request is held back: it ended all servers that began to run
-// it, and would go on to end one after another.
+// quarantined reports whether the request is quarantined: every server that began to run it
+// crashed, and further servers would too.
 func (c *call) quarantined() bool {
 	return c.gate.options.Quarantine.Holds(len(c.request.Body()), c.fingerprint)
 }
 
-// refuseQuarantined answers a request that is held back, at once.
+// refuseQuarantined refuses a quarantined request at once.
 func (c *call) refuseQuarantined() {
 	c.gate.options.Meter.Count("requests.held")
 	apiErr := quarantine.Refusal()
@@ -43,12 +44,12 @@
 	c.refuse(apiErr)
 }
 
-// recordSuccess notes that the request ran to a good end. A failure says nothing: a server that
-// fails part of its requests may have failed this one before it began to run it.
+// recordSuccess records that the request ran to completion. A failure proves nothing: a server
+// that fails some requests may have failed this one before it began to run it.
 func (c *call) recordSuccess() { c.gate.options.Quarantine.Ran(len(c.request.Body()), c.fingerprint) }
 
-// attributeCrash notes that the server ended with the request in flight, if it did: a server
-// that takes a new connection only broke this one off.
+// attributeCrash records a crash of the server with the request in flight. A server that
+// accepts a new connection did not crash, it only closed this one.
 func (c *call) attributeCrash(ctx context.Context, x *exchange, s *serverset.Server) {
 	if ctx.Err() != nil || !closedByServer(x.err) {
 		return
@@ -65,8 +66,8 @@
 	}
 }
 
-// closedByServer tells whether the other side closed or reset a connection. A time-out says
-// nothing: the request's own deadline, or a link.
+// closedByServer reports whether the server closed or reset the connection. A timeout says
+// nothing about the server: it comes from the deadline of the request or from a link.
 func closedByServer(err error) bool {
 	for _, target := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, target) {
--- a/routegate/crash_test.go
+++ b/routegate/crash_test.go
@@ -15,11 +15,11 @@
 	"wheelgauge/fingerprint"
 )
 
-// abortingServer is a server that breaks its connections off instead of an answer.
+// abortingServer is a server that closes its connections instead of answering.
 type abortingServer struct {
-	// ends is set for one whose port is closed with them.
+	// exits is set for one that also closes its port, as a crashed process does.
 	exits bool
-	// reset is set for one that resets connections, begun for one that answers in part.
+	// reset is set for one that resets connections, partial for one that answers in part.
 	reset   bool
 	partial bool
 }
@@ -47,8 +47,8 @@
 	return out
 }
 
-// A server that ends takes no new connection. One that breaks a connection off and goes on
-// says nothing against the request.
+// A server that crashed accepts no new connection. One that only closes a connection is no
+// evidence against the request.
 func TestCrashAttribution(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -56,27 +56,27 @@
 		path    string
 		crashes int
 	}{
-		{"it ends", abortingServer{exits: true}, "/once/", 1},
-		{"it ends by a reset", abortingServer{exits: true, reset: true}, "/once/", 1},
-		{"it ends in its answer", abortingServer{exits: true, partial: true}, "/once/", 1},
-		{"it ends in a stream", abortingServer{exits: true, partial: true}, "/stream/", 1},
-		{"it breaks off only", abortingServer{}, "/once/", 0},
-		{"it resets only", abortingServer{reset: true}, "/once/", 0},
-		{"it breaks off in its answer only", abortingServer{partial: true}, "/once/", 0},
+		{"it exits", abortingServer{exits: true}, "/once/", 1},
+		{"it exits with a reset", abortingServer{exits: true, reset: true}, "/once/", 1},
+		{"it exits during its answer", abortingServer{exits: true, partial: true}, "/once/", 1},
+		{"it exits during a stream", abortingServer{exits: true, partial: true}, "/stream/", 1},
+		{"it closes the connection only", abortingServer{}, "/once/", 0},
+		{"it resets the connection only", abortingServer{reset: true}, "/once/", 0},
+		{"it closes the connection during its answer only", abortingServer{partial: true}, "/once/", 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g, c := newGate(t, routes(), tt.server.start(t))
 			if resp, _, err := get(t, c, tt.path, ""); err == nil && resp.StatusCode == http.StatusOK {
-				t.Fatal("served")
+				t.Fatal("the request succeeded, want a failure")
 			}
 			if tt.crashes == 0 {
-				// A second one is answered after the server was looked after.
+				// The second answer comes after the check that followed the first.
 				if _, _, err := get(t, c, tt.path, ""); err != nil {
 					t.Fatal(err)
 				}
 			}
-			// The answer is there before the server is looked after.
+			// The answer arrives before the server is checked.
 			deadline := time.Now().Add(testLimit)
 			recorded := func() int {
 				crashes, _ := g.options.Quarantine.Since(0)
@@ -86,18 +86,18 @@
 				time.Sleep(time.Millisecond)
 			}
 			if recorded() != tt.crashes {
-				t.Errorf("%d ends are noted, want %d", recorded(), tt.crashes)
+				t.Errorf("%d crashes are recorded, want %d", recorded(), tt.crashes)
 			}
 		})
 	}
 }
 
-// requestFingerprint is the fingerprint of what ask sends.
+// requestFingerprint is the fingerprint of the request that get sends.
 func requestFingerprint(path string) wheelgauge.Fingerprint {
 	return fingerprint.Of([]byte("GET"), []byte("h"), []byte(path), "", nil)
 }
 
-// quarantineRequest condemns a request by what other hosts saw.
+// quarantineRequest quarantines a request by crashes reported by other hosts.
 func quarantineRequest(g *Gate, path string) {
 	var crashes []wheelgauge.Crash
 	for n := range 3 {
@@ -116,18 +116,17 @@
 	}
 	outcome := wheelgauge.Outcome(resp.Header.Get(wheelgauge.HeaderOutcome))
 	if resp.StatusCode != http.StatusServiceUnavailable || outcome != wheelgauge.OutcomeNotRun || resp.Header.Get("Retry-After") == "" || len(b.received()) > 0 {
-		t.Errorf("answered %d, %s (%s), sent to %d servers", resp.StatusCode, outcome, body, len(b.received()))
+		t.Errorf("got %d, outcome %s (%s), sent to %d servers; want a 503 that was not run, with Retry-After", resp.StatusCode, outcome, body, len(b.received()))
 	}
 	for _, path := range []string{"/safe/y", "/safe/x?q=1", "/once/x"} {
 		resp, _, err := get(t, c, path, "")
 		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Errorf("%s: %v, %v", path, resp, err)
+			t.Errorf("%s: got %v, %v, want 200", path, resp, err)
 		}
 	}
 }
 
-// A request that is cut three times by servers which end is not sent to a fourth, and one
-// that ran at a server to its end is cleared of what it stood beside.
+// A request that crashed three servers is not sent to a fourth.
 func TestQuarantineWithinOneHost(t *testing.T) {
 	var list []*backend
 	for range 4 {
@@ -143,15 +142,15 @@
 		got = append(got, resp.StatusCode)
 	}
 	if want := []int{502, 502, 503}; !slices.Equal(got, want) {
-		t.Errorf("answered %v, want %v", got, want)
+		t.Errorf("got statuses %v, want %v", got, want)
 	}
 	if quarantined := g.options.Quarantine.Condemned(); len(quarantined) != 1 {
-		t.Errorf("held back: %v", quarantined)
+		t.Errorf("quarantined requests: %v, want one", quarantined)
 	}
 }
 
-// A good end clears a request of what it stood beside; a failure doesn't: servers that
-// fail part of their requests may not have run it.
+// A success clears a request of the crashes that it was in flight at. A failure does not:
+// servers that fail some requests may not have run it.
 func TestSuccessClearsCrashes(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -159,7 +158,7 @@
 		crashes int
 	}{
 		{"well", nil, 1},
-		{"its server fails", []string{failureAnswer, failureAnswer}, 3},
+		{"its servers fail", []string{failureAnswer, failureAnswer}, 3},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -169,14 +168,14 @@
 			for n := range 2 {
 				q.Ended(wheelgauge.Crash{Request: request, Server: fmt.Sprint(n)})
 			}
-			// The second answer comes after the gate has noted the first.
+			// The second answer comes after the gate has recorded the first.
 			for _, path := range []string{"/once/x", "/once/y"} {
 				if _, _, err := get(t, c, path, ""); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if crashes := q.Ended(wheelgauge.Crash{Request: request, Server: "2"}); crashes != tt.crashes {
-				t.Errorf("%d ends count, want %d", crashes, tt.crashes)
+				t.Errorf("%d crashes count, want %d", crashes, tt.crashes)
 			}
 		})
 	}
--- a/routegate/deadline_test.go
+++ b/routegate/deadline_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A caller that gave a request 1e15 ms was told that its time was over: the number of
-// nanoseconds filled the sign. Found by reading.
+// A timeout of 1e15 ms in nanoseconds overflows time.Duration to a negative value; uncapped,
+// such a request is refused as expired.
 func TestParseTimeout(t *testing.T) {
 	tests := []struct {
 		text string
@@ -26,7 +26,7 @@
 	}
 	for _, tt := range tests {
 		if got, ok := parseTimeout(tt.text); got != tt.want || ok != tt.ok {
-			t.Errorf("%q: %v, %t, want %v, %t", tt.text, got, ok, tt.want, tt.ok)
+			t.Errorf("%q: got %v, %t, want %v, %t", tt.text, got, ok, tt.want, tt.ok)
 		}
 	}
 }
--- a/routegate/dispatch.go
+++ b/routegate/dispatch.go
@@ -19,7 +19,7 @@
 	"wheelgauge/serverset"
 )
 
-// exchange is one dispatch on one connection.
+// exchange is one dispatch of a request on one connection.
 type exchange struct {
 	call *call
 	conn *serverconn.Conn
@@ -29,16 +29,16 @@
 	// pick is nil for an exchange with another gateway.
 	pick   *serverset.Pick
 	sentAt time.Time
-	// clock is the same by the gate's clock, which counts suspended time.
+	// sentClock is sentAt by the clock of the gate, which counts suspended time.
 	sentClock time.Time
 	// begun is set at the first event or byte of the answer.
 	begun bool
-	// pushedBack is set by an answer that turns the request away and asks to back off.
+	// pushedBack is set if the answer refuses the request and asks to back off.
 	pushedBack bool
-	// broken is why the answer did not come whole.
+	// err is why the answer is incomplete.
 	err error
-	// firstAfter is how long after it was sent the first event or byte came, eventsBefore
-	// how many events came in earlier exchanges.
+	// firstAfter is the time from sending to the first event or byte, eventsBefore the number
+	// of events received in earlier exchanges.
 	firstAfter   time.Duration
 	eventsBefore int
 }
@@ -89,7 +89,7 @@
 		if _, ok := errors.AsType[*answerhead.ForeignError](err); ok {
 			c.gate.options.Meter.Count("answers.foreign")
 		}
-		// The wait was longer than this, which the next prediction must know.
+		// The true wait is longer still; the next predictions have to account for it.
 		x.recordWait()
 		k.Done(c.failureOutcome(ctx))
 		return failed
@@ -113,8 +113,8 @@
 	return serverset.Unreached
 }
 
-// failureOutcome tells a server's failure from a caller that left, and from a
-// deadline, which says little of the server.
+// failureOutcome separates a failure of the server from a caller that disconnected and from an
+// expired deadline, which say little about the server.
 func (c *call) failureOutcome(ctx context.Context) serverset.Outcome {
 	if ctx.Err() != nil {
 		return serverset.Left
@@ -122,7 +122,7 @@
 	return serverset.Failed
 }
 
-// endNotRun takes a server's word that it did not run the request.
+// endNotRun handles an answer in which the server states that it did not run the request.
 func (c *call) endNotRun(x *exchange, k *serverset.Pick, status int) result {
 	c.runs--
 	c.cause = "server answered " + strconv.Itoa(status) + " as not run"
@@ -135,7 +135,7 @@
 	return notRun
 }
 
-// pushbackOr is what an answer says of the server that would otherwise count as an outcome.
+// pushbackOr returns BackedOff if the server asked to back off, else the given outcome.
 func (x *exchange) pushbackOr(fallback serverset.Outcome) serverset.Outcome {
 	if x.pushedBack {
 		return serverset.BackedOff
@@ -143,7 +143,7 @@
 	return fallback
 }
 
-// relayOrRetry relays a server's answer, or decides that the request is repeated.
+// relayOrRetry relays the answer of a server, or decides to retry the request.
 func (c *call) relayOrRetry(ctx context.Context, x *exchange, k *serverset.Pick) result {
 	status := x.head.StatusCode()
 	if status >= http.StatusInternalServerError {
@@ -168,7 +168,7 @@
 	return res
 }
 
-// forwardToPeer forwards to a gateway of another region.
+// forwardToPeer forwards the request to a gateway of another region.
 func (c *call) forwardToPeer(ctx context.Context, p *peerset.Peer) result {
 	c.triedPeers = append(c.triedPeers, p.Name())
 	conn, err := p.Pool().Get(ctx)
@@ -204,9 +204,9 @@
 	_ = x.discard() // a connection that breaks here is not kept
 	if outcome == wheelgauge.OutcomeNotRun {
 		c.runs--
-		// What servers there refused is a send of this request like any other: the
-		// next one is a repeat, and is paid for here. Else each request would be
-		// repeated while servers are full.
+		// Sends refused by servers there count like any other send of this request:
+		// the next one is a retry and takes from the budget here. Otherwise every
+		// request would be retried while servers are full.
 		c.sends += sends
 		if !c.observePeerBackoff(x, p) {
 			c.gate.options.Peers.Refused(p)
@@ -217,8 +217,8 @@
 	return failed
 }
 
-// parseSends reads how many servers another gateway sent the request to; 0 when it
-// does not tell.
+// parseSends reads to how many servers another gateway sent the request; 0 if the header is
+// missing or malformed.
 func parseSends(header string) int {
 	n, err := strconv.Atoi(header)
 	if err != nil {
@@ -227,8 +227,8 @@
 	return max(0, n)
 }
 
-// peerFailed keeps work off a gateway that failed, and off its region if the
-// network gave it up; this request's own deadline says nothing of either.
+// peerFailed pauses a gateway that failed, and on a network timeout marks it as silent. An
+// expired deadline of this request says nothing about either.
 func (c *call) peerFailed(p *peerset.Peer, err error) {
 	if c.expired() {
 		return
@@ -268,7 +268,7 @@
 	}
 }
 
-// recordWait compares the predicted wait with the one so far.
+// recordWait compares the predicted wait with the time waited so far.
 func (x *exchange) recordWait() {
 	x.call.gate.waits.observe(x.call.route.Name, x.pick.Wait(), time.Since(x.sentAt))
 }
--- a/routegate/gate.go
+++ b/routegate/gate.go
@@ -1,6 +1,6 @@
-// Package routegate serves the requests of the routes mode: it finds the
-// route, decides in which region and on which backend server a request runs,
-// repeats what may be repeated, and relays answers byte for byte.
+// Package routegate serves requests in the routes mode. It matches the route, chooses the
+// region and the backend server, retries what may be retried, and relays answers byte for
+// byte.
 package routegate
 
 import (
@@ -28,50 +28,54 @@
 )
 
 const (
-	// startupWait is how long a request waits at a host that has just started for what is
-	// needed to place it: as long as stores that start with the hosts take to tell it.
-	// Refused at once, callers would come back as late and have one try less.
+	// startupWait is the longest that a request waits at a host that has just started for the
+	// data needed to place it. Stores that start together with the hosts deliver it within
+	// that time; a caller refused at once would come back no earlier and have one attempt
+	// less.
 	startupWait = 500 * time.Millisecond
-	// startupWindow is how long after its start a host lets requests wait at all: one that
-	// still knows nothing then is cut off, and says so at once.
+	// startupWindow is how long after its start a host lets requests wait at all. A host
+	// without configuration or servers by then is cut off from the stores, and refuses at
+	// once.
 	startupWindow = 1200 * time.Millisecond
-	// startupRetryAfter is when a caller of a host comes back that does not know its
-	// configuration or servers yet: stores tell it within some eager heartbeats.
+	// startupRetryAfter is the Retry-After of a host that has no configuration or servers yet.
+	// Stores deliver them within a few of the frequent heartbeats sent after a start.
 	startupRetryAfter = 400 * time.Millisecond
-	// leavingRetryAfter is when a caller of a leaving host goes to another one.
+	// leavingRetryAfter sends callers of a leaving host to another host at once.
 	leavingRetryAfter = time.Millisecond
-	// minOverloadRetryAfter is when a caller comes back that was refused for load.
+	// minOverloadRetryAfter is the shortest Retry-After of a request refused for load.
 	minOverloadRetryAfter = 500 * time.Millisecond
 )
 
-// Options of a Gate.
+// Options configure a Gate.
 type Options struct {
-	// Region is the host's own.
+	// Region is the region of the host.
 	Region string
 	Names  wheelgauge.HeaderNames
-	// Servers are those of the region, Peers the gateways of all regions.
+	// Servers are the backend servers of the region, Peers the gateways of all regions.
 	Servers *serverset.Table
 	Peers   *peerset.Table
 	Budget  *retrybudget.Budget
-	// Caps holds what workspaces may send; nil lets all through.
+	// Caps enforces the rate caps of workspaces; nil enforces none.
 	Caps wheelgauge.CapLimiter
-	// Clock judges ages and deadlines; the steady one when nil.
+	// Clock measures ages and deadlines; the monotonic clock, which stops while the host is
+	// suspended, when nil.
 	Clock wheelgauge.Clock
-	// Quarantine holds requests back that end servers; one of the gate's own when nil.
+	// Quarantine refuses requests that crash servers; a table private to the gate when nil.
 	Quarantine *quarantine.Table
-	// Limits are those that servers have named; a table of the gate's own when nil.
+	// Limits are the request rates announced by servers; a table private to the gate when nil.
 	Limits *serverlimit.Table
-	// Permits bounds what servers with a limit get; nil lets all through.
+	// Permits enforces the limits of servers across hosts; nil enforces none.
 	Permits wheelgauge.Permits
-	// Versions says which versions of a service get a request while it is in a rollout, Tally
-	// counts how they answer; those of the gate's own, which know of none, when nil.
+	// Versions chooses the service versions that may get a request during a rollout, and Tally
+	// counts how they answer. When nil, the gate uses empty ones of its own.
 	Versions *ledger.Ledger
 	Tally    *tally.Tally
 	Meter    *meter.Meter
 	Log      logr.Logger
 }
 
-// Gate is safe for concurrent use.
+// Gate routes requests to backend servers and gateways of other regions. It is safe for
+// concurrent use.
 type Gate struct {
 	options      Options
 	table        atomic.Pointer[routetable.Table]
@@ -79,27 +83,27 @@
 	// ready is closed once requests can be placed.
 	ready     chan struct{}
 	readyOnce sync.Once
-	// waitUntil is until when requests wait for that, each for startWait at most.
+	// startupDeadline ends waiting for ready; each request waits for startupWait at most.
 	startupDeadline time.Time
 	startupWait     time.Duration
-	// starting is how many wait now.
+	// startupWaiters is the number of requests that wait for ready now.
 	startupWaiters atomic.Int64
-	// confirmed is when the configuration was last known to be the newest.
+	// confirmedAt is when the configuration was last known to be the newest.
 	confirmedAt     atomic.Pointer[time.Time]
 	reservedHeaders map[string]bool
 	successes       atomic.Uint64
-	// leaving is nil while the process does not leave.
+	// leaving is nil unless the process is shutting down.
 	leaving   atomic.Pointer[departure]
 	durations routeDurations
 	active    inFlightCalls
 	waits     waitStats
-	// turns are those of callers that wait for limits of servers, returns those that wait
-	// until servers take work again.
+	// limitRetries spreads the return of callers refused because of server limits,
+	// backoffRetries of those refused while servers back off.
 	limitRetries   retrySchedules
 	backoffRetries retrySchedules
 }
 
-// New returns a gate without a configuration: it refuses everything as not run.
+// New returns a gate without a configuration. It refuses every request as not run.
 func New(o Options) *Gate {
 	if o.Quarantine == nil {
 		o.Quarantine = quarantine.New(time.Now)
@@ -122,20 +126,20 @@
 	}
 }
 
-// SetTable puts a configuration in force.
+// SetTable applies a configuration.
 func (g *Gate) SetTable(t *routetable.Table) {
 	g.table.Store(t)
 	g.signalReady()
 }
 
-// signalReady lets requests go on that wait for what is needed to place them.
+// signalReady releases requests that wait at startup once they can be placed.
 func (g *Gate) signalReady() {
 	if g.Ready() {
 		g.readyOnce.Do(func() { close(g.ready) })
 	}
 }
 
-// awaitReady waits until requests can be placed, but not for long.
+// awaitReady waits until requests can be placed, for startupWait at most.
 func (g *Gate) awaitReady(ctx context.Context) {
 	wait := min(g.startupWait, time.Until(g.startupDeadline))
 	if wait <= 0 || g.Ready() {
@@ -152,14 +156,14 @@
 	}
 }
 
-// Confirm tells that no newer configuration is known now.
+// Confirm records that no newer configuration is known now.
 func (g *Gate) Confirm() {
 	now := g.options.Clock.Now()
 	g.confirmedAt.Store(&now)
 }
 
-// configAge is how long ago the configuration was last known to be the newest;
-// -1 if it never was.
+// configAge returns how long ago the configuration was last known to be the newest; -1 if it
+// never was.
 func (g *Gate) configAge() time.Duration {
 	at := g.confirmedAt.Load()
 	if at == nil {
@@ -168,19 +172,19 @@
 	return g.options.Clock.Now().Sub(*at)
 }
 
-// SetListed tells that the servers are known.
+// SetListed records that the list of servers has arrived.
 func (g *Gate) SetListed() {
 	g.serversKnown.Store(true)
 	g.signalReady()
 }
 
-// Ready tells whether requests can be placed.
+// Ready reports whether requests can be placed.
 func (g *Gate) Ready() bool { return g.table.Load() != nil && g.serversKnown.Load() }
 
-// Table returns the configuration in force; nil when there is none.
+// Table returns the active configuration; nil when there is none.
 func (g *Gate) Table() *routetable.Table { return g.table.Load() }
 
-// Limits returns what callers may send.
+// Limits returns the limits on callers' connections and requests.
 func (g *Gate) Limits() wheelgauge.Limits {
 	if t := g.table.Load(); t != nil {
 		return t.Limits()
@@ -191,8 +195,8 @@
 // Serve answers a caller's request.
 func (g *Gate) Serve(ctx context.Context, r *callerhttp.Request) { g.serve(ctx, r, false) }
 
-// ServePeer answers a request that a gateway of another region forwarded. It
-// is never forwarded again.
+// ServePeer answers a request forwarded by a gateway of another region. It is never forwarded
+// again.
 func (g *Gate) ServePeer(ctx context.Context, r *callerhttp.Request) { g.serve(ctx, r, true) }
 
 func (g *Gate) serve(ctx context.Context, r *callerhttp.Request, forwarded bool) {
@@ -206,14 +210,14 @@
 	c.close()
 }
 
-// runTracked runs a request, which may be ended from outside.
+// runTracked runs a request and registers it, so that Wake can end it.
 func (g *Gate) runTracked(ctx context.Context, c *call) {
 	g.active.add(c)
 	defer g.active.remove(c)
 	c.run(ctx)
 }
 
-// newCall gathers what decides about a request.
+// newCall parses the headers that routing depends on.
 func (g *Gate) newCall(r *callerhttp.Request, forwarded bool) *call {
 	h, n := r.Header(), g.options.Names
 	c := &call{gate: g, request: r, forwarded: forwarded, id: string(httpfield.Value(h, n.RequestID)), started: r.Arrived()}
@@ -226,7 +230,7 @@
 	return c
 }
 
-// admit finds the route, or says why the request is refused.
+// admit matches the route and identifies the workspace, or returns why the request is refused.
 func (g *Gate) admit(c *call) *wheelgauge.Error {
 	t := g.table.Load()
 	if t == nil {
--- a/routegate/gate_test.go
+++ b/routegate/gate_test.go
@@ -39,14 +39,14 @@
 	streamHead        = "HTTP/1.1 200 OK\r\n" + signatureHeader + "Transfer-Encoding: chunked\r\n\r\n"
 )
 
-// chunk renders one chunk of a body.
+// chunk renders one chunk of a chunked body.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// backend answers the requests that come, over all connections, by a script.
+// backend answers requests, over all connections, from a script.
 type backend struct {
 	mu     sync.Mutex
 	script []string
-	// always is the answer when the script is over; success when empty.
+	// fallback is the answer after the end of the script; success when empty.
 	fallback string
 	headers  []http.Header
 	conn     net.Listener
@@ -59,7 +59,7 @@
 	return b
 }
 
-// listen serves each connection that comes.
+// listen accepts connections and serves each.
 func listen(t testing.TB, serve func(c net.Conn)) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -96,7 +96,8 @@
 	}
 }
 
-// closesAfter tells whether the connection ends with an answer that is none, or not whole.
+// closesAfter reports whether the connection ends after an answer that is malformed or
+// incomplete.
 func (b *backend) closesAfter(answer string) bool {
 	resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(answer)), nil)
 	if err != nil {
@@ -124,7 +125,7 @@
 	return b.headers
 }
 
-// gate returns a gate before the backends, all of one service, and a
+// newGate returns a gate in front of the backends, which are all of one service, and the
 // connection of a caller.
 func newGate(t testing.TB, routes []wheelgauge.PathRoute, backends ...*backend) (*Gate, net.Conn) {
 	t.Helper()
@@ -191,23 +192,23 @@
 		path    string
 		script  []string
 		status  int
-		outcome wheelgauge.Outcome // of an answer of the gate's own
+		outcome wheelgauge.Outcome // of an answer by the gate itself
 		sends   int
 	}{
 		{"served", "/once/", nil, 200, "", 1},
 		{"no route", "/none/", nil, 404, wheelgauge.OutcomeNotRun, 0},
 		{"no server where it may run", "/away/", nil, 503, wheelgauge.OutcomeNotRun, 0},
-		{"a failure is repeated", "/safe/", []string{failureAnswer}, 200, "", 2},
-		{"the last failure is the server's own", "/safe/", []string{failureAnswer, failureAnswer}, 500, "", 2},
-		{"a failure that ran is not repeated", "/once/", []string{failureAnswer}, 500, "", 1},
-		{"a broken answer is repeated", "/safe/", []string{truncatedAnswer}, 200, "", 2},
+		{"a failure is retried", "/safe/", []string{failureAnswer}, 200, "", 2},
+		{"the last failure is relayed", "/safe/", []string{failureAnswer, failureAnswer}, 500, "", 2},
+		{"a failure of a route without retries", "/once/", []string{failureAnswer}, 500, "", 1},
+		{"a broken answer is retried", "/safe/", []string{truncatedAnswer}, 200, "", 2},
 		{"a broken answer may have run", "/once/", []string{truncatedAnswer}, 502, wheelgauge.OutcomeUnknown, 1},
-		{"garbage is repeated", "/safe/", []string{malformedAnswer}, 200, "", 2},
-		{"garbage may have run", "/once/", []string{malformedAnswer}, 502, wheelgauge.OutcomeUnknown, 1},
-		{"no signature is no success", "/once/", []string{unsignedAnswer}, 502, wheelgauge.OutcomeUnknown, 1},
-		{"what did not run goes on", "/once/", []string{notRunAnswer}, 200, "", 2},
+		{"a malformed answer is retried", "/safe/", []string{malformedAnswer}, 200, "", 2},
+		{"a malformed answer may have run", "/once/", []string{malformedAnswer}, 502, wheelgauge.OutcomeUnknown, 1},
+		{"a success without a signature", "/once/", []string{unsignedAnswer}, 502, wheelgauge.OutcomeUnknown, 1},
+		{"a request that did not run is sent again", "/once/", []string{notRunAnswer}, 200, "", 2},
 		{"another server has the address", "/once/", []string{misdirectedAnswer}, 200, "", 2},
-		{"nobody ran it", "/once/", []string{notRunAnswer, notRunAnswer, notRunAnswer}, 503, wheelgauge.OutcomeNotRun, 2},
+		{"no server ran it", "/once/", []string{notRunAnswer, notRunAnswer, notRunAnswer}, 503, wheelgauge.OutcomeNotRun, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -222,10 +223,10 @@
 				t.Errorf("got %d %q after %d sends, want %d %q after %d", resp.StatusCode, outcome, len(b.received()), tt.status, tt.outcome, tt.sends)
 			}
 			if tt.outcome == wheelgauge.OutcomeNotRun && tt.status == 503 && resp.Header.Get("Retry-After") == "" {
-				t.Error("a refusal does not say when to come back")
+				t.Error("a refusal has no Retry-After")
 			}
 			if tt.outcome != "" && resp.Header.Get("Wheelgauge-Signature") != "" {
-				t.Error("an answer of the gate's own is signed")
+				t.Error("an answer by the gate itself is signed")
 			}
 		})
 	}
@@ -244,7 +245,7 @@
 		t.Errorf("the server got %v", h)
 	}
 	if left := h.Get("Wheelgauge-Deadline-Ms"); len(left) != 3 {
-		t.Errorf("deadline %q, want what is left of 700 ms", left)
+		t.Errorf("deadline %q, want the rest of 700 ms", left)
 	}
 }
 
@@ -257,11 +258,11 @@
 		script      []string
 		body        string
 		complete    bool
-		lastEventID string // what the second server is told
+		lastEventID string // Last-Event-Id that the second server receives
 	}{
 		{"whole", "/stream/", []string{streamHead + chunk(one) + chunk(two) + end}, one + two, true, ""},
 		{"cut", "/stream/", []string{streamHead + chunk(one) + chunk("id: 2\nda")}, one, false, ""},
-		{"resumed after the last whole event", "/resume/", []string{streamHead + chunk(one) + chunk("id: 2\nda"), streamHead + chunk(two) + end}, one + two, true, "1"},
+		{"resumed after the last complete event", "/resume/", []string{streamHead + chunk(one) + chunk("id: 2\nda"), streamHead + chunk(two) + end}, one + two, true, "1"},
 		{"broken before the first event", "/resume/", []string{streamHead + chunk("id: 1"), streamHead + chunk(one+two) + end}, one + two, true, ""},
 		{"resumed once only", "/resume/", []string{streamHead + chunk(one), streamHead + chunk("id:")}, one, false, "1"},
 	}
@@ -271,7 +272,7 @@
 			_, c := newGate(t, routes(), b, b)
 			_, body, err := get(t, c, tt.path, "")
 			if body != tt.body || (err == nil) != tt.complete {
-				t.Errorf("got %q, %v, want %q, whole: %v", body, err, tt.body, tt.complete)
+				t.Errorf("got %q, %v, want %q, complete: %v", body, err, tt.body, tt.complete)
 			}
 			if headers := b.received(); len(headers) > 1 && headers[1].Get("Last-Event-Id") != tt.lastEventID {
 				t.Errorf("resumed after %q, want %q", headers[1].Get("Last-Event-Id"), tt.lastEventID)
@@ -313,12 +314,11 @@
 		t.Fatal(err)
 	}
 	if resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, string(wheelgauge.ReasonNoConfiguration)) {
-		t.Errorf("got %d %s", resp.StatusCode, body)
+		t.Errorf("got %d %s, want 503 with reason no-configuration", resp.StatusCode, body)
 	}
 }
 
-// A host that does not know its servers yet is not ready, and says when to come
-// back.
+// A host without a list of servers is not ready, and refuses requests with Retry-After.
 func TestNoServersKnownIsNotRun(t *testing.T) {
 	g, c := newGate(t, routes())
 	g.serversKnown.Store(false)
@@ -327,12 +327,12 @@
 		t.Fatal(err)
 	}
 	if resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, string(wheelgauge.ReasonNoServer)) || resp.Header.Get("Retry-After") == "" || g.Ready() {
-		t.Errorf("got %d %s, ready %v", resp.StatusCode, body, g.Ready())
+		t.Errorf("got %d %s, ready %v, want 503 with reason no-server, not ready", resp.StatusCode, body, g.Ready())
 	}
 }
 
-// A request that comes to a host which has just started waits until the host can
-// place it; with its refusal the caller would have one try less.
+// A request at a host that has just started waits until the host can place it; a refusal would
+// cost the caller an attempt.
 func TestRequestsWaitForAStartingHost(t *testing.T) {
 	b := newBackend(t)
 	g, c := newGate(t, routes(), b)
@@ -351,7 +351,7 @@
 	g.table.Store(nil)
 	g.ready, g.startupDeadline = make(chan struct{}), time.Now()
 	if resp, _, err := get(t, c, "/safe/", ""); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("a host that has known nothing for a while answers %v, %v", resp, err)
+		t.Errorf("after the startup deadline: got %v, %v, want 503", resp, err)
 	}
 }
 
@@ -363,11 +363,11 @@
 	g.LeaveBy(time.Now().Add(5 * time.Second))
 	leaving := g.leaving.Load()
 	if g.mayOutlastProcess("stream", testLimit, 0) {
-		t.Error("a request that is usually done in time is refused while callers cannot know")
+		t.Error("a request that usually completes in time is refused while callers cannot know of the shutdown")
 	}
 	leaving.announcedAt = leaving.announcedAt.Add(-leavePropagation)
 	if resp, _, err := get(t, c, "/safe/", ""); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("a short request got %v, %v", resp, err)
+		t.Errorf("a short request got %v, %v, want 200", resp, err)
 	}
 	resp, _, err := get(t, c, "/stream/", "")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
@@ -378,7 +378,7 @@
 	}
 }
 
-// peerConn returns the connection of another gateway.
+// peerConn returns a connection as another gateway opens it.
 func peerConn(t *testing.T, g *Gate) net.Conn {
 	t.Helper()
 	s, err := callerhttp.Listen("127.0.0.1:0", callerhttp.Options{Limits: g.Limits, Serve: g.ServePeer, Conns: 8})
@@ -399,9 +399,9 @@
 	return c
 }
 
-// A forwarded request is repeated by the host it came to only: both together
-// would run it on more servers than its route allows.
-func TestForwardedRequestIsNotRepeated(t *testing.T) {
+// A forwarded request is retried only by the host that the caller connected to: retries by
+// both could run it on more servers than its route allows.
+func TestForwardedRequestIsNotRetried(t *testing.T) {
 	b := newBackend(t, failureAnswer)
 	g, _ := newGate(t, routes(), b, b)
 	resp, _, err := get(t, peerConn(t, g), "/safe/", "")
@@ -409,11 +409,11 @@
 		t.Fatal(err)
 	}
 	if resp.StatusCode != http.StatusInternalServerError || len(b.received()) != 1 {
-		t.Errorf("got %d after %d sends, want the server's 500 after one", resp.StatusCode, len(b.received()))
+		t.Errorf("got %d after %d sends, want 500 of the server after one", resp.StatusCode, len(b.received()))
 	}
 }
 
-// A host that leaves does not start what is over in time only if it ran here.
+// A leaving host refuses a request that would complete in time only if it ran in this region.
 func TestLeavingHostCountsLinkLatency(t *testing.T) {
 	g, c := newGate(t, routes())
 	g.options.Peers.SetHosts([]wheelgauge.FleetHost{{Name: "far", Region: "there", Peer: "127.0.0.1:1", Ready: true}})
@@ -425,11 +425,11 @@
 	leaving.announcedAt = leaving.announcedAt.Add(-leavePropagation)
 	resp, body, err := get(t, c, "/away/", "")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, string(wheelgauge.ReasonDraining)) {
-		t.Errorf("got %v, %s, %v, want a refusal by a host that leaves", resp, body, err)
+		t.Errorf("got %v, %s, %v, want 503 with reason draining", resp, body, err)
 	}
 }
 
-// A refusal tells a gateway, but no caller, how many servers were asked.
+// A refusal reports the number of sends to a gateway, but not to a caller.
 func TestRefusalReportsSends(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -438,7 +438,7 @@
 		want      string
 	}{
 		{"servers refused", true, []string{notRunAnswer, notRunAnswer, notRunAnswer}, "2"},
-		{"a server broke off", true, []string{truncatedAnswer}, "1"},
+		{"a server closed the connection", true, []string{truncatedAnswer}, "1"},
 		{"to a caller", false, []string{notRunAnswer, notRunAnswer, notRunAnswer}, ""},
 	}
 	for _, tt := range tests {
--- a/routegate/headernames_test.go
+++ b/routegate/headernames_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Servers that write header names in another case were not understood.
+// Header names in the answers of servers match in any case.
 func TestHeaderNamesInAnyCase(t *testing.T) {
 	lower := func(answer string) string {
 		head, body, _ := strings.Cut(answer, "\r\n\r\n")
@@ -48,13 +48,13 @@
 				t.Errorf("got %d after %d sends, want %d after %d", resp.StatusCode, len(b.received()), tt.status, tt.sends)
 			}
 			if _, ok := g.options.Limits.Rate("i0"); tt.name == "a limit" && !ok && resp.StatusCode == http.StatusOK {
-				t.Error("the limit was not heard")
+				t.Error("the limit was not recorded")
 			}
 		})
 	}
 }
 
-// What callers wrote in another case was passed on, but not gone by.
+// Header names of callers take effect in any case, and are not just passed on.
 func TestCallersHeaderNamesInAnyCase(t *testing.T) {
 	for _, name := range []string{"Wheelgauge-Deadline-Ms", "wheelgauge-deadline-ms", "WHEELGAUGE-DEADLINE-MS"} {
 		b := newBackend(t)
@@ -63,7 +63,7 @@
 			t.Fatal(err)
 		}
 		if left := b.received()[0].Get("Wheelgauge-Deadline-Ms"); len(left) != 3 {
-			t.Errorf("%s: the server has %q ms, want what is left of 700", name, left)
+			t.Errorf("%s: the server got %q ms, want the rest of 700", name, left)
 		}
 	}
 }
--- a/routegate/headers.go
+++ b/routegate/headers.go
@@ -11,13 +11,14 @@
 	"wheelgauge/callerhttp"
 )
 
-// hopByHop are headers that concern one connection only, in lower case.
+// hopByHop are the headers that apply to a single connection, in lower case.
 var hopByHop = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-connection": true, "te": true, "trailer": true,
 	"transfer-encoding": true, "upgrade": true, "content-length": true, "expect": true,
 }
 
-// reservedNames are the headers that are dropped from requests and set anew.
+// reservedNames are the headers that are removed from callers' requests and set by the
+// gateway.
 func reservedNames(n wheelgauge.HeaderNames) map[string]bool {
 	out := map[string]bool{}
 	for _, name := range append([]string{n.Deadline, n.Target, n.Priority, n.Fetch, n.Key, n.Workspace, wheelgauge.HeaderForwardedFrom, wheelgauge.HeaderWorkspace}, n.Reserved...) {
@@ -28,7 +29,7 @@
 	return out
 }
 
-// connectionTokens returns the header names that a Connection header lists.
+// connectionTokens returns the header names listed in a Connection header.
 func connectionTokens(connection []byte) map[string]bool {
 	var out map[string]bool
 	for name := range strings.SplitSeq(string(connection), ",") {
@@ -42,7 +43,6 @@
 	return out
 }
 
-// appendHeader adds one header line.
 func appendHeader(dst []byte, name, value string) []byte {
 	dst = append(dst, name...)
 	dst = append(dst, ": "...)
@@ -50,7 +50,7 @@
 	return append(dst, "\r\n"...)
 }
 
-// requestHead renders the request as it goes to a server or to another gateway.
+// requestHead renders the request line and headers sent to a server or to another gateway.
 func (c *call) requestHead(set [][2]string) []byte {
 	h := c.request.Header()
 	dst := make([]byte, 0, 1024)
@@ -81,12 +81,12 @@
 	return append(dst, "\r\n"...)
 }
 
-// remainingMS renders what is left until a deadline, in whole milliseconds.
+// remainingMS renders the time left until a deadline in whole milliseconds, at least 1.
 func remainingMS(deadline time.Time) string {
 	return strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10)
 }
 
-// responseFields are the headers of an answer that go on to the caller.
+// responseFields returns the headers of an answer that are relayed to the caller.
 func responseFields(h *fasthttp.ResponseHeader) []callerhttp.Field {
 	connectionHeaders := connectionTokens(h.Peek("Connection"))
 	fields := make([]callerhttp.Field, 0, 8)
--- a/routegate/identify.go
+++ b/routegate/identify.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxConfigAge is how long ago the configuration must have been known to be the
-	// newest for an unknown key to be refused for good: some heartbeats, so that a host
-	// which is cut off, or has just started, sends callers on. They do not come back
-	// after a 401.
+	// maxConfigAge is how recently the configuration must have been confirmed as the newest
+	// for an unknown key to be rejected with 401: some heartbeats. Callers do not retry after
+	// a 401, so a host that is cut off or has just started answers 503, which sends them to
+	// another host.
 	maxConfigAge = time.Second
-	// staleConfigRetryAfter is when a caller comes back whose key may be newer than the
-	// configuration here: one heartbeat and a fetch.
+	// staleConfigRetryAfter is the Retry-After when a key may be newer than the configuration
+	// here: one heartbeat and a fetch.
 	staleConfigRetryAfter = 300 * time.Millisecond
 )
 
-// identify finds the workspace of a request, or says why it is refused.
+// identify determines the workspace of a request, or returns why it is refused.
 func (g *Gate) identify(c *call, t *routetable.Table) *wheelgauge.Error {
 	if c.forwarded {
 		return g.identifyForwarded(c, t)
@@ -46,8 +46,8 @@
 	return refusal(wheelgauge.ReasonUnauthorized, http.StatusUnauthorized, "no workspace has this key")
 }
 
-// identifyForwarded takes the word of the host that the caller came to. A workspace
-// that is not known here may have homes that are not known either.
+// identifyForwarded trusts the workspace named by the host that the caller connected to. A
+// workspace unknown here is refused, as its home regions are unknown too.
 func (g *Gate) identifyForwarded(c *call, t *routetable.Table) *wheelgauge.Error {
 	name := string(httpfield.Value(c.request.Header(), wheelgauge.HeaderWorkspace))
 	if name == "" {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// callerKey returns the caller's key and how many it sent.
+// callerKey returns the last key that the caller sent, and how many it sent.
 func (g *Gate) callerKey(h *fasthttp.RequestHeader) (key []byte, count int) {
 	keys := httpfield.Values(h, g.options.Names.Key)
 	if len(keys) == 0 {
@@ -68,14 +68,14 @@
 	return keys[len(keys)-1], len(keys)
 }
 
-// allowedIn tells whether the request may run in a region: homes of the route and of
-// the workspace both bind.
+// allowedIn reports whether both the route and the workspace allow the request to run in a
+// region.
 func (c *call) allowedIn(region string) bool {
 	return c.route.AllowedIn(region) && c.workspace.AllowedIn(region)
 }
 
-// noCommonHome tells whether the request may run nowhere: its route and its workspace have
-// no home in common.
+// noCommonHome reports whether the request may run nowhere because its route and its workspace
+// share no home region.
 func (c *call) noCommonHome() bool {
 	if c.workspace == nil || len(c.route.Homes) == 0 || len(c.workspace.Homes) == 0 {
 		return false
@@ -88,7 +88,7 @@
 	return true
 }
 
-// workspaceName is empty for a request without one.
+// workspaceName is empty for a request without a workspace.
 func (c *call) workspaceName() string {
 	if c.workspace == nil {
 		return ""
--- a/routegate/inflight.go
+++ b/routegate/inflight.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// inFlightCalls are the requests that the gate works on.
+// inFlightCalls are the requests in progress.
 type inFlightCalls struct {
 	mu    sync.Mutex
 	calls map[*call]struct{}
@@ -23,9 +23,9 @@
 	delete(f.calls, c)
 }
 
-// Wake ends the requests whose time has gone by, and returns how many. Connections go by
-// the steady clock: after the host was suspended they would wait for an answer that
-// nobody waits for any more, as long as it was.
+// Wake ends the requests that have expired, and returns how many. Connection deadlines use the
+// monotonic clock, which stops during suspension, so without Wake these requests would wait on
+// for answers that no caller expects any more.
 func (g *Gate) Wake() int {
 	g.active.mu.Lock()
 	defer g.active.mu.Unlock()
--- a/routegate/leaving.go
+++ b/routegate/leaving.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// leaveLongestFactor is how much longer than the longest of late a request may
-	// take: in a burst they took more than twice as long.
+	// leaveLongestFactor allows a request this multiple of the longest recent duration: in
+	// bursts, requests take more than twice as long.
 	leaveLongestFactor = 3
-	// leaveMeanFactor is how much longer than usual most requests do not take.
+	// leaveMeanFactor is the multiple of the mean duration within which most requests end.
 	leaveMeanFactor = 1.5
-	// leavePropagation is how long after the first notice callers may not know yet that
-	// the host leaves: an entry answer is kept for up to 2 s by most, and lags behind.
-	// Requests of that time that are likely to be done are better taken than refused.
+	// leavePropagation is how long callers may not know yet that the host leaves: most of them
+	// cache the entry list for up to 2 s, and the list itself lags. Within that time, requests
+	// that are likely to complete are accepted rather than refused.
 	leavePropagation = 2900 * time.Millisecond
-	// longestDecay lets a long request be forgotten over some hundreds of others.
+	// longestDecay makes the effect of one long request fade over some hundreds of others.
 	longestDecay = 0.995
 	// meanWeight is the weight of a new duration in the running mean.
 	meanWeight = 0.1
 )
 
-// routeDurations remembers about how long the requests of each route take.
+// routeDurations tracks how long the requests of each route take.
 type routeDurations struct {
 	mu     sync.Mutex
 	routes map[string]durationStats
@@ -32,7 +32,7 @@
 	longest time.Duration
 }
 
-// observe takes the duration of a request that was served.
+// observe records the duration of a served request.
 func (d *routeDurations) observe(route string, elapsed time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -48,8 +48,7 @@
 	d.routes[route] = s
 }
 
-// get returns the durations of a route; those of one that was never served
-// are otherwise.
+// get returns the durations of a route, or fallback for one that was never served.
 func (d *routeDurations) get(route string, fallback time.Duration) durationStats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,20 +58,21 @@
 	return durationStats{mean: fallback, longest: fallback}
 }
 
-// departure is when a process was told to leave and when it ends, by the gate's clock.
+// departure is when the process announced its shutdown and when it exits, by the clock of the
+// gate.
 type departure struct {
 	announcedAt time.Time
 	endsAt      time.Time
 }
 
-// LeaveBy tells that the process ends at a moment of the gate's clock: requests that may
+// LeaveBy announces that the process exits at a time of the gate's clock. Requests that may
 // take longer are refused from now on.
 func (g *Gate) LeaveBy(end time.Time) {
 	g.leaving.Store(&departure{announcedAt: g.options.Clock.Now(), endsAt: end})
 }
 
-// mayOutlastProcess tells whether a request of the route may not be done before the
-// process ends, if the way to where it runs takes so long.
+// mayOutlastProcess reports whether a request of the route may not complete before the process
+// exits, given the round-trip latency to where it runs.
 func (g *Gate) mayOutlastProcess(route string, timeout, latency time.Duration) bool {
 	leaving := g.leaving.Load()
 	if leaving == nil {
--- a/routegate/limit.go
+++ b/routegate/limit.go
@@ -11,12 +11,11 @@
 	"wheelgauge/serverset"
 )
 
-// permitWaitShare is the part of its objective that a request waits at most for a server whose
-// limit does not allow it yet: enough is left to be answered in time.
+// permitWaitShare is the share of its objective that a request waits at most for a permit of a
+// rate-limited server; the rest is left for the answer.
 const permitWaitShare = 0.25
 
-// observeLimit takes what an answer says of the server's limit, and writes a line when that
-// changes.
+// observeLimit records the limit that an answer announces for its server, and logs changes.
 func (c *call) observeLimit(x *exchange, s *serverset.Server) {
 	name := c.gate.options.Names.Limit
 	if name == "" || x.head.StatusCode() == http.StatusMisdirectedRequest {
@@ -37,8 +36,8 @@
 	}
 }
 
-// smallestLimit returns the smallest limit among the values of a header; ok is false if none can
-// be read.
+// smallestLimit returns the smallest limit among the values of a header; ok is false if none
+// is valid.
 func smallestLimit(values [][]byte) (rate float64, ok bool) {
 	for _, v := range values {
 		if r, valid := serverlimit.Parse(string(v)); valid && (!ok || r < rate) {
@@ -52,9 +51,10 @@
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// placeWithPermit places the request where it may be sent: a limit that a server names binds
-// all hosts together. Kept by each for itself, or passed over because a server that is
-// asked for less looks idle, it is broken by as much as there are hosts.
+// placeWithPermit chooses a server that the request may be sent to. The limit that a server
+// announces applies to all hosts together: enforced by each host on its own, or ignored
+// because a limited server looks idle, it would be exceeded by a factor of the number of
+// hosts.
 func (c *call) placeWithPermit(ctx context.Context) placement {
 	p := c.choosePlacement()
 	for p.pick != nil && !c.takePermit(ctx, p.pick, 0) {
@@ -66,7 +66,7 @@
 	if p.pick != nil || p.peer != nil || p.leaving {
 		return p
 	}
-	// Nothing takes it now: better served by a limited server soon than refused.
+	// No server accepts it now: waiting for a rate-limited one is better than refusing.
 	maxWait := min(wheelgauge.MostPermitWait, time.Duration(permitWaitShare*float64(c.route.Objective)))
 	for k := c.chooseLimited(maxWait); k != nil && ctx.Err() == nil; k = c.chooseLimited(maxWait) {
 		if c.takePermit(ctx, k, maxWait) {
@@ -76,7 +76,7 @@
 	return p
 }
 
-// chooseLimited chooses a server whose limit allows something again within a time.
+// chooseLimited chooses a server whose limit allows a request within maxWait.
 func (c *call) chooseLimited(maxWait time.Duration) *serverset.Pick {
 	if c.gate.options.Permits == nil || !c.allowedIn(c.gate.options.Region) {
 		return nil
@@ -84,7 +84,8 @@
 	return c.gate.options.Servers.ChooseLimited(c.job(), maxWait)
 }
 
-// takePermit tells whether the request may go to the server chosen, and waits until it may.
+// takePermit reports whether the request may be sent to the chosen server, and waits until it
+// may.
 func (c *call) takePermit(ctx context.Context, k *serverset.Pick, maxWait time.Duration) bool {
 	server := k.Server().Life()
 	if _, limited := c.gate.options.Limits.Rate(server); !limited || c.gate.options.Permits == nil {
@@ -113,9 +114,9 @@
 	return false
 }
 
-// waitForPermit waits until a permit is due that was given under a limit. One that was given
-// ahead is not good any more if the limit changed meanwhile: a server that wants less now
-// would get all that was given ahead by its earlier limit.
+// waitForPermit waits until a permit granted ahead of time is due. It is void if the limit has
+// changed since: a server that lowers its limit would otherwise still get everything granted
+// ahead under the old one.
 func (c *call) waitForPermit(ctx context.Context, server string, grantedRate float64, after time.Duration) bool {
 	if after <= 0 {
 		return true
--- a/routegate/limit_test.go
+++ b/routegate/limit_test.go
@@ -13,7 +13,7 @@
 	"wheelgauge/serverlimit"
 )
 
-// withLimits is an answer that names limits.
+// withLimits adds limit headers to an answer.
 func withLimits(answer string, limits ...string) string {
 	status, rest, _ := strings.Cut(answer, "\r\n")
 	for _, l := range limits {
@@ -22,8 +22,8 @@
 	return status + "\r\n" + rest
 }
 
-// What a server says of its limit is heard in any answer of its own; only a success without
-// it says that there is none.
+// Any answer of the server itself may announce a limit; only a success without the header ends
+// it.
 func TestObserveLimit(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -58,7 +58,7 @@
 	}
 }
 
-// fakePermits gives so many permits, then none, after a wait.
+// fakePermits grants a number of permits, then none, each after a wait.
 type fakePermits struct {
 	mu        sync.Mutex
 	remaining int
@@ -77,8 +77,8 @@
 	return p.after, true
 }
 
-// What a limit does not allow goes to another server, waits a little where there is none, or
-// is refused at once as not run.
+// A request over the limit of its server goes to another server, waits briefly if there is
+// none, or is refused at once as not run.
 func TestPermits(t *testing.T) {
 	const objective = 400 * time.Millisecond
 	tests := []struct {
@@ -107,32 +107,32 @@
 				t.Fatal(err)
 			}
 			if resp.StatusCode != tt.status || !slices.Equal(tt.permits.maxWaits, tt.maxWaits) {
-				t.Errorf("got %d, asked with patience %v; want %d, %v", resp.StatusCode, tt.permits.maxWaits, tt.status, tt.maxWaits)
+				t.Errorf("got %d, asked with maximum waits %v; want %d, %v", resp.StatusCode, tt.permits.maxWaits, tt.status, tt.maxWaits)
 			}
 			if got := len(b.received()); got != tt.status/200%2 {
-				t.Errorf("the server got %d requests", got)
+				t.Errorf("the server got %d requests, want one if the answer is 200, else none", got)
 			}
 			refused := resp.StatusCode == http.StatusServiceUnavailable
 			if refused && (resp.Header.Get("Retry-After") == "" || resp.Header.Get(wheelgauge.HeaderOutcome) != string(wheelgauge.OutcomeNotRun)) {
-				t.Errorf("the refusal says %v", resp.Header)
+				t.Errorf("refused with headers %v, want Retry-After and not run", resp.Header)
 			}
 		})
 	}
 }
 
-// A request whose caller leaves, or whose time is over, does not wait for its permit; one
-// given under an earlier limit is not used.
-func TestAwaitPermit(t *testing.T) {
+// A request whose caller disconnects does not wait for its permit, and a permit granted under
+// an earlier limit is not used.
+func TestWaitForPermit(t *testing.T) {
 	tests := []struct {
 		name       string
 		callerLeft bool
 		after      time.Duration
-		// rate is the limit by then.
+		// rate is the limit when the permit is due.
 		rate   float64
 		usable bool
 	}{
 		{"it is due", false, time.Millisecond, 2, true},
-		{"it was not given ahead", false, 0, 1, true},
+		{"it was not granted ahead", false, 0, 1, true},
 		{"the limit changed", false, time.Millisecond, 1, false},
 		{"the caller left", true, time.Hour, 2, false},
 	}
@@ -147,7 +147,7 @@
 			limits.Named("s", tt.rate)
 			c := &call{gate: New(Options{Limits: limits})}
 			if usable := c.waitForPermit(ctx, "s", 2, tt.after); usable != tt.usable {
-				t.Errorf("it is good: %v, want %v", usable, tt.usable)
+				t.Errorf("permit usable: %v, want %v", usable, tt.usable)
 			}
 		})
 	}
--- a/routegate/place.go
+++ b/routegate/place.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// maxWaitFactor is the predicted wait, as a multiple of the objective, from
-	// which on a request is refused.
+	// maxWaitFactor is the predicted wait, as a multiple of the objective, above which a
+	// request is refused.
 	maxWaitFactor = 1.5
-	// congestedWaitFactor holds instead while requests of the route have waited for more
-	// than busyPart of their objective: a queue that stands at the objective
-	// makes all of them late.
+	// congestedWaitFactor applies instead while the mean wait of the route exceeds
+	// congestedShare of its objective: a queue that stays at the objective makes every request
+	// late.
 	congestedWaitFactor = 0.75
 	congestedShare      = 0.5
-	// forwardWaitShare is the part of their objective that requests must wait before long
-	// prompts are sent away sooner than short ones: where nobody waits, sending them away
-	// only costs their caches.
+	// forwardWaitShare is the share of the objective that the mean wait must exceed before
+	// long prompts are forwarded earlier than short ones. Without a queue, forwarding them
+	// only loses their cache hits.
 	forwardWaitShare = 0.35
 )
 
@@ -27,13 +27,13 @@
 type placement struct {
 	pick *serverset.Pick
 	peer *peerset.Peer
-	// late is set when the request would be late wherever it went.
+	// tooLate is set when the request would miss its objective anywhere.
 	tooLate bool
-	// leaving is set when this host ends before the answer would be back.
+	// leaving is set when this host exits before the answer would be back.
 	leaving bool
 }
 
-// choosePlacement weighs the region's own servers against other regions.
+// choosePlacement compares the servers of the region with other regions.
 func (c *call) choosePlacement() placement {
 	local, ok := c.predictLocal()
 	wait := c.gate.waits.correct(c.route.Name, local.Wait())
@@ -67,14 +67,14 @@
 	return placement{pick: c.gate.options.Servers.Choose(c.job())}
 }
 
-// peer chooses a gateway of another region; nil when none takes work.
+// peer chooses a gateway of another region; nil when none accepts requests.
 func (c *call) peer(region string) *peerset.Peer {
 	return c.gate.options.Peers.Choose(region, c.service, c.rank, c.prompt.Tokens(), c.triedPeers)
 }
 
-// bestRemote returns the other region that offers the most, and what. For a request that
-// cannot run here, one that has servers with a limit only, or whose gateways leave, is
-// better than none.
+// bestRemote returns the other region with the lowest predicted cost. A request that cannot
+// run in this region falls back to regions with rate-limited servers only, then to regions
+// whose gateways are leaving.
 func (c *call) bestRemote(localOK bool) (string, serverset.Estimate) {
 	peers := c.gate.options.Peers
 	region, remote := c.bestRegion(peers.Regions)
@@ -86,8 +86,8 @@
 	return region, remote
 }
 
-// predictLocal estimates what the region's own servers offer; ok is false when none
-// may take the request.
+// predictLocal estimates the wait and cost at the servers of the region; ok is false when none
+// may get the request.
 func (c *call) predictLocal() (e serverset.Estimate, ok bool) {
 	o := c.gate.options
 	if !c.allowedIn(o.Region) {
@@ -100,8 +100,8 @@
 	return serverset.NewJob(c.service, c.prompt, c.rank, c.triedServers).Within(c.allowedIn).Of(c.versionChoice)
 }
 
-// excess is how much longer than predicted a request would wait here than
-// elsewhere; corrected is what the correction of its wait adds.
+// excess returns how much longer than predicted a request would wait here than elsewhere;
+// correction is what the correction of its predicted wait adds.
 func (c *call) excess(correction time.Duration) time.Duration {
 	if c.congested(forwardWaitShare) {
 		return correction
@@ -109,8 +109,8 @@
 	return c.gate.waits.excess(c.route.Name)
 }
 
-// tooLate tells whether a request that was not sent anywhere yet is better
-// refused now: served late, it would make those behind it late as well.
+// tooLate reports whether a request that was not sent anywhere yet should be refused now:
+// served late, it would delay the requests behind it as well.
 func (c *call) tooLate(wait time.Duration) bool {
 	if c.forwarded || c.sends > 0 || c.route.Objective <= 0 {
 		return false
@@ -122,14 +122,13 @@
 	return wait > time.Duration(factor*float64(c.route.Objective))
 }
 
-// congested tells whether requests of the route wait for more than a part of their
-// objective here.
+// congested reports whether the mean wait of the route here exceeds a share of its objective.
 func (c *call) congested(share float64) bool {
 	return c.gate.waits.mean(c.route.Name) > time.Duration(share*float64(c.route.Objective))
 }
 
-// bestRegion returns the one of regions with the least cost; empty when the
-// request may not be forwarded.
+// bestRegion returns the region with the lowest predicted cost; empty when the request may not
+// be forwarded.
 func (c *call) bestRegion(regions func(service string) []string) (string, serverset.Estimate) {
 	best, lowest := "", serverset.Estimate{}
 	if c.forwarded || len(c.triedPeers) >= maxSends {
@@ -148,7 +147,7 @@
 	return best, lowest
 }
 
-// predictRemote estimates what a region offers by its sums.
+// predictRemote estimates the wait and cost in a region from its aggregate load.
 func (c *call) predictRemote(u wheelgauge.ServiceUse) serverset.Estimate {
 	s := c.gate.Table().Service(c.service)
 	if s == nil {
@@ -157,7 +156,7 @@
 	return c.gate.options.Servers.PredictAt(*s, u, c.prompt, c.rank)
 }
 
-// release gives up a server that was chosen.
+// release gives back a chosen server that the request is not sent to.
 func (p placement) release() {
 	if p.pick != nil {
 		p.pick.Done(serverset.Left)
--- a/routegate/pushback.go
+++ b/routegate/pushback.go
@@ -11,11 +11,11 @@
 	"wheelgauge/serverset"
 )
 
-// backoffRetrySpread is within what time after a backoff callers come back that were refused in it.
+// backoffRetrySpread is the time after the end of a backoff over which refused callers return.
 const backoffRetrySpread = 500 * time.Millisecond
 
-// observePushback takes what a server's answer asks of this host: to back off, or nothing more as it
-// leaves. It tells whether the answer asks to back off.
+// observePushback evaluates whether the answer of a server asks this host to back off, or
+// announces that the server leaves. It reports whether to back off.
 func (c *call) observePushback(x *exchange, k *serverset.Pick) (backsOff bool) {
 	status := x.head.StatusCode()
 	if status == http.StatusMisdirectedRequest {
@@ -54,21 +54,21 @@
 	}
 }
 
-// stillAccepted tells whether the server chosen still takes the request: it may have asked for
-// none while a permit or a connection was waited for.
+// stillAccepted reports whether the chosen server still accepts the request: it may have
+// pushed back while the request waited for a permit or a connection.
 func (c *call) stillAccepted(k *serverset.Pick) bool {
 	if k.Allowed() {
 		return true
 	}
 	state, now := k.Pushback(), c.gate.options.Clock.Now()
 	c.gate.options.Meter.Count("servers.pushback.kept")
-	c.gate.options.Log.V(1).Info("A server pushed back while a request was on its way.", "id", c.id, "server", k.Server().Life(),
+	c.gate.options.Log.V(1).Info("A server pushed back after it was chosen for a request.", "id", c.id, "server", k.Server().Life(),
 		"backoff_left_ms", state.Left(now).Milliseconds(), "leaving", state.Leaving(), "forwarded", c.forwarded, "sends", c.sends, "resumed", c.request.Begun())
 	return false
 }
 
-// observePeerBackoff tells whether a gateway refused a request as all servers there back off, and
-// takes until when.
+// observePeerBackoff reports whether a gateway refused a request because all its servers back
+// off, and records until when.
 func (c *call) observePeerBackoff(x *exchange, p *peerset.Peer) bool {
 	wait, ok := pushback.ParseRetryAfter(httpfield.Values(x.head, "Retry-After"), nil)
 	if !ok || wheelgauge.Reason(httpfield.Value(x.head, wheelgauge.HeaderReason)) != wheelgauge.ReasonBackoff {
@@ -78,9 +78,9 @@
 	return true
 }
 
-// backoffLeft returns when the first server takes the request again, where all that might take
-// it rest, in this region and at the gateways of others that were asked; ok is false if there
-// is another reason to wait.
+// backoffLeft returns when the first server accepts the request again if all candidates back
+// off, in this region and at the gateways of other regions that were tried; ok is false if the
+// request is refused for another reason.
 func (c *call) backoffLeft() (after time.Duration, ok bool) {
 	o := c.gate.options
 	if c.allowedIn(o.Region) {
@@ -98,8 +98,8 @@
 	return after, ok
 }
 
-// backoffRetryAfter says when a caller comes back that was refused as servers back off: they return one
-// after another as fast as the service answers, within returnSpread.
+// backoffRetryAfter returns when a caller refused during a backoff should retry: one after
+// another at the rate that the service answers, within backoffRetrySpread.
 func (c *call) backoffRetryAfter(remaining time.Duration) time.Duration {
 	remaining = (remaining + time.Millisecond - 1).Truncate(time.Millisecond)
 	return c.gate.backoffRetries.next(c.service, c.gate.options.Clock.Now(), remaining, remaining+backoffRetrySpread)
--- a/routegate/pushback_test.go
+++ b/routegate/pushback_test.go
@@ -21,7 +21,7 @@
 
 func anyJob() serverset.Job { return serverset.NewJob("s", prompt.Prompt{}, 0, nil) }
 
-// withHeaders is an answer with more header lines.
+// withHeaders adds header lines to an answer.
 func withHeaders(answer string, lines ...string) string {
 	status, rest, _ := strings.Cut(answer, "\r\n")
 	return status + "\r\n" + strings.Join(append(lines, rest), "\r\n")
@@ -31,7 +31,7 @@
 	return withHeaders(notRunAnswer, fmt.Sprintf("Retry-After: %g", seconds))
 }
 
-// A server's own answers may push back; only its 503 asks to back off.
+// Pushback counts in answers of the server itself only, and only a 503 asks to back off.
 func TestObservePushback(t *testing.T) {
 	const backoff = 30 * time.Second
 	tests := []struct {
@@ -41,19 +41,19 @@
 		wantLeaving bool
 	}{
 		{"nothing", okAnswer, false, false},
-		{"a rest", backoffAnswer(30), true, false},
-		{"a rest, in lower case", withHeaders(notRunAnswer, "retry-after: 30"), true, false},
-		{"a rest as a date", withHeaders(notRunAnswer, "Date: Thu, 16 Apr 2026 09:28:13 GMT", "Retry-After: Thu, 16 Apr 2026 09:28:43 GMT"), true, false},
-		{"a rest by an answer that may have run", withHeaders(unsigned503Answer, "Retry-After: 30"), true, false},
-		{"a rest of no time", backoffAnswer(0), false, false},
-		{"a rest that cannot be read", withHeaders(notRunAnswer, "Retry-After: soon"), false, false},
-		{"a time to come back in a success", withHeaders(okAnswer, "Retry-After: 30"), false, false},
-		{"a time to come back in a failure", withHeaders(failureAnswer, "Retry-After: 30"), false, false},
-		{"a rest of another server at the address", withHeaders(misdirectedAnswer, "Retry-After: 30", leavingHeader), false, false},
+		{"a backoff", backoffAnswer(30), true, false},
+		{"a backoff, in lower case", withHeaders(notRunAnswer, "retry-after: 30"), true, false},
+		{"a backoff as a date", withHeaders(notRunAnswer, "Date: Thu, 16 Apr 2026 09:28:13 GMT", "Retry-After: Thu, 16 Apr 2026 09:28:43 GMT"), true, false},
+		{"a backoff in an answer that may have run", withHeaders(unsigned503Answer, "Retry-After: 30"), true, false},
+		{"a backoff of no time", backoffAnswer(0), false, false},
+		{"a malformed backoff", withHeaders(notRunAnswer, "Retry-After: soon"), false, false},
+		{"Retry-After in a success", withHeaders(okAnswer, "Retry-After: 30"), false, false},
+		{"Retry-After in a failure", withHeaders(failureAnswer, "Retry-After: 30"), false, false},
+		{"a backoff of another server at the address", withHeaders(misdirectedAnswer, "Retry-After: 30", leavingHeader), false, false},
 		{"leaving, in a success", withHeaders(okAnswer, leavingHeader), false, true},
 		{"leaving, in a failure", withHeaders(failureAnswer, leavingHeader), false, true},
 		{"leaving, in a refusal", withHeaders(notRunAnswer, leavingHeader), false, true},
-		{"leaving and a rest", withHeaders(backoffAnswer(30), leavingHeader), true, true},
+		{"leaving and a backoff", withHeaders(backoffAnswer(30), leavingHeader), true, true},
 		{"not leaving", withHeaders(okAnswer, "Wheelgauge-Leaving: 0"), false, false},
 	}
 	for _, tt := range tests {
@@ -66,7 +66,7 @@
 			}
 			state := k.Pushback()
 			if state.BackingOff(time.Now().Add(backoff-time.Second)) != tt.wantBackoff || state.Leaving() != tt.wantLeaving {
-				t.Errorf("it asks %+v, want a rest %t, leaving %t", state, tt.wantBackoff, tt.wantLeaving)
+				t.Errorf("pushback is %+v, want a backoff %t, leaving %t", state, tt.wantBackoff, tt.wantLeaving)
 			}
 		})
 	}
@@ -75,26 +75,27 @@
 // brokenStream is a stream that breaks off after its first event.
 const brokenStream = streamHead + "f\r\nid: 1\ndata: a\n\n\r\n"
 
-// A server that rests, or leaves, gets no request by any way there.
+// A server that asked to back off, or announced that it leaves, gets no request on any path
+// through the gate.
 func TestPushedBackServerGetsNoRequest(t *testing.T) {
 	tests := []struct {
 		name      string
 		path      string
 		forwarded bool
-		// script is that of the other server.
+		// script holds the answers of the other server.
 		script []string
-		// permits are waited for while the server asks for none.
+		// permits is set if the server pushes back while a permit is awaited.
 		permits bool
 		status  int
 	}{
 		{"the first send", "/once/", false, nil, false, 200},
-		{"a repeat after a failure", "/safe/", false, []string{failureAnswer}, false, 502},
-		{"a repeat after a broken answer", "/safe/", false, []string{truncatedAnswer}, false, 502},
-		{"a repeat of what did not run", "/once/", false, []string{notRunAnswer}, false, 503},
+		{"a retry after a failure", "/safe/", false, []string{failureAnswer}, false, 502},
+		{"a retry after a broken answer", "/safe/", false, []string{truncatedAnswer}, false, 502},
+		{"a retry of a request that did not run", "/once/", false, []string{notRunAnswer}, false, 503},
 		{"a resumed stream", "/resume/", false, []string{brokenStream}, false, 200},
 		{"a forwarded request", "/once/", true, nil, false, 200},
 		{"a forwarded one that did not run", "/once/", true, []string{notRunAnswer}, false, 503},
-		{"after a permit was waited for", "/once/", false, nil, true, 200},
+		{"after waiting for a permit", "/once/", false, nil, true, 200},
 	}
 	for _, tt := range tests {
 		for _, kind := range []string{"rest", "leaving"} {
@@ -124,24 +125,24 @@
 					t.Errorf("got %v, want %d", resp, tt.status)
 				}
 				if got := len(pushedBack.received()); got > 0 {
-					t.Errorf("the server got %d requests", got)
+					t.Errorf("the server that pushed back got %d requests, want none", got)
 				}
 				if len(other.received()) == 0 {
-					t.Error("the other server got none")
+					t.Error("the other server got no request")
 				}
 			})
 		}
 	}
 }
 
-// pickInstance chooses a server by its name.
+// pickInstance chooses the server with the given instance name.
 func pickInstance(t *testing.T, g *Gate, instance string) *serverset.Pick {
 	t.Helper()
 	var tried []string
 	for {
 		k := g.options.Servers.Choose(serverset.NewJob("s", prompt.Prompt{}, 0, tried))
 		if k == nil {
-			t.Fatalf("%s cannot be chosen", instance)
+			t.Fatalf("server %s cannot be chosen", instance)
 		}
 		if k.Server().Instance() == instance {
 			return k
@@ -151,7 +152,7 @@
 	}
 }
 
-// permitHook are given at once, after something has happened.
+// permitHook grants every permit at once, after a callback.
 type permitHook func()
 
 func (w permitHook) Take(context.Context, string, time.Duration) (time.Duration, bool) {
@@ -159,7 +160,7 @@
 	return 0, true
 }
 
-// tryGet is as ask, for answers that may break off.
+// tryGet is like get, for answers that may break off.
 func tryGet(t *testing.T, c net.Conn, path string) (*http.Response, string, error) {
 	t.Helper()
 	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\n\r\n", path); err != nil {
@@ -173,20 +174,21 @@
 	return resp, string(body), err
 }
 
-// A request that all servers push back is refused at once, with when the first takes work.
+// A request is refused at once while all servers back off; Retry-After is the end of the
+// shortest backoff.
 func TestRefusedWhileAllBackOff(t *testing.T) {
 	tests := []struct {
 		name string
-		// rests are those of the servers, none below 0.
+		// backoffs are those of the servers; negative for a server without one.
 		backoffs []time.Duration
 		status   int
 		want     time.Duration
 	}{
 		{"one", []time.Duration{8 * time.Second}, 503, 8 * time.Second},
-		{"the first of three", []time.Duration{9 * time.Second, 5 * time.Second, 7 * time.Second}, 503, 5 * time.Second},
-		{"longer than the caller waits", []time.Duration{time.Minute}, 503, time.Minute},
-		{"one does not rest", []time.Duration{9 * time.Second, -1}, 200, 0},
-		{"none rests", []time.Duration{-1}, 200, 0},
+		{"the shortest of three", []time.Duration{9 * time.Second, 5 * time.Second, 7 * time.Second}, 503, 5 * time.Second},
+		{"longer than the deadline", []time.Duration{time.Minute}, 503, time.Minute},
+		{"one does not back off", []time.Duration{9 * time.Second, -1}, 200, 0},
+		{"none backs off", []time.Duration{-1}, 200, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -212,35 +214,37 @@
 					continue
 				}
 				if resp.Header.Get(wheelgauge.HeaderOutcome) != string(wheelgauge.OutcomeNotRun) || !strings.Contains(body, string(wheelgauge.ReasonBackoff)) {
-					t.Errorf("refused with %v %s", resp.Header, body)
+					t.Errorf("refused with headers %v and body %s, want not run and reason backoff", resp.Header, body)
 				}
 				after, ok := pushback.ParseSeconds(resp.Header.Get("Retry-After"))
 				if left := tt.want - time.Since(began); !ok || after < left || after > tt.want+backoffRetrySpread+time.Millisecond {
-					t.Errorf("told to come back after %s, %s are left of the rest", after, left)
+					t.Errorf("Retry-After is %s, %s are left of the backoff", after, left)
 				}
 			}
 			for i, b := range backends {
 				if tt.backoffs[i] > 0 && len(b.received()) > 0 {
-					t.Errorf("server %d got %d requests in its backoff", i, len(b.received()))
+					t.Errorf("server %d got %d requests during its backoff", i, len(b.received()))
 				}
 			}
 		})
 	}
 }
 
-// A gateway whose servers back off is not asked before they take work again.
+// A gateway whose servers all back off gets no request until the first of them accepts work
+// again.
 func TestForwardToAGatewayWhoseServersBackOff(t *testing.T) {
 	const backoff = 7 * time.Second
 	tests := []struct {
 		name string
-		// here is the rest of the own region's server, which may not be used below 0.
+		// localBackoff is the backoff of the server in this region; if negative, the route may
+		// not run in this region.
 		localBackoff time.Duration
 		path         string
 		want         time.Duration
 	}{
-		{"nothing may run here", -1, "/away/", backoff},
-		{"servers here rest longer", 9 * time.Second, "/safe/", backoff},
-		{"servers here rest shorter", 4 * time.Second, "/safe/", 4 * time.Second},
+		{"not allowed to run here", -1, "/away/", backoff},
+		{"servers here back off longer", 9 * time.Second, "/safe/", backoff},
+		{"servers here back off shorter", 4 * time.Second, "/safe/", 4 * time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -260,15 +264,15 @@
 			for range 3 {
 				resp, _, err := get(t, c, tt.path, "")
 				if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-					t.Fatalf("got %v, %v", resp, err)
+					t.Fatalf("got %v, %v, want 503", resp, err)
 				}
 				after, ok := pushback.ParseSeconds(resp.Header.Get("Retry-After"))
 				if left := tt.want - time.Since(began); !ok || after < left || after > tt.want+2*backoffRetrySpread {
-					t.Errorf("told to come back after %s, %s are left", after, left)
+					t.Errorf("Retry-After is %s, %s are left", after, left)
 				}
 			}
 			if got := len(far.received()); got != 1 {
-				t.Errorf("the server there got %d requests, want 1", got)
+				t.Errorf("the remote server got %d requests, want 1", got)
 			}
 		})
 	}
--- a/routegate/relay.go
+++ b/routegate/relay.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// maxBufferedBytes is the largest answer that is read before any of it is sent
-	// on, so that one that breaks can still be repeated or refused.
+	// maxBufferedBytes is the size below which an answer is read completely before any of it
+	// is relayed, so that a truncated one can still be retried or refused.
 	maxBufferedBytes = 256 << 10
-	// relayBufferBytes is read at once of a longer answer or a stream.
+	// relayBufferBytes is the read size for larger answers and streams.
 	relayBufferBytes = 16 << 10
 )
 
 var errUnsigned = errors.New("a success without the server's signature")
 
-// relay passes an answer on.
+// relay passes an answer on to the caller.
 func (c *call) relay(x *exchange) result {
 	status := x.head.StatusCode()
 	success := isSuccess(status)
@@ -34,14 +34,15 @@
 		return c.relayStream(x)
 	}
 	if c.request.Begun() {
-		// A resumed stream was answered with a failure.
+		// The server did not resume the stream: its answer is no success.
 		c.cause = fmt.Sprintf("resume answered %d", status)
 		return failed
 	}
 	return c.relayBuffered(x)
 }
 
-// relayBuffered passes on an answer that is not a stream.
+// relayBuffered relays an answer that is not a stream, and reads it completely first if it is
+// small.
 func (c *call) relayBuffered(x *exchange) result {
 	status := x.head.StatusCode()
 	if x.body.Length() > maxBufferedBytes {
@@ -72,7 +73,7 @@
 	return answered
 }
 
-// endWriteFailed ends a request whose caller does not take the answer.
+// endWriteFailed ends a request whose caller does not accept the answer.
 func (c *call) endWriteFailed(err error) result {
 	c.endCallerLeft()
 	c.cause = err.Error()
@@ -83,7 +84,7 @@
 	return answered
 }
 
-// relayUnbuffered passes on a long answer piece by piece; begun holds what was read.
+// relayUnbuffered relays a large answer as it arrives; buffered holds what was already read.
 func (c *call) relayUnbuffered(x *exchange, buffered []byte) result {
 	c.status = x.head.StatusCode()
 	c.request.Begin(c.status, responseFields(x.head), max(-1, x.body.Length()))
@@ -112,8 +113,8 @@
 	return answered
 }
 
-// relayStream passes on whole events. A stream that breaks is resumed where
-// its route allows, else cut.
+// relayStream relays complete events. A broken stream is resumed if its route allows that, and
+// closed otherwise.
 func (c *call) relayStream(x *exchange) result {
 	buf := make([]byte, relayBufferBytes)
 	for {
@@ -150,7 +151,7 @@
 	return err
 }
 
-// endStream completes a stream; what follows the last whole event belongs to it.
+// endStream completes a stream, including any bytes after the last complete event.
 func (c *call) endStream(x *exchange) result {
 	if rest := c.splitter.Rest(); len(rest) > 0 || !c.request.Begun() {
 		if err := c.writeEvents(x, rest); err != nil {
@@ -164,7 +165,7 @@
 	return answered
 }
 
-// endBrokenStream drops what came of an unfinished event and remembers where to resume.
+// endBrokenStream discards an incomplete event and records the event ID to resume from.
 func (c *call) endBrokenStream(err error) result {
 	c.cause = err.Error()
 	c.splitter.Rest()
--- a/routegate/retrybudget_test.go
+++ b/routegate/retrybudget_test.go
@@ -22,8 +22,7 @@
 	"wheelgauge/serverset"
 )
 
-// fleet is several hosts before servers that are all full, with a clock of its
-// own.
+// fleet is several hosts whose servers are all full, with a clock of its own.
 type fleet struct {
 	t         *testing.T
 	mu        sync.Mutex
@@ -45,7 +44,7 @@
 	f.current = f.current.Add(d)
 }
 
-// newFleet starts hosts, spread over regions with some full servers each.
+// newFleet starts hosts spread over regions, with some full servers in each.
 func newFleet(t *testing.T, hosts, regions, servers int, budget retrybudget.Options) *fleet {
 	t.Helper()
 	f := &fleet{t: t, current: time.Now(), servers: map[string][]*backend{}, budget: budget}
@@ -84,7 +83,7 @@
 		list = append(list, wheelgauge.Server{Instance: fmt.Sprint(region, "-", i), Service: "s", Address: b.conn.Addr().String(), Hall: "h", Slots: 4})
 	}
 	servers.Update(list, f.now())
-	// Its own region seems to be busier than the others: they are tried first.
+	// The own region looks busier than the others, so that those are tried first.
 	var uses []wheelgauge.ServerUse
 	for _, s := range list {
 		uses = append(uses, wheelgauge.ServerUse{Instance: s.Instance, Running: 400})
@@ -139,7 +138,8 @@
 	return resp.StatusCode
 }
 
-// arrivals returns how often servers were asked, and by how many requests.
+// arrivals returns how many requests servers received, retries included, and how many
+// different ones.
 func (f *fleet) arrivals() (all, requests int) {
 	ids := map[string]bool{}
 	for _, servers := range f.servers {
@@ -153,16 +153,16 @@
 	return all, len(ids)
 }
 
-// While a pool was full everywhere, requests were shown to up to six servers,
-// and most of these sends were not counted as repeats: a host counts the sends
-// of its own, and one that forwarded a request, and got it back as not run, had
-// sent nothing itself. All hosts together went over the bound on repeats.
+// Guards the bound on retries over all hosts while every server is full. A host that forwards
+// a request and gets it back as not run has sent nothing itself; if it does not count the
+// sends at the other host, a request reaches up to six servers and most of these sends are
+// missing in the retry budget.
 func TestRetryBudgetOverAllHosts(t *testing.T) {
 	const (
 		rounds        = 60                     // within one window
-		roundInterval = 150 * time.Millisecond // between rounds: a server that was full is tried again
+		roundInterval = 150 * time.Millisecond // time between rounds, after which full servers are tried again
 		perHost       = 2                      // requests at each host in a round
-		servers       = 3                      // full ones in each region
+		servers       = 3                      // full servers in each region
 	)
 	tests := []struct {
 		name    string
@@ -203,7 +203,7 @@
 			limit := o.Ratio*float64(sent) + o.Slack
 			t.Logf("%d requests, %d arrivals of %d of them", sent, all, requests)
 			if float64(all-requests) > limit {
-				t.Errorf("%d arrivals beyond the first of their request, want %.0f at most", all-requests, limit)
+				t.Errorf("%d arrivals beyond the first of each request, want %.0f at most", all-requests, limit)
 			}
 		})
 	}
--- a/routegate/retryschedule.go
+++ b/routegate/retryschedule.go
@@ -7,24 +7,24 @@
 	"wheelgauge/meanrate"
 )
 
-// servedRateWindow is over how long the requests of a service are averaged that are served.
+// servedRateWindow is the averaging window for the rate of served requests of a service.
 const servedRateWindow = 2 * time.Second
 
-// retrySchedules tells callers that were refused because of limits or backoffs of servers when to come
-// back: one after another, as fast as others are served. Told the same moment, or to come when the next
-// permit is due, most of them would be refused again and again.
+// retrySchedules spaces out the retries of callers refused because of server limits or
+// backoffs, at the rate at which requests are served. Told to return at the same moment, or
+// when the next permit is due, most of them would be refused again and again.
 type retrySchedules struct {
 	mu       sync.Mutex
 	services map[string]*retrySchedule
 }
 
-// retrySchedule is that of a service.
+// retrySchedule is the schedule of one service.
 type retrySchedule struct {
 	served meanrate.Rate
 	last   time.Time
 }
 
-// schedule returns a service's; the lock is held.
+// schedule returns the schedule of a service; the lock is held.
 func (t *retrySchedules) schedule(service string) *retrySchedule {
 	if t.services == nil {
 		t.services = map[string]*retrySchedule{}
@@ -35,15 +35,15 @@
 	return t.services[service]
 }
 
-// served notes that a request got its turn.
+// served records that a request was served.
 func (t *retrySchedules) served(service string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.schedule(service).served.Add(1, now)
 }
 
-// next returns when the next caller that is refused should come back, where the next turn
-// is due after soonest: within the latest time.
+// next returns when the next refused caller should retry: after earliest at the soonest, and
+// within latest.
 func (t *retrySchedules) next(service string, now time.Time, earliest, latest time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/routegate/retryschedule_test.go
+++ b/routegate/retryschedule_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Callers that are refused come back as fast as permits come, and none later than it can
-// wait.
+// Refused callers return at the rate at which permits are granted, and none after the latest
+// time.
 func TestRetrySchedule(t *testing.T) {
 	const latest = 2500 * time.Millisecond
 	tests := []struct {
 		name string
-		// permits come a second, refused callers are told at once when to come back.
+		// permits are granted per second; the refused callers get their retry times at once.
 		permits int
 		refused int
-		// within counts those who come back within a second.
+		// wantWithin is how many return within a second.
 		wantWithin int
 	}{
 		{"few callers", 8, 4, 4},
@@ -34,14 +34,14 @@
 			for range tt.refused {
 				after := ts.next("s", now, 100*time.Millisecond, latest)
 				if after > latest {
-					t.Errorf("told to come back after %v", after)
+					t.Errorf("retry after %v, later than the latest time", after)
 				}
 				if after < time.Second {
 					within++
 				}
 			}
 			if within < tt.wantWithin || within > tt.wantWithin+1 {
-				t.Errorf("%d come back within a second, want %d", within, tt.wantWithin)
+				t.Errorf("%d return within a second, want %d", within, tt.wantWithin)
 			}
 		})
 	}
--- a/routegate/slowreader_test.go
+++ b/routegate/slowreader_test.go
@@ -17,7 +17,7 @@
 	"wheelgauge/callerhttp"
 )
 
-// endlessStream is a stream that never ends.
+// endlessStream is a server whose streams never end.
 type endlessStream struct {
 	sent  atomic.Int64
 	ended chan error
@@ -40,7 +40,7 @@
 	}
 }
 
-// A caller that takes nothing of a stream is cut off, while others are served.
+// A caller that reads nothing of its stream is disconnected, while others are served.
 func TestCallerThatDoesNotRead(t *testing.T) {
 	f := &endlessStream{ended: make(chan error, 1)}
 	slow := &backend{conn: listen(t, f.serve)}
@@ -59,28 +59,28 @@
 		t.Fatal(err)
 	}
 	if resp, _, err := get(t, quick, "/none/", ""); err != nil || resp.StatusCode != http.StatusNotFound {
-		t.Errorf("another caller got %v, %v", resp, err)
+		t.Errorf("another caller got %v, %v, want 404", resp, err)
 	}
 	select {
 	case <-f.ended:
 	case <-time.After(testLimit):
-		t.Fatal("the server is still held up")
+		t.Fatal("the server is still blocked writing")
 	}
 	for end := time.Now().Add(testLimit); counterValue(t, g, "answers.unread") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it is not counted")
+			t.Fatal("answers.unread is still 0")
 		}
 	}
 	if got := counterValue(t, g, "requests.ok"); got != 0 {
-		t.Errorf("%d requests count as served", got)
+		t.Errorf("%d requests count as ok, want none", got)
 	}
-	// What is on the way is in the buffers of two connections.
+	// Bytes in transit are limited by the buffers of two connections.
 	if sent := f.sent.Load(); sent > 16<<20 {
-		t.Errorf("the server sent %d bytes to a caller that took none", sent)
+		t.Errorf("the server sent %d bytes to a caller that reads none, want 16 MB at most", sent)
 	}
 }
 
-// counterValue reads one of the gate's counters.
+// counterValue reads one of the counters of the gate.
 func counterValue(t *testing.T, g *Gate, name string) int {
 	t.Helper()
 	var out bytes.Buffer
@@ -95,13 +95,15 @@
 }
 
 const (
-	// slowStreams is how many callers read nothing at once.
+	// slowStreams is the number of callers that read nothing.
 	slowStreams = 40
-	// slowLimit bounds the time until all are held up, with their sockets' buffers full.
+	// slowLimit bounds the time until all streams are blocked, with the buffers of their
+	// sockets full.
 	slowLimit = 2 * time.Minute
 )
 
-// Streams that nobody reads hold no more memory than connections are counted by.
+// A stream that its caller does not read uses no more memory than SlowConnBytes, by which
+// connections are limited.
 func TestMemoryOfSlowReaders(t *testing.T) {
 	f := &endlessStream{ended: make(chan error, 2*slowStreams)}
 	server := &backend{conn: listen(t, f.serve)}
@@ -112,15 +114,15 @@
 	}
 	baseline := f.memoryPerStream(t, server.conn.Addr().String())
 	perStream := f.memoryPerStream(t, s.Address()) - baseline
-	t.Logf("%d kB a stream, and %d kB of the stand-in", perStream>>10, baseline>>10)
+	t.Logf("%d kB per stream, and %d kB for the server of the test", perStream>>10, baseline>>10)
 	if perStream > wheelgauge.SlowConnBytes {
-		t.Errorf("a stream that nobody reads holds %d bytes, want %d at most", perStream, wheelgauge.SlowConnBytes)
+		t.Errorf("an unread stream uses %d bytes, want %d at most", perStream, wheelgauge.SlowConnBytes)
 	}
 	_ = s.Close(t.Context())
 }
 
-// memoryPerStream asks an address for streams, reads none, and returns the memory that each holds when
-// all are held up.
+// memoryPerStream opens streams at an address, reads none of them, and returns the memory that
+// each uses once all are blocked.
 func (f *endlessStream) memoryPerStream(t *testing.T, address string) int {
 	t.Helper()
 	before, from := settledMemory(t), f.sent.Load()
@@ -137,14 +139,15 @@
 	until := time.Now().Add(slowLimit)
 	for sent, last := int64(-1), from; sent != last || last == from; time.Sleep(500 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("not all streams are held up: %d bytes sent", last-from)
+			t.Fatalf("not all streams are blocked: %d bytes sent", last-from)
 		}
 		sent, last = last, f.sent.Load()
 	}
 	return int(memoryInUse()-before) / slowStreams
 }
 
-// settledMemory returns the memory in use once it falls no more: what earlier tests held goes first.
+// settledMemory returns the memory in use once it no longer falls, after that of earlier tests
+// has been freed.
 func settledMemory(t *testing.T) uint64 {
 	t.Helper()
 	const tolerance = 64 << 10
@@ -157,11 +160,11 @@
 		}
 		last = now
 	}
-	t.Fatal("the memory in use still falls")
+	t.Fatal("the memory in use is still falling")
 	return 0
 }
 
-// memoryInUse returns the memory in use, in bytes.
+// memoryInUse returns the heap and stack memory in use, in bytes.
 func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/routegate/suspend_test.go
+++ b/routegate/suspend_test.go
@@ -14,8 +14,8 @@
 	"wheelgauge/fake/fakeclock"
 )
 
-// suspendingLimiter suspends the host while it draws units of a cap, as once a request was judged and
-// before it is sent.
+// suspendingLimiter suspends the host while cap units are taken: after a request was admitted
+// and before it is sent.
 type suspendingLimiter struct {
 	fakeLimiter
 	clock    *fakeclock.Clock
@@ -27,8 +27,8 @@
 	return n.fakeLimiter.Take(ctx, w, units)
 }
 
-// A request whose caller's time has gone by while the host was suspended is not sent: it
-// was, with the time that it had before, to a server that worked for nobody.
+// A request that expires while the host is suspended is not sent. Computed without the
+// suspended time, its deadline would let a server work for a caller that no longer waits.
 func TestSuspendedBeforeSending(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -36,9 +36,9 @@
 		status  int
 		sent    int
 	}{
-		{"not at all", 0, http.StatusOK, 1},
-		{"for less than it has", 3 * time.Second, http.StatusOK, 1},
-		{"for longer", 6 * time.Second, http.StatusServiceUnavailable, 0},
+		{"not suspended", 0, http.StatusOK, 1},
+		{"for less than the time left", 3 * time.Second, http.StatusOK, 1},
+		{"for longer than the time left", 6 * time.Second, http.StatusServiceUnavailable, 0},
 		{"for a minute", time.Minute, http.StatusServiceUnavailable, 0},
 	}
 	for _, tt := range tests {
@@ -53,21 +53,21 @@
 				t.Fatal(err)
 			}
 			if resp.StatusCode != tt.status || len(b.received()) != tt.sent {
-				t.Errorf("answered %d, sent %d times", resp.StatusCode, len(b.received()))
+				t.Errorf("unexpected status %d after %d sends", resp.StatusCode, len(b.received()))
 			}
 			if tt.sent == 0 {
 				return
 			}
 			left := b.received()[0].Get(wheelgauge.HeaderDeadline)
 			if limit := (5*time.Second - tt.suspend).Milliseconds(); len(left) == 0 || atoi(t, left) > limit {
-				t.Errorf("the server has %s ms, %d are left", left, limit)
+				t.Errorf("the server got %s ms, %d are left", left, limit)
 			}
 		})
 	}
 }
 
-// A host that wakes does not know its configuration to be the newest: it sends callers with
-// unknown keys on, where it said 401, which they don't come back after.
+// After a suspension a host does not know whether its configuration is the newest. It answers
+// unknown keys with 503, so that callers try another host; they do not retry after a 401.
 func TestKeysAfterSuspend(t *testing.T) {
 	g, c := newGate(t, routes(), newBackend(t))
 	clock := &fakeclock.Clock{}
@@ -99,8 +99,8 @@
 	return n
 }
 
-// A request in flight whose time went by while the host was suspended is ended when it
-// wakes, and its server's side closed; one that has time left goes on.
+// A request in flight that expired while the host was suspended is ended on waking, and the
+// connection to its server closed; one with time left goes on.
 func TestWakeEndsExpiredRequests(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -108,8 +108,8 @@
 		ended   int
 		status  int
 	}{
-		{"it has time left", 3 * time.Second, 0, http.StatusOK},
-		{"its time went by", 10 * time.Second, 1, http.StatusGatewayTimeout},
+		{"has time left", 3 * time.Second, 0, http.StatusOK},
+		{"has expired", 10 * time.Second, 1, http.StatusGatewayTimeout},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -148,7 +148,7 @@
 			<-received
 			clock.Suspend(tt.suspend)
 			if ended := g.Wake(); ended != tt.ended {
-				t.Errorf("%d are ended, want %d", ended, tt.ended)
+				t.Errorf("%d requests ended, want %d", ended, tt.ended)
 			}
 			if tt.ended == 0 {
 				close(answer)
@@ -156,7 +156,7 @@
 				<-closed
 			}
 			if status := <-got; status != tt.status {
-				t.Errorf("answered %d, want %d", status, tt.status)
+				t.Errorf("got %d, want %d", status, tt.status)
 			}
 		})
 	}
--- a/routegate/version.go
+++ b/routegate/version.go
@@ -11,8 +11,8 @@
 	"wheelgauge/serverset"
 )
 
-// placeForVersion places the request on a server of a version that may get it. Where the version
-// that is rolled out has no server for it, the others are as good.
+// placeForVersion chooses a server of a version that may get the request. If the target
+// version of a rollout has no server for it, the other versions may get it.
 func (c *call) placeForVersion(ctx context.Context) placement {
 	g := c.gate.options
 	c.releaseVersions()
@@ -38,13 +38,13 @@
 	}
 }
 
-// longestDuration is how long the request is likely to take at most.
+// longestDuration is the longest time that the request is likely to take.
 func (c *call) longestDuration() time.Duration {
 	return c.gate.durations.get(c.route.Name, c.route.Timeout).longest
 }
 
-// recordAnswer counts how a server answered, for rollouts. What it did not run, and what its caller
-// gave up, says nothing.
+// recordAnswer counts the answer of a server for rollouts. Requests that it did not run, or
+// whose caller disconnected, do not count.
 func (c *call) recordAnswer(ctx context.Context, x *exchange, k *serverset.Pick) {
 	if ctx.Err() != nil || c.callerLeft {
 		return
--- a/routegate/waitstats.go
+++ b/routegate/waitstats.go
@@ -8,20 +8,19 @@
 const (
 	// waitWeight is the weight of a new wait in the running means.
 	waitWeight = 0.05
-	// minCorrection and mostCorrection bound how far seen waits correct the
+	// minCorrection and maxCorrection bound the factor by which observed waits correct
 	// predicted ones.
 	minCorrection = 1.0
 	maxCorrection = 8.0
-	// waitFloorMS keeps short waits from deciding the correction, in milliseconds.
+	// waitFloorMS keeps short waits from dominating the correction.
 	waitFloorMS = 50.0
-	// idleExcessMS is what requests take longer than predicted at an idle server, in
-	// milliseconds: the first step of an engine, and what long prompts need besides.
+	// idleExcessMS is by how much requests exceed the prediction at an idle server: the first
+	// step of an engine, and the additional cost of long prompts.
 	idleExcessMS = 60.0
 )
 
-// waitStats compares the predicted waits of each route with those seen, so that
-// what the prediction does not know, such as more urgent work in the engines,
-// counts in the next one.
+// waitStats compares predicted with observed waits per route, so that effects outside the
+// prediction, such as higher-priority work in the engines, enter the next one.
 type waitStats struct {
 	mu     sync.Mutex
 	routes map[string]*waitMeans
@@ -32,7 +31,7 @@
 	observed  float64
 }
 
-// observe takes a predicted wait and the one seen.
+// observe records a predicted wait and the observed one.
 func (w *waitStats) observe(route string, predicted, observed time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -48,7 +47,7 @@
 	m.observed += waitWeight * (float64(observed.Milliseconds()) - m.observed)
 }
 
-// correct returns a predicted wait as it should be.
+// correct scales a predicted wait by the ratio of observed to predicted waits.
 func (w *waitStats) correct(route string, predicted time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -60,8 +59,8 @@
 	return time.Duration(float64(predicted) * min(maxCorrection, max(minCorrection, factor)))
 }
 
-// excess returns how much longer than predicted requests of a route wait here,
-// beyond what they would at an idle server anywhere.
+// excess returns how much longer than predicted requests of a route wait here, beyond the
+// excess at any idle server.
 func (w *waitStats) excess(route string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -72,7 +71,7 @@
 	return time.Duration(max(0, m.observed-m.predicted-idleExcessMS) * float64(time.Millisecond))
 }
 
-// mean returns the running mean of the waits seen on a route.
+// mean returns the running mean of the waits observed on a route.
 func (w *waitStats) mean(route string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/routegate/waitstats_test.go
+++ b/routegate/waitstats_test.go
@@ -8,25 +8,25 @@
 func TestWaitsCorrectPredictions(t *testing.T) {
 	var w waitStats
 	if got := w.correct("r", time.Second); got != time.Second {
-		t.Errorf("nothing seen: %s", got)
+		t.Errorf("without observations: got %s, want 1s", got)
 	}
 	for range 200 {
 		w.observe("r", 100*time.Millisecond, 800*time.Millisecond)
 		w.observe("exact", 800*time.Millisecond, 100*time.Millisecond)
 	}
 	if got := w.correct("r", 100*time.Millisecond); got < 500*time.Millisecond || got > 600*time.Millisecond {
-		t.Errorf("seen eight times as long: %s", got)
+		t.Errorf("observed eight times as long: got %s, want 500ms to 600ms", got)
 	}
 	if got := w.correct("exact", time.Second); got != time.Second {
-		t.Errorf("predictions are lowered to %s", got)
+		t.Errorf("the prediction is lowered to %s, want 1s", got)
 	}
 	if got := w.mean("r"); got < 790*time.Millisecond || got > 810*time.Millisecond {
-		t.Errorf("mean %s", got)
+		t.Errorf("mean is %s, want 790ms to 810ms", got)
 	}
 }
 
-// What requests take longer than predicted everywhere is no reason to send them
-// away; only what goes beyond it is a queue of this region's.
+// The excess at an idle server is no reason to forward requests; only what exceeds it is a
+// queue in this region.
 func TestWaitExcess(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -35,20 +35,20 @@
 		want      time.Duration
 	}{
 		{"as at an idle server", 100 * time.Millisecond, 150 * time.Millisecond, 0},
-		{"sooner than predicted", 400 * time.Millisecond, 150 * time.Millisecond, 0},
+		{"shorter than predicted", 400 * time.Millisecond, 150 * time.Millisecond, 0},
 		{"a queue", 100 * time.Millisecond, 460 * time.Millisecond, 300 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var w waitStats
 			if got := w.excess("r"); got != 0 {
-				t.Errorf("nothing seen: %s", got)
+				t.Errorf("without observations: got %s, want 0", got)
 			}
 			for range 200 {
 				w.observe("r", tt.predicted, tt.observed)
 			}
 			if got := w.excess("r"); got.Round(5*time.Millisecond) != tt.want {
-				t.Errorf("excess %s, want %s", got, tt.want)
+				t.Errorf("excess is %s, want %s", got, tt.want)
 			}
 		})
 	}
--- a/routegate/workspace_test.go
+++ b/routegate/workspace_test.go
@@ -9,7 +9,7 @@
 	"wheelgauge/routetable"
 )
 
-// workspaces are two that share nothing; one is at home in another region.
+// workspaces returns workspaces without keys in common; one has its homes in other regions.
 func workspaces() []wheelgauge.Workspace {
 	return []wheelgauge.Workspace{
 		{Name: "desk", Keys: []string{"desk-key-1", "desk-key-2"}, Priority: 1},
@@ -39,29 +39,30 @@
 		name    string
 		path    string
 		headers string
-		// unsure is set when the host does not know its configuration to be the newest.
+		// staleConfig is set when the host cannot confirm that its configuration is the
+		// newest.
 		staleConfig bool
 		status      int
-		workspace   string // what the server is told
+		workspace   string // what the server receives
 		priority    string
 	}{
 		{"a key", "/safe/", key + "desk-key-1", false, 200, "desk", "3"},
 		{"another key of it", "/once/", key + "desk-key-2", false, 200, "desk", "2"},
-		{"the workspace's priority goes first", "/safe/", key + "clinic-key", false, 200, "clinic", "1"},
-		{"header names have no case", "/safe/", "wheelgauge-KEY: desk-key-1", false, 200, "desk", "3"},
+		{"the priority of the workspace goes first", "/safe/", key + "clinic-key", false, 200, "clinic", "1"},
+		{"header names are case-insensitive", "/safe/", "wheelgauge-KEY: desk-key-1", false, 200, "desk", "3"},
 		{"no key", "/safe/", "", false, 401, "", ""},
 		{"an unknown key", "/safe/", key + "desk-key-3", false, 401, "", ""},
-		{"keys have a case", "/safe/", key + "DESK-KEY-1", false, 401, "", ""},
+		{"keys are case-sensitive", "/safe/", key + "DESK-KEY-1", false, 401, "", ""},
 		{"an empty key", "/safe/", key, false, 401, "", ""},
 		{"two keys", "/safe/", key + "desk-key-1\r\n" + key + "clinic-key", false, 401, "", ""},
 		{"one key twice", "/safe/", key + "desk-key-1\r\n" + key + "desk-key-1", false, 401, "", ""},
-		{"an unknown key where the configuration may be old", "/safe/", key + "desk-key-3", true, 503, "", ""},
-		{"a known key there", "/safe/", key + "desk-key-1", true, 200, "desk", "3"},
-		{"a route for all", "/open/", "", false, 200, "", "5"},
-		{"a route for all, with a key", "/open/", key + "desk-key-1", false, 200, "desk", "3"},
-		{"a route for all, with an unknown key", "/open/", key + "other", false, 401, "", ""},
-		{"the caller's own word", "/safe/", key + "desk-key-1\r\nWheelgauge-Workspace: clinic", false, 200, "desk", "3"},
-		{"the caller's own word alone", "/open/", "Wheelgauge-Workspace: clinic", false, 200, "", "5"},
+		{"an unknown key with a stale configuration", "/safe/", key + "desk-key-3", true, 503, "", ""},
+		{"a known key with a stale configuration", "/safe/", key + "desk-key-1", true, 200, "desk", "3"},
+		{"an open route", "/open/", "", false, 200, "", "5"},
+		{"an open route, with a key", "/open/", key + "desk-key-1", false, 200, "desk", "3"},
+		{"an open route, with an unknown key", "/open/", key + "other", false, 401, "", ""},
+		{"a workspace header of the caller", "/safe/", key + "desk-key-1\r\nWheelgauge-Workspace: clinic", false, 200, "desk", "3"},
+		{"a workspace header of the caller, without a key", "/open/", "Wheelgauge-Workspace: clinic", false, 200, "", "5"},
 		{"no home here", "/safe/", key + "abroad-key", false, 503, "", ""},
 		{"no home in common with the route", "/local/", key + "abroad-key", false, 421, "", ""},
 	}
@@ -86,26 +87,26 @@
 			}
 			if tt.status != 200 {
 				if len(b.received()) > 0 || resp.Header.Get(wheelgauge.HeaderOutcome) != string(wheelgauge.OutcomeNotRun) {
-					t.Errorf("refused, and %d servers got it", len(b.received()))
+					t.Errorf("refused, but sent to %d servers or without the outcome not run", len(b.received()))
 				}
 				if tt.status == 503 && resp.Header.Get("Retry-After") == "" {
-					t.Error("a caller who may come back is not told when")
+					t.Error("a 503 has no Retry-After")
 				}
 				return
 			}
 			h := b.received()[0]
 			if h.Get(wheelgauge.HeaderWorkspace) != tt.workspace || h.Get("Wheelgauge-Priority") != tt.priority {
-				t.Errorf("the server was told workspace %q, priority %s", h.Get(wheelgauge.HeaderWorkspace), h.Get("Wheelgauge-Priority"))
+				t.Errorf("the server got workspace %q, priority %s", h.Get(wheelgauge.HeaderWorkspace), h.Get("Wheelgauge-Priority"))
 			}
 			if strings.Contains(strings.ToLower(fmt.Sprint(h)), "-key") {
-				t.Errorf("the server was shown the key: %v", h)
+				t.Errorf("the server got the key: %v", h)
 			}
 		})
 	}
 }
 
-// A forwarded request is judged by the host that the caller came to; the workspace's
-// homes bind here too, and one that is not known here has unknown homes.
+// A forwarded request is authenticated by the host that the caller connected to. The homes of
+// its workspace apply here too, and a workspace unknown here has unknown homes.
 func TestForwardedWorkspace(t *testing.T) {
 	tests := []struct {
 		name, workspace string
@@ -133,7 +134,7 @@
 				t.Fatalf("got %d %s, want %d", resp.StatusCode, body, tt.status)
 			}
 			if tt.status == 200 && b.received()[0].Get(wheelgauge.HeaderWorkspace) != tt.workspace {
-				t.Errorf("the server was told %q", b.received()[0].Get(wheelgauge.HeaderWorkspace))
+				t.Errorf("the server got workspace %q", b.received()[0].Get(wheelgauge.HeaderWorkspace))
 			}
 		})
 	}
