--- a/serverset/limit_test.go
+++ b/serverset/limit_test.go
@@ -14,8 +14,8 @@
 func TestDeferred(t *testing.T) {
 	const wait = 10 * time.Second
 	tests := []struct {
-		name string
-		pass time.Duration
+		name    string
+		elapsed time.Duration
 		// rate is the limit by then; negative for none.
 		rate      float64
 		takes     bool
@@ -34,7 +34,7 @@
 			tb.SetLimits(func(string) (float64, bool) { return max(0, rate), rate >= 0 })
 			job := NewJob(plain, prompt.Prompt{}, 0, nil)
 			tb.Choose(job).Defer(wait)
-			c.advance(tt.pass)
+			c.advance(tt.elapsed)
 			rate = tt.rate
 			if k := tb.ChooseLimited(job, time.Second); (k != nil) != tt.takesSoon {
 				t.Errorf("takes a request soon: %v, want %v", k != nil, tt.takesSoon)
--- a/serverset/restart_test.go
+++ b/serverset/restart_test.go
@@ -8,7 +8,7 @@
 	"wheelgauge/prompt"
 )
 
-// tableWithInstance returns a table with one engine that was started at startID 100 and
+// tableWithInstance returns a table with one engine that was with start time 100 and
 // has a prompt's parts cached.
 func tableWithInstance(t *testing.T, now *time.Time) (*Table, Job) {
 	t.Helper()
@@ -22,8 +22,8 @@
 	return table, j
 }
 
-func engineInstance(startID int64) wheelgauge.Server {
-	return wheelgauge.Server{Instance: "i", Born: startID, Service: "s", Address: "127.0.0.1:1", Hall: "h", Slots: 4}
+func engineInstance(startMS int64) wheelgauge.Server {
+	return wheelgauge.Server{Instance: "i", Born: startMS, Service: "s", Address: "127.0.0.1:1", Hall: "h", Slots: 4}
 }
 
 // What was learned of a server must not apply to a later instance under the same name.
--- a/serverset/server.go
+++ b/serverset/server.go
@@ -38,11 +38,11 @@
 )
 
 // Server is one backend server as seen by this host. The lock of its table guards it,
-// except for instance, address, startID, life and pool, which never change.
+// except for instance, address, startMS, life and pool, which never change.
 type Server struct {
 	instance string
 	address  string
-	startID  int64
+	startMS  int64
 	life     string
 	// spec is the server's entry in the latest list.
 	spec wheelgauge.Server
@@ -103,7 +103,7 @@
 
 func newServer(spec wheelgauge.Server, conns int, now func() time.Time) *Server {
 	return &Server{
-		instance: spec.Instance, address: spec.Address, startID: spec.Born, life: spec.Life(),
+		instance: spec.Instance, address: spec.Address, startMS: spec.Born, life: spec.Life(),
 		spec: spec, hash: rendezvous.Hash(spec.Instance), pool: serverconn.New(spec.Address, conns, serverconn.Near(now)),
 		cachedParts: map[uint64]time.Time{}, firstSeen: now(),
 	}
@@ -115,8 +115,8 @@
 // Address returns the network address of the server.
 func (s *Server) Address() string { return s.address }
 
-// Born identifies this instance of the server, as in wheelgauge.Server.
-func (s *Server) Born() int64 { return s.startID }
+// Born returns the Unix millisecond of the start of this instance, 0 if it is not known.
+func (s *Server) Born() int64 { return s.startMS }
 
 // Life identifies this instance of the server by its name and start.
 func (s *Server) Life() string { return s.life }
