--- a/serverset/backoff_simulation_test.go
+++ b/serverset/backoff_simulation_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-// A server without outcomes has the zero time as its last failure.
+// announceLeaving makes a server announce that it leaves; it stays on the list as before.
 func (s *backoffSchedule) announceLeaving() { s.servers[s.rnd.IntN(len(s.servers))].leaving = true }
 
 // flap takes a server off the list for a while.
--- a/serverset/restart_test.go
+++ b/serverset/restart_test.go
@@ -8,8 +8,8 @@
 	"wheelgauge/prompt"
 )
 
-// tableWithInstance returns a table with one engine that was with start time 100 and
-// has a prompt's parts cached.
+// tableWithInstance returns a table with one engine that has start time 100 and a prompt's
+// parts cached.
 func tableWithInstance(t *testing.T, now *time.Time) (*Table, Job) {
 	t.Helper()
 	service := &wheelgauge.Service{Name: "s", Conns: 10, CacheTokens: 1000, ColdRate: 3}
--- a/serverset/server.go
+++ b/serverset/server.go
@@ -31,7 +31,7 @@
 	peerReportPause = 300 * time.Millisecond
 	// ownAnswerValidity is how long an answer to this host outweighs those reports.
 	ownAnswerValidity = 500 * time.Millisecond
-	// shedPause keeps work off a server that was full, for the time of some answers.
+	// shedPause keeps work off a server that was full, for about the time of a few answers.
 	shedPause = 100 * time.Millisecond
 	// serviceTimeWeight is the weight of a new duration in the moving average.
 	serviceTimeWeight = 0.1
--- a/serverset/table.go
+++ b/serverset/table.go
@@ -18,8 +18,8 @@
 	// cacheRetention is how long a part of a prompt is assumed to stay in an engine's
 	// cache after its last use by this host.
 	cacheRetention = 20 * time.Second
-	// rereadCostFactor weighs the time to prefill shared parts again, which delays the
-	// requests that come after.
+	// rereadCostFactor is the cost of prefilling shared parts again to later requests, as
+	// a multiple of the prefill time.
 	rereadCostFactor = 20.0
 	// fetchCostMS is the time to fetch shared parts from another server: far less than
 	// prefilling them.
