--- a/capbank/bank_test.go
+++ b/capbank/allocator_test.go
@@ -19,13 +19,13 @@
 type clock struct{ at time.Time }
 
 func (c *clock) now() time.Time       { return c.at }
-func (c *clock) pass(d time.Duration) { c.at = c.at.Add(d) }
+func (c *clock) advance(d time.Duration) { c.at = c.at.Add(d) }
 func newClock() *clock                { return &clock{at: time.Unix(1000, 0)} }
-func (c *clock) bank(self string, boot uint64, members []string) *Bank {
-	return c.bankOf(self, boot, members, testSlack)
+func (c *clock) newBank(self string, boot uint64, members []string) *Bank {
+	return c.newBankWithSlack(self, boot, members, testSlack)
 }
 
-func (c *clock) bankOf(self string, boot uint64, members []string, slack float64) *Bank {
+func (c *clock) newBankWithSlack(self string, boot uint64, members []string, slack float64) *Bank {
 	b := New(Options{Self: self, Boot: boot, Window: testWindow, Overage: testOverage, Slack: slack, Now: c.now})
 	b.SetMembers(members)
 	b.SetCaps(caps())
@@ -40,26 +40,26 @@
 	}
 }
 
-// tell carries one store's news to another, and its answer back.
-func tell(c *clock, from, to *Bank, boot uint64) wheelgauge.CapSheet {
+// exchangeLease carries one store's news to another, and its answer back.
+func exchangeLease(c *clock, from, to *Bank, boot uint64) wheelgauge.CapSheet {
 	sent := c.now()
-	sheet := to.Lend(from.o.Self, boot, from.News(to.o.Self))
-	from.Borrow(to.o.Self, sent, sheet)
+	sheet := to.Lend(from.options.Self, boot, from.News(to.options.Self))
+	from.Borrow(to.options.Self, sent, sheet)
 	return sheet
 }
 
-func share(b *Bank) float64 { return shareOf(b, "w") }
+func shareOfCap(b *Bank) float64 { return shareOf(b, "w") }
 
 func shareOf(b *Bank, workspace string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.count(b.o.Now())
-	return b.accounts[workspace].share
+	b.recompute(b.options.Now())
+	return b.buckets[workspace].share
 }
 
-func ask(b *Bank, units float64) wheelgauge.CapGrant { return askOf(b, "w", units) }
+func draw(b *Bank, units float64) wheelgauge.CapGrant { return drawFrom(b, "w", units) }
 
-func askOf(b *Bank, workspace string, units float64) wheelgauge.CapGrant {
+func drawFrom(b *Bank, workspace string, units float64) wheelgauge.CapGrant {
 	return b.Draw(wheelgauge.CapAsk{Host: "h", Boot: 1, Wants: []wheelgauge.CapWant{{Workspace: workspace, Units: units}}}).Grants[0]
 }
 
@@ -70,25 +70,25 @@
 	members := []string{"a", "b", "c", "d", "e"}
 	var banks []*Bank
 	for _, m := range members {
-		banks = append(banks, c.bankOf(m, 1, members, 0))
+		banks = append(banks, c.newBankWithSlack(m, 1, members, 0))
 	}
 	granted := 0
 	for range 200 {
 		for i, from := range banks {
 			for j, to := range banks {
 				if i != j {
-					tell(c, from, to, 1)
+					exchangeLease(c, from, to, 1)
 				}
 			}
 		}
-		c.pass(200 * time.Millisecond)
+		c.advance(200 * time.Millisecond)
 		for _, bank := range banks {
 			bank.Seen("h", 1)
 		}
 		b := banks[granted%len(banks)]
-		g := askOf(b, "tiny", 1)
+		g := drawFrom(b, "tiny", 1)
 		for _, other := range banks {
-			if !g.Granted && other.o.Self == g.Elsewhere {
+			if !g.Granted && other.options.Self == g.Elsewhere {
 				g = other.Draw(wheelgauge.CapAsk{Host: "h", Moved: true, Wants: []wheelgauge.CapWant{{Workspace: "tiny", Units: 1}}}).Grants[0]
 			}
 		}
@@ -104,7 +104,7 @@
 
 // Parts of all stores never add up to more than the cap, whatever news are lost, and
 // however often stores start again: 3 to 6 stores by 400 seeds.
-func TestSharesNeverAddUpToMore(t *testing.T) {
+func TestSharesNeverExceedCap(t *testing.T) {
 	for seed := range uint64(400) {
 		r, c := rand.New(rand.NewPCG(seed, 7)), newClock()
 		var members []string
@@ -115,22 +115,22 @@
 		boots := make([]uint64, len(members))
 		for i, m := range members {
 			boots[i] = 1
-			banks = append(banks, c.bank(m, 1, members))
+			banks = append(banks, c.newBank(m, 1, members))
 		}
 		for step := range 300 {
-			c.pass(time.Duration(r.IntN(300)) * time.Millisecond)
+			c.advance(time.Duration(r.IntN(300)) * time.Millisecond)
 			i, j := r.IntN(len(banks)), r.IntN(len(banks))
 			switch {
 			case i == j && r.IntN(4) == 0:
 				boots[i]++
-				banks[i] = c.bank(members[i], boots[i], members)
+				banks[i] = c.newBank(members[i], boots[i], members)
 			case i == j:
-				ask(banks[i], 1e5*r.Float64())
-				askOf(banks[i], "tiny", 1)
+				draw(banks[i], 1e5*r.Float64())
+				drawFrom(banks[i], "tiny", 1)
 			case r.IntN(4) == 0: // the answer is lost
 				banks[j].Lend(members[i], boots[i], banks[i].News(members[j]))
 			default:
-				tell(c, banks[i], banks[j], boots[i])
+				exchangeLease(c, banks[i], banks[j], boots[i])
 			}
 			for _, w := range []string{"w", "tiny"} {
 				sum := 0.0
@@ -147,65 +147,65 @@
 
 // What one store's hosts ask for comes to it, and stays while the others are cut off,
 // but no longer than it was lent.
-func TestPartsFollowWhatIsAsked(t *testing.T) {
+func TestSharesFollowDemand(t *testing.T) {
 	c := newClock()
 	members := []string{"a", "b"}
-	a, b := c.bank("a", 1, members), c.bank("b", 1, members)
+	a, b := c.newBank("a", 1, members), c.newBank("b", 1, members)
 	exchange := func() {
-		tell(c, a, b, 1)
-		tell(c, b, a, 1)
+		exchangeLease(c, a, b, 1)
+		exchangeLease(c, b, a, 1)
 	}
 	exchange()
 	exchange()
-	if got := share(a); got != 0.5 {
+	if got := shareOfCap(a); got != 0.5 {
 		t.Fatalf("before anything is asked: %.2f", got)
 	}
 	for range 20 {
-		c.pass(200 * time.Millisecond)
-		ask(a, 1e5)
+		c.advance(200 * time.Millisecond)
+		draw(a, 1e5)
 		exchange()
 	}
-	if got := share(a); got < 0.85 {
+	if got := shareOfCap(a); got < 0.85 {
 		t.Errorf("the only one whose hosts ask has %.2f", got)
 	}
-	c.pass(leaseTime - time.Second)
-	if got := share(a); got < 0.85 {
+	c.advance(leaseTime - time.Second)
+	if got := shareOfCap(a); got < 0.85 {
 		t.Errorf("cut off for a while, it has %.2f", got)
 	}
-	if got := share(b); got > 0.15 {
+	if got := shareOfCap(b); got > 0.15 {
 		t.Errorf("the lender uses %.2f of what it has lent", got)
 	}
-	c.pass(2 * time.Second)
-	if x, y := share(a), share(b); x != 0.5 || y != 0.5 {
+	c.advance(2 * time.Second)
+	if x, y := shareOfCap(a), shareOfCap(b); x != 0.5 || y != 0.5 {
 		t.Errorf("once that has lapsed they have %.2f and %.2f", x, y)
 	}
 }
 
 // A store that starts again does not know what it lent: it uses nothing until the others
 // go by its new sheets.
-func TestRestartedStoreWaitsForTheOthers(t *testing.T) {
+func TestRestartedStoreWaitsForPeers(t *testing.T) {
 	c := newClock()
 	members := []string{"a", "b", "c"}
-	a, b, third := c.bank("a", 1, members), c.bank("b", 1, members), c.bank("c", 1, members)
-	if share(a) != 0 {
+	a, b, third := c.newBank("a", 1, members), c.newBank("b", 1, members), c.newBank("c", 1, members)
+	if shareOfCap(a) != 0 {
 		t.Fatal("a store that has just started uses its part")
 	}
 	for range 2 {
-		tell(c, b, a, 1)
-		tell(c, third, a, 1)
+		exchangeLease(c, b, a, 1)
+		exchangeLease(c, third, a, 1)
 	}
-	if share(a) == 0 {
+	if shareOfCap(a) == 0 {
 		t.Fatal("a store that all others have answered uses nothing")
 	}
-	a = c.bank("a", 2, members)
-	tell(c, b, a, 1)
-	tell(c, b, a, 1)
-	tell(c, a, b, 2)
-	if share(a) != 0 {
+	a = c.newBank("a", 2, members)
+	exchangeLease(c, b, a, 1)
+	exchangeLease(c, b, a, 1)
+	exchangeLease(c, a, b, 2)
+	if shareOfCap(a) != 0 {
 		t.Error("one of the others may still go by what was lent before")
 	}
-	c.pass(leaseTime + time.Second)
-	if share(a) == 0 {
+	c.advance(leaseTime + time.Second)
+	if shareOfCap(a) == 0 {
 		t.Error("what was lent before has lapsed")
 	}
 }
@@ -215,18 +215,18 @@
 func TestAllStoresRestarted(t *testing.T) {
 	c := newClock()
 	members := []string{"a", "b", "c"}
-	a, b, blank := c.bank("a", 2, members), c.bank("b", 5, members), c.bank("c", 9, nil)
-	tell(c, a, b, 2)
-	tell(c, a, blank, 2)
-	if share(a) == 0 {
+	a, b, blank := c.newBank("a", 2, members), c.newBank("b", 5, members), c.newBank("c", 9, nil)
+	exchangeLease(c, a, b, 2)
+	exchangeLease(c, a, blank, 2)
+	if shareOfCap(a) == 0 {
 		t.Error("nobody holds anything, and nothing is used")
 	}
-	old := c.bank("b", 5, members)
+	old := c.newBank("b", 5, members)
 	old.Borrow("a", c.now(), wheelgauge.CapSheet{Giver: 1, Number: 4, Shares: []wheelgauge.CapShare{{Workspace: "w", Share: 0.3}}})
-	again := c.bank("a", 3, members)
-	tell(c, again, old, 3)
-	tell(c, again, blank, 3)
-	if share(again) != 0 {
+	again := c.newBank("a", 3, members)
+	exchangeLease(c, again, old, 3)
+	exchangeLease(c, again, blank, 3)
+	if shareOfCap(again) != 0 {
 		t.Error("another store goes by an earlier sheet, and its part is used")
 	}
 }
@@ -242,19 +242,19 @@
 		{"heard of", func(b *Bank, _ *clock) { b.Seen("h", 1) }, false},
 		{"silent", func(*Bank, *clock) {}, true},
 		{"started anew", func(b *Bank, _ *clock) { b.Seen("h", 2) }, false},
-		{"lapsed", func(_ *Bank, c *clock) { c.pass(aloneTime) }, false},
+		{"lapsed", func(_ *Bank, c *clock) { c.advance(standaloneTime) }, false},
 	}
 	for _, tt := range tests {
 		c := newClock()
-		b := c.bank("a", 1, []string{"a"})
-		whole := share(b)
-		g := ask(b, 1)
+		b := c.newBank("a", 1, []string{"a"})
+		whole := shareOfCap(b)
+		g := draw(b, 1)
 		if g.Alone <= 0 || g.AloneMS <= 0 {
 			t.Fatalf("a host is told nothing of what it may do alone: %+v", g)
 		}
-		c.pass(hostSilent + time.Millisecond)
+		c.advance(hostSilenceTimeout + time.Millisecond)
 		tt.after(b, c)
-		if got := share(b); (got < whole) != tt.less {
+		if got := shareOfCap(b); (got < whole) != tt.less {
 			t.Errorf("%s: part %.2f of %.2f", tt.name, got, whole)
 		}
 	}
@@ -262,18 +262,18 @@
 
 func TestDraw(t *testing.T) {
 	c := newClock()
-	b := c.bank("a", 1, []string{"a"})
-	c.pass(time.Minute)
+	b := c.newBank("a", 1, []string{"a"})
+	c.advance(time.Minute)
 	if g := b.Draw(wheelgauge.CapAsk{Host: "h", Wants: []wheelgauge.CapWant{{Workspace: "free", Units: 1e12}}}).Grants[0]; !g.Granted {
 		t.Error("a workspace without a cap is refused")
 	}
 	sum, refused := 0.0, 0
 	for range 1000 {
-		if g := ask(b, 5000); g.Granted {
+		if g := draw(b, 5000); g.Granted {
 			sum += 5000
 		} else {
 			refused++
-			if g.AfterMS < soonest.Milliseconds() || g.AfterMS > latest.Milliseconds() {
+			if g.AfterMS < minRetryAfter.Milliseconds() || g.AfterMS > maxRetryAfter.Milliseconds() {
 				t.Fatalf("come back in %d ms", g.AfterMS)
 			}
 		}
@@ -283,11 +283,11 @@
 		t.Errorf("at once %.0f of a burst of 1e6 were sent, %d refused", sum, refused)
 	}
 	// Small requests go on where large ones must wait.
-	if g := ask(b, 10); !g.Granted {
+	if g := draw(b, 10); !g.Granted {
 		t.Error("a small request is refused")
 	}
-	c.pass(time.Second)
-	if g := ask(b, 5000); !g.Granted {
+	c.advance(time.Second)
+	if g := draw(b, 5000); !g.Granted {
 		t.Error("a second later a request is refused")
 	}
 }
@@ -296,15 +296,15 @@
 // comes through.
 func TestCapChanges(t *testing.T) {
 	c := newClock()
-	b := c.bank("a", 1, []string{"a"})
-	c.pass(time.Minute)
+	b := c.newBank("a", 1, []string{"a"})
+	c.advance(time.Minute)
 	b.SetCaps([]wheelgauge.Workspace{{Name: "w", Cap: wheelgauge.Cap{Rate: 36000, Burst: 36000, Unit: wheelgauge.CapTokens}}})
-	if g := ask(b, 30000); !g.Granted {
+	if g := draw(b, 30000); !g.Granted {
 		t.Error("a request of 30,000 is refused by a burst of 36,000")
 	}
 	sum := 0.0
 	for range 100 {
-		if g := ask(b, 12000); g.Granted {
+		if g := draw(b, 12000); g.Granted {
 			sum += 12000
 		}
 	}
@@ -343,25 +343,25 @@
 		boots := []uint64{1, 1, 1, 1}
 		var banks []*Bank
 		for _, m := range members {
-			banks = append(banks, c.bank(m, 1, members))
+			banks = append(banks, c.newBank(m, 1, members))
 		}
 		for n, step := range steps {
 			i, j := int(step&3), int(step>>2&3)
-			c.pass(time.Duration(step>>4) * 100 * time.Millisecond)
+			c.advance(time.Duration(step>>4) * 100 * time.Millisecond)
 			switch {
 			case i != j && step&0x10 == 0:
-				tell(c, banks[i], banks[j], boots[i])
+				exchangeLease(c, banks[i], banks[j], boots[i])
 			case i != j:
 				banks[j].Lend(members[i], boots[i], banks[i].News(members[j]))
 			case step&0x20 == 0:
-				ask(banks[i], 1e5)
+				draw(banks[i], 1e5)
 			default:
 				boots[i]++
-				banks[i] = c.bank(members[i], boots[i], members)
+				banks[i] = c.newBank(members[i], boots[i], members)
 			}
 			sum := 0.0
 			for _, b := range banks {
-				sum += share(b)
+				sum += shareOfCap(b)
 			}
 			if sum > 1.0001 {
 				t.Fatalf("step %d: parts add up to %.3f", n, sum)
--- a/capbank/suspend_test.go
+++ b/capbank/suspend_test.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// sleeper is the clock of one store that is suspended now and then: the steady one does
+// suspendableClock is the clock of one store that is suspended now and then: the steady one does
 // not count that time.
-type sleeper struct {
-	of     *clock
-	slept  time.Duration
+type suspendableClock struct {
+	base     *clock
+	suspended  time.Duration
 	steady bool
 }
 
-func (s *sleeper) now() time.Time {
+func (s *suspendableClock) now() time.Time {
 	if s.steady {
-		return s.of.now().Add(-s.slept)
+		return s.base.now().Add(-s.suspended)
 	}
-	return s.of.now()
+	return s.base.now()
 }
 
-// most plays stores that are suspended for 3, 10 or 60 s each, one at a time, and returns
+// maxShareSum plays stores that are suspended for 3, 10 or 60 s each, one at a time, and returns
 // the largest sum of all parts of a cap: those of a store that sleeps don't count, but
 // what it goes by when it wakes does.
-func most(seed uint64, steady bool) float64 {
+func maxShareSum(seed uint64, steady bool) float64 {
 	r, c := rand.New(rand.NewPCG(seed, 9)), newClock()
 	members := []string{"a", "b", "c"}
 	var banks []*Bank
-	var sleepers []*sleeper
+	var sleepers []*suspendableClock
 	for _, m := range members {
-		s := &sleeper{of: c, steady: steady}
+		s := &suspendableClock{base: c, steady: steady}
 		b := New(Options{Self: m, Boot: 1, Window: testWindow, Overage: testOverage, Slack: testSlack, Now: s.now})
 		b.SetMembers(members)
 		b.SetCaps(caps())
@@ -50,22 +50,22 @@
 	for range 8 {
 		busy := r.IntN(len(banks))
 		for range 20 {
-			c.pass(200 * time.Millisecond)
-			ask(banks[busy], 1e6*r.Float64())
+			c.advance(200 * time.Millisecond)
+			draw(banks[busy], 1e6*r.Float64())
 			all(-1)
 		}
 		// The busy one holds what the others lent it, and is suspended.
 		nap := []time.Duration{3, 10, 60}[r.IntN(3)] * time.Second
 		next := (busy + 1) % len(banks)
 		for range int(nap / (200 * time.Millisecond)) {
-			c.pass(200 * time.Millisecond)
-			ask(banks[next], 1e6*r.Float64())
+			c.advance(200 * time.Millisecond)
+			draw(banks[next], 1e6*r.Float64())
 			all(busy)
 		}
-		sleepers[busy].slept += nap
+		sleepers[busy].suspended += nap
 		sum := 0.0
 		for _, b := range banks {
-			sum += share(b)
+			sum += shareOfCap(b)
 		}
 		top = max(top, sum)
 	}
@@ -78,7 +78,7 @@
 func TestSuspendedStore(t *testing.T) {
 	worst, before := 0.0, 0.0
 	for seed := range uint64(50) {
-		worst, before = max(worst, most(seed, false)), max(before, most(seed, true))
+		worst, before = max(worst, maxShareSum(seed, false)), max(before, maxShareSum(seed, true))
 	}
 	t.Logf("parts add up to %.2f, by the steady clock %.2f", worst, before)
 	if worst > 1.0001 {
--- a/capbank/usage.go
+++ b/capbank/usage.go
@@ -23,24 +23,24 @@
 
 // Refusing returns the caps of which something was refused since the last call, the
 // most refused first.
-func (b *Bank) Refusing() []Usage {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.o.Now()
+func (a *Bank) Refusing() []Usage {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	now := a.options.Now()
 	var out []Usage
-	for _, a := range b.accounts {
-		if a.used.Refusals > 0 {
-			out = append(out, a.usage(now))
+	for _, b := range a.buckets {
+		if b.usage.Refusals > 0 {
+			out = append(out, b.currentUsage(now))
 		}
-		a.used = Usage{}
+		b.usage = Usage{}
 	}
 	slices.SortFunc(out, func(a, b Usage) int { return cmp.Compare(b.Refused, a.Refused) })
 	return out
 }
 
-func (a *account) usage(now time.Time) Usage {
-	a.settle(now)
-	u := a.used
-	u.Workspace, u.Share, u.Rate, u.Level, u.Demand = a.name, a.share, a.cap.Rate, a.level, a.demand.At(now)
+func (b *bucket) currentUsage(now time.Time) Usage {
+	b.refill(now)
+	u := b.usage
+	u.Workspace, u.Share, u.Rate, u.Level, u.Demand = b.name, b.share, b.cap.Rate, b.level, b.demand.At(now)
 	return u
 }
--- a/cappurse/baseline_test.go
+++ b/cappurse/baseline_test.go
@@ -12,11 +12,11 @@
 	"wheelgauge"
 )
 
-// taker decides in a schedule whether a host may send; the lock is held.
-type taker func(s *schedule, h int, w *workspace, units float64) bool
+// decider decides in a schedule whether a host may send; the lock is held.
+type decider func(s *schedule, h int, w *workspace, units float64) bool
 
-// fixedParts gives each host an even part of rate and burst, whoever asks.
-func fixedParts() taker {
+// fixedShares gives each host an even part of rate and burst, whoever asks.
+func fixedShares() decider {
 	type bucket struct {
 		level float64
 		at    time.Time
@@ -30,7 +30,7 @@
 		c, n := w.spec.Cap, float64(s.hosts)
 		b := buckets[key{h, w.spec.Name}]
 		if b == nil {
-			b = &bucket{level: c.Burst / n, at: s.began}
+			b = &bucket{level: c.Burst / n, at: s.started}
 			buckets[key{h, w.spec.Name}] = b
 		}
 		b.level = math.Min(c.Burst/n, b.level+c.Rate/n*time.Since(b.at).Seconds())
@@ -44,9 +44,9 @@
 	}
 }
 
-// toldFraction lets through the part that what all hosts asked some time ago leaves, as
+// reportedFraction lets through the part that what all hosts asked some time ago leaves, as
 // stores would work it out and tell it with heartbeats.
-func toldFraction() taker {
+func reportedFraction() decider {
 	const (
 		old  = 350 * time.Millisecond
 		span = 500 * time.Millisecond
@@ -84,7 +84,7 @@
 	t.Parallel()
 	tests := []struct {
 		name string
-		make func() taker
+		make func() decider
 		hot  bool
 		cut  bool
 		// wrong is the least that is wrongly refused of the smallest cap, over is set where
@@ -92,11 +92,11 @@
 		wrong float64
 		over  bool
 	}{
-		{"fixed parts, calm", fixedParts, false, false, 0.15, false},
-		{"fixed parts, hot", fixedParts, true, false, 0.15, false},
-		{"told fraction, calm", toldFraction, false, false, 0, false},
-		{"told fraction, hot", toldFraction, true, false, 0, false},
-		{"told fraction, hot, regions cut apart", toldFraction, true, true, 0, true},
+		{"fixed parts, calm", fixedShares, false, false, 0.15, false},
+		{"fixed parts, hot", fixedShares, true, false, 0.15, false},
+		{"told fraction, calm", reportedFraction, false, false, 0, false},
+		{"told fraction, hot", reportedFraction, true, false, 0, false},
+		{"told fraction, hot, regions cut apart", reportedFraction, true, true, 0, true},
 	}
 	for _, tt := range tests {
 		synctest.Test(t, func(t *testing.T) {
@@ -111,7 +111,7 @@
 				return wheelgauge.NewError(wheelgauge.ReasonRateLimited, wheelgauge.OutcomeNotRun, http.StatusTooManyRequests, "")
 			}
 			if tt.hot {
-				s.hotFor("large", 8, 6*time.Second, 16*time.Second)
+				s.overload("large", 8, 6*time.Second, 16*time.Second)
 			}
 			var faults func(context.Context)
 			if tt.cut {
@@ -122,12 +122,12 @@
 			}
 			s.run(faults)
 			for _, w := range s.workspaces {
-				wrong, _ := s.wrong(w)
-				if *figure {
-					t.Logf("%s: workspace %s: %.2f of the bound in the worst window, %.2f%% wrongly refused", tt.name, w.spec.Name, s.worst(w), 100*wrong)
+				wrong, _ := s.wronglyRefused(w)
+				if *figures {
+					t.Logf("%s: workspace %s: %.2f of the bound in the worst window, %.2f%% wrongly refused", tt.name, w.spec.Name, s.worstWindow(w), 100*wrong)
 				}
-				if over := s.worst(w) > 1; w.spec.Name == "large" && tt.over && !over {
-					t.Errorf("%s: %.2f of what is allowed was sent in some window", tt.name, s.worst(w))
+				if over := s.worstWindow(w) > 1; w.spec.Name == "large" && tt.over && !over {
+					t.Errorf("%s: %.2f of what is allowed was sent in some window", tt.name, s.worstWindow(w))
 				}
 				if w.spec.Name == "small" && wrong < tt.wrong {
 					t.Errorf("%s: %.2f%% of a small cap were wrongly refused: it is better than it was taken for", tt.name, 100*wrong)
--- a/cappurse/purse_test.go
+++ b/cappurse/client_test.go
@@ -12,11 +12,11 @@
 	"wheelgauge"
 )
 
-var testSpace = &wheelgauge.Workspace{Name: "w", Cap: wheelgauge.Cap{Rate: 1e6, Burst: 1e6, Unit: wheelgauge.CapTokens}}
+var testWorkspace = &wheelgauge.Workspace{Name: "w", Cap: wheelgauge.Cap{Rate: 1e6, Burst: 1e6, Unit: wheelgauge.CapTokens}}
 
 // A region whose own stores are dark draws at far ones: ahead of requests, so that few
 // wait for the way. Without, all of them waited for 110 ms, and bursts for as much again.
-func TestDrawsAheadAtAFarStore(t *testing.T) {
+func TestPrefetchFromFarStore(t *testing.T) {
 	const wayAndBack = 110 * time.Millisecond
 	tests := []struct {
 		name string
@@ -42,7 +42,7 @@
 			waits, used := 0, 0.0
 			for range 200 {
 				began := time.Now()
-				if fault := p.Take(context.Background(), testSpace, 3000); fault != nil {
+				if fault := p.Take(context.Background(), testWorkspace, 3000); fault != nil {
 					t.Fatal(fault)
 				}
 				used += 3000
@@ -83,8 +83,8 @@
 		{"another store has the units", map[string]wheelgauge.CapGrant{"a": {AfterMS: 700, Elsewhere: "b"}, "b": granted}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 0, 0, 2},
 		{"nor has that", map[string]wheelgauge.CapGrant{"a": {AfterMS: 700, Elsewhere: "b"}, "b": {AfterMS: 900}}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 429, 900 * time.Millisecond, 2},
 		{"it does not answer", map[string]wheelgauge.CapGrant{"a": {AfterMS: 700, Elsewhere: "b"}}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 429, 700 * time.Millisecond, 2},
-		{"no store answers, and none ever did", nil, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 503, unsureRetry, 1},
-		{"no store is known", nil, nil, 503, unsureRetry, 0},
+		{"no store answers, and none ever did", nil, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 503, noStoreRetryAfter, 1},
+		{"no store is known", nil, nil, 503, noStoreRetryAfter, 0},
 	}
 	for _, tt := range tests {
 		synctest.Test(t, func(t *testing.T) {
@@ -101,7 +101,7 @@
 				},
 			})
 			defer p.Close()
-			fault := p.Take(context.Background(), testSpace, 100)
+			fault := p.Take(context.Background(), testWorkspace, 100)
 			status, after := 0, time.Duration(0)
 			if fault != nil {
 				status, after = fault.Status(), fault.RetryAfter()
@@ -119,7 +119,7 @@
 // Units of a request that was not run serve another one, for a while.
 // What silences a store for all requests of the host: that it does not answer in the
 // time an asking has, and not that the request which asked had less time than that.
-func TestSilence(t *testing.T) {
+func TestSilentStore(t *testing.T) {
 	tests := []struct {
 		name   string
 		within time.Duration
@@ -143,7 +143,7 @@
 			defer p.Close()
 			for range 2 {
 				ctx, cancel := context.WithTimeout(t.Context(), tt.within)
-				p.Take(ctx, testSpace, 1)
+				p.Take(ctx, testWorkspace, 1)
 				cancel()
 			}
 			if asked != tt.asked {
@@ -159,7 +159,7 @@
 		after time.Duration
 		units float64
 		asked int
-	}{{"at once", 0, 100, 0}, {"a smaller one", 0, 40, 0}, {"a larger one", 0, 101, 1}, {"too late", 2 * keptLife, 100, 1}}
+	}{{"at once", 0, 100, 0}, {"a smaller one", 0, 40, 0}, {"a larger one", 0, 101, 1}, {"too late", 2 * cachedTTL, 100, 1}}
 	for _, tt := range tests {
 		synctest.Test(t, func(t *testing.T) {
 			asked := 0
@@ -171,9 +171,9 @@
 				},
 			})
 			defer p.Close()
-			p.Return(testSpace, 100)
+			p.Return(testWorkspace, 100)
 			time.Sleep(tt.after)
-			if fault := p.Take(context.Background(), testSpace, tt.units); fault != nil || asked != tt.asked {
+			if fault := p.Take(context.Background(), testWorkspace, tt.units); fault != nil || asked != tt.asked {
 				t.Errorf("%s: %v, %d asked", tt.name, fault, asked)
 			}
 		})
@@ -181,7 +181,7 @@
 }
 
 // A host that no store answers any more goes on within what it was told, for as long.
-func TestAlone(t *testing.T) {
+func TestStandalone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dark := false
 		p := New(Options{
@@ -195,13 +195,13 @@
 			},
 		})
 		defer p.Close()
-		if fault := p.Take(context.Background(), testSpace, 100); fault != nil {
+		if fault := p.Take(context.Background(), testWorkspace, 100); fault != nil {
 			t.Fatal(fault)
 		}
 		dark = true
 		began, sent := time.Now(), 0.0
 		for time.Since(began) < 4*time.Second {
-			if p.Take(context.Background(), testSpace, 2000) == nil {
+			if p.Take(context.Background(), testWorkspace, 2000) == nil {
 				sent += 2000
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -211,7 +211,7 @@
 			t.Errorf("alone for 4 s at 10,000 a second it sent %.0f", sent)
 		}
 		time.Sleep(2 * time.Second)
-		if fault := p.Take(context.Background(), testSpace, 100); fault == nil || fault.Status() != http.StatusServiceUnavailable {
+		if fault := p.Take(context.Background(), testWorkspace, 100); fault == nil || fault.Status() != http.StatusServiceUnavailable {
 			t.Errorf("after that it is refused with %v", fault)
 		}
 	})
--- a/cappurse/faults_test.go
+++ b/cappurse/faults_test.go
@@ -24,12 +24,12 @@
 
 // A workspace that asks 8 times its usual from one second to the next gets its cap and
 // no more.
-func TestHot(t *testing.T) {
+func TestOverload(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"small", "middle", "large", "plain"} {
 		synctest.Test(t, func(t *testing.T) {
 			s := newSchedule(t, 2, 68)
-			s.hotFor(name, 8, 6*time.Second, 16*time.Second)
+			s.overload(name, 8, 6*time.Second, 16*time.Second)
 			s.run(nil)
 			s.check("hot "+name, 0.05)
 		})
@@ -55,7 +55,7 @@
 			s.set(func() { clear(s.cutRegions) })
 		}},
 		{"a store killed", func(s *schedule) {
-			st := s.stores[s.draw(len(s.stores))]
+			st := s.stores[s.intN(len(s.stores))]
 			s.stop(st)
 			s.pause(0.3, 4)
 			s.start(st)
@@ -70,7 +70,7 @@
 			}
 		}},
 		{"a store frozen", func(s *schedule) {
-			st := s.stores[s.draw(len(s.stores))]
+			st := s.stores[s.intN(len(s.stores))]
 			s.set(func() { st.frozen = true })
 			s.pause(1, 6)
 			s.set(func() { st.frozen = false })
@@ -79,18 +79,18 @@
 			s.set(func() {
 				for h := range s.hosts {
 					if s.r.Float64() < 0.55 {
-						s.down[h] = time.Now().Add(2 * time.Second)
+						s.downUntil[h] = time.Now().Add(2 * time.Second)
 					}
 				}
 			})
 		}},
 		{"a cap cut", func(s *schedule) {
-			w := s.workspaces[s.draw(len(s.workspaces))]
+			w := s.workspaces[s.intN(len(s.workspaces))]
 			s.set(func() {
-				if w.cutTo == 0 {
-					w.cutAt, w.cutTo = s.at(), 0.2
-					w.spec.Cap.Rate *= w.cutTo
-					w.spec.Cap.Burst *= w.cutTo
+				if w.reducedTo == 0 {
+					w.reducedAt, w.reducedTo = s.elapsed(), 0.2
+					w.spec.Cap.Rate *= w.reducedTo
+					w.spec.Cap.Burst *= w.reducedTo
 				}
 				for _, st := range s.stores {
 					if st.bank != nil {
@@ -108,8 +108,8 @@
 	f()
 }
 
-// draw returns a number below n.
-func (s *schedule) draw(n int) int {
+// intN returns a number below n.
+func (s *schedule) intN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.r.IntN(n)
@@ -131,7 +131,7 @@
 			for seed := range *repeats {
 				synctest.Test(t, func(t *testing.T) {
 					s := newSchedule(t, uint64(3+seed), 68)
-					s.hotFor("large", 8, 4*time.Second, 14*time.Second)
+					s.overload("large", 8, 4*time.Second, 14*time.Second)
 					s.run(func(context.Context) {
 						time.Sleep(6 * time.Second)
 						f.play(s)
@@ -150,13 +150,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := newSchedule(t, uint64(100+seed), []int{8, 24, 68, 200}[seed%4])
 			names := []string{"small", "middle", "large", "plain"}
-			s.hotFor(names[s.draw(4)], 2+float64(s.draw(9)), 3*time.Second, 15*time.Second)
+			s.overload(names[s.intN(4)], 2+float64(s.intN(9)), 3*time.Second, 15*time.Second)
 			var played []string
 			s.run(func(context.Context) {
 				var group sync.WaitGroup
-				for range 2 + s.draw(4) {
+				for range 2 + s.intN(4) {
 					all := faults()
-					f := all[s.draw(len(all))]
+					f := all[s.intN(len(all))]
 					played = append(played, f.name)
 					group.Go(func() { f.play(s) })
 					s.pause(0, 4)
--- a/cappurse/schedule_test.go
+++ b/cappurse/schedule_test.go
@@ -18,39 +18,39 @@
 var (
 	seeds   = flag.Int("cap.seeds", 6, "seeded schedules to play")
 	repeats = flag.Int("cap.repeats", 1, "how often each fault is played alone")
-	figure  = flag.Bool("cap.figures", false, "print what was wrongly refused, by workspace")
+	figures  = flag.Bool("cap.figures", false, "print what was wrongly refused, by workspace")
 )
 
 const (
 	window  = 8 * time.Second
 	overage = 0.1
 	slack   = 140000.0
-	// largest is the most that a request counts.
-	largest = 54000.0
-	// leadTime is how long stores are there before callers come.
-	leadTime = 11 * time.Second
-	// dayTime is how long a schedule lasts.
-	dayTime = 24 * time.Second
+	// maxUnits is the most that a request counts.
+	maxUnits = 54000.0
+	// warmUp is how long stores are there before callers come.
+	warmUp = 11 * time.Second
+	// runTime is how long a schedule lasts.
+	runTime = 24 * time.Second
 )
 
 // workspace is one of a schedule, with what its callers ask.
 type workspace struct {
 	spec wheelgauge.Workspace
 	// mean is what a request counts, asks how many come a second over all hosts.
-	mean, asks float64
+	meanUnits, requestRate float64
 	// hot is when and how much more callers ask.
-	hotFrom, hotTo time.Duration
-	hot            float64
+	overloadFrom, overloadTo time.Duration
+	overloadFactor            float64
 	// cut is when the cap falls to a part.
-	cutAt time.Duration
-	cutTo float64
+	reducedAt time.Duration
+	reducedTo float64
 }
 
 type arrival struct {
 	at    time.Duration
 	units float64
 	sent  bool
-	sure  bool // it was refused for good, or sent: not for want of a store
+	final  bool // it was refused for good, or sent: not for want of a store
 }
 
 // store is a store of a schedule; bank is nil while it is down.
@@ -67,7 +67,7 @@
 	mu         sync.Mutex
 	seed       uint64
 	r          *rand.Rand
-	began      time.Time
+	started      time.Time
 	stores     []*store
 	regions    []string
 	hosts      int
@@ -79,16 +79,16 @@
 	// cutRegions are those cut off from all others, alone the hosts cut off from all
 	// stores.
 	cutRegions map[string]bool
-	down       map[int]time.Time
-	views      map[string]map[string]time.Time
+	downUntil       map[int]time.Time
+	storesSeen      map[string]map[string]time.Time
 }
 
 var regionNames = []string{"a", "a", "b", "b", "c"}
 
 func newSchedule(t *testing.T, seed uint64, hosts int) *schedule {
 	s := &schedule{
-		t: t, seed: seed, r: rand.New(rand.NewPCG(seed, 1)), began: time.Now(), regions: []string{"a", "b", "c"}, hosts: hosts,
-		arrivals: map[string][]arrival{}, cutRegions: map[string]bool{}, down: map[int]time.Time{}, views: map[string]map[string]time.Time{},
+		t: t, seed: seed, r: rand.New(rand.NewPCG(seed, 1)), started: time.Now(), regions: []string{"a", "b", "c"}, hosts: hosts,
+		arrivals: map[string][]arrival{}, cutRegions: map[string]bool{}, downUntil: map[int]time.Time{}, storesSeen: map[string]map[string]time.Time{},
 	}
 	for i, region := range regionNames {
 		s.stores = append(s.stores, &store{address: fmt.Sprint("store-", i), region: region})
@@ -98,21 +98,21 @@
 		rate float64
 		mean float64
 	}{{"small", 36000, 5000}, {"middle", 400000, 5000}, {"large", 4000000, 5000}, {"plain", 36000, 200}} {
-		ws := &workspace{mean: w.mean, asks: w.rate / w.mean / 1.8}
+		ws := &workspace{meanUnits: w.mean, requestRate: w.rate / w.mean / 1.8}
 		ws.spec = wheelgauge.Workspace{Name: w.name, Cap: wheelgauge.Cap{Rate: w.rate, Burst: w.rate, Unit: wheelgauge.CapTokens}}
 		s.workspaces = append(s.workspaces, ws)
 	}
 	return s
 }
 
-func (s *schedule) at() time.Duration { return time.Since(s.began) }
+func (s *schedule) elapsed() time.Duration { return time.Since(s.started) }
 
 // linked tells whether two regions reach each other.
 func (s *schedule) linked(a, b string) bool {
 	return a == b || !s.cutRegions[a] && !s.cutRegions[b]
 }
 
-func way(a, b string) time.Duration {
+func linkLatency(a, b string) time.Duration {
 	if a == b {
 		return time.Millisecond
 	}
@@ -161,8 +161,8 @@
 	return st.bank
 }
 
-// news lets stores tell each other, one call at a time between each two.
-func (s *schedule) news(ctx context.Context, from, to *store) {
+// exchangeLeases lets stores tell each other, one call at a time between each two.
+func (s *schedule) exchangeLeases(ctx context.Context, from, to *store) {
 	for ctx.Err() == nil {
 		time.Sleep(200 * time.Millisecond)
 		s.mu.Lock()
@@ -172,14 +172,14 @@
 			continue
 		}
 		sent, n := time.Now(), bank.News(to.address)
-		time.Sleep(way(from.region, to.region))
+		time.Sleep(linkLatency(from.region, to.region))
 		other := s.reach(from.region, to)
 		if other == nil {
 			time.Sleep(800 * time.Millisecond)
 			continue
 		}
 		sheet := other.Lend(from.address, boot, n)
-		time.Sleep(way(from.region, to.region))
+		time.Sleep(linkLatency(from.region, to.region))
 		s.mu.Lock()
 		lost := !s.linked(from.region, to.region) || from.bank != bank || from.frozen
 		s.mu.Unlock()
@@ -189,11 +189,11 @@
 	}
 }
 
-// watch keeps a region's view of the stores by heartbeats, and tells these of hosts.
-func (s *schedule) watch(ctx context.Context, region string) {
+// heartbeats keeps a region's view of the stores by heartbeats, and tells these of hosts.
+func (s *schedule) heartbeats(ctx context.Context, region string) {
 	view := map[string]time.Time{}
 	s.mu.Lock()
-	s.views[region] = view
+	s.storesSeen[region] = view
 	s.mu.Unlock()
 	for ctx.Err() == nil {
 		for _, st := range s.stores {
@@ -204,7 +204,7 @@
 			s.mu.Lock()
 			view[st.address] = time.Now()
 			for h := range s.hosts {
-				if s.regions[h%len(s.regions)] == region && !time.Now().Before(s.down[h]) {
+				if s.regions[h%len(s.regions)] == region && !time.Now().Before(s.downUntil[h]) {
 					bank.Seen(fmt.Sprint("host-", h), s.boot(h))
 				}
 			}
@@ -216,21 +216,21 @@
 
 // boot numbers a host's starts; the lock is held.
 func (s *schedule) boot(h int) uint64 {
-	if s.down[h].IsZero() {
+	if s.downUntil[h].IsZero() {
 		return 1
 	}
-	return uint64(s.down[h].Sub(s.began))
+	return uint64(s.downUntil[h].Sub(s.started))
 }
 
-// seen returns the stores that a region's hosts know of, near ones first.
-func (s *schedule) seen(h int, region string) []wheelgauge.StoreAt {
+// storesFor returns the stores that a region's hosts know of, near ones first.
+func (s *schedule) storesFor(h int, region string) []wheelgauge.StoreAt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []wheelgauge.StoreAt
 	for _, near := range []bool{true, false} {
 		for i := range s.stores {
 			st := s.stores[(i+h)%len(s.stores)]
-			if (st.region == region) == near && time.Since(s.views[region][st.address]) < 1400*time.Millisecond {
+			if (st.region == region) == near && time.Since(s.storesSeen[region][st.address]) < 1400*time.Millisecond {
 				out = append(out, wheelgauge.StoreAt{Address: st.address, Near: near})
 			}
 		}
@@ -238,58 +238,58 @@
 	return out
 }
 
-var errDark = errors.New("no answer")
+var errUnreachable = errors.New("no answer")
 
 // purse returns a new purse of a host.
 func (s *schedule) purse(h int, region string, boot uint64) *Purse {
 	return New(Options{
 		Host: fmt.Sprint("host-", h), Boot: boot, Now: time.Now,
-		Stores: func() []wheelgauge.StoreAt { return s.seen(h, region) },
+		Stores: func() []wheelgauge.StoreAt { return s.storesFor(h, region) },
 		Ask: func(ctx context.Context, address string, ask wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
 			for _, st := range s.stores {
 				if st.address != address {
 					continue
 				}
-				time.Sleep(way(region, st.region))
+				time.Sleep(linkLatency(region, st.region))
 				bank := s.reach(region, st)
 				if bank == nil {
 					<-ctx.Done()
-					return wheelgauge.CapAnswer{}, errDark
+					return wheelgauge.CapAnswer{}, errUnreachable
 				}
 				answer := bank.Draw(ask)
-				time.Sleep(way(region, st.region))
+				time.Sleep(linkLatency(region, st.region))
 				return answer, ctx.Err()
 			}
-			return wheelgauge.CapAnswer{}, errDark
+			return wheelgauge.CapAnswer{}, errUnreachable
 		},
 	})
 }
 
-func (s *schedule) ask(ctx context.Context, p *Purse, h int, w *workspace, spec *wheelgauge.Workspace, units float64) *wheelgauge.Error {
+func (s *schedule) takeUnits(ctx context.Context, p *Purse, h int, w *workspace, spec *wheelgauge.Workspace, units float64) *wheelgauge.Error {
 	if s.take != nil {
 		return s.take(ctx, h, w, units)
 	}
 	return p.Take(ctx, spec, units)
 }
 
-// load sends what callers of one host ask of one workspace.
-func (s *schedule) load(ctx context.Context, w *workspace, h int, purse func() *Purse, group *sync.WaitGroup, weight func(at time.Duration) float64) {
+// generateLoad sends what callers of one host ask of one workspace.
+func (s *schedule) generateLoad(ctx context.Context, w *workspace, h int, purse func() *Purse, group *sync.WaitGroup, weight func(at time.Duration) float64) {
 	r := rand.New(rand.NewPCG(s.seed, uint64(h)<<8|uint64(len(w.spec.Name))))
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		rate := w.asks / float64(s.hosts) * weight(s.at())
-		if at := s.at(); at >= w.hotFrom && at < w.hotTo {
-			rate *= w.hot
+		rate := w.requestRate / float64(s.hosts) * weight(s.elapsed())
+		if at := s.elapsed(); at >= w.overloadFrom && at < w.overloadTo {
+			rate *= w.overloadFactor
 		}
 		pause := r.ExpFloat64() / math.Max(rate, 0.001)
-		units := math.Min(w.mean*math.Exp(r.NormFloat64()-0.5), largest)
+		units := math.Min(w.meanUnits*math.Exp(r.NormFloat64()-0.5), maxUnits)
 		s.mu.Unlock()
 		time.Sleep(time.Duration(math.Min(pause, 2) * float64(time.Second)))
 		if pause > 2 || ctx.Err() != nil {
 			continue
 		}
 		s.mu.Lock()
-		up := !time.Now().Before(s.down[h])
+		up := !time.Now().Before(s.downUntil[h])
 		spec, p := w.spec, purse()
 		s.mu.Unlock()
 		if !up {
@@ -298,20 +298,20 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			fault := s.ask(ctx, p, h, w, &spec, units)
+			fault := s.takeUnits(ctx, p, h, w, &spec, units)
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if fault == nil && p != purse() {
 				return // the host was killed meanwhile
 			}
-			s.arrivals[w.spec.Name] = append(s.arrivals[w.spec.Name], arrival{at: s.at(), units: units, sent: fault == nil, sure: fault == nil || fault.Status() == 429})
+			s.arrivals[w.spec.Name] = append(s.arrivals[w.spec.Name], arrival{at: s.elapsed(), units: units, sent: fault == nil, final: fault == nil || fault.Status() == 429})
 		}()
 	}
 }
 
 // run plays the schedule with faults and returns once all is over.
 func (s *schedule) run(faults func(ctx context.Context)) {
-	ctx, cancel := context.WithTimeout(context.Background(), leadTime+dayTime)
+	ctx, cancel := context.WithTimeout(context.Background(), warmUp+runTime)
 	defer cancel()
 	var group sync.WaitGroup
 	spawn := func(f func()) { group.Go(f) }
@@ -319,15 +319,15 @@
 		s.start(st)
 		for _, other := range s.stores {
 			if st != other {
-				spawn(func() { s.news(ctx, st, other) })
+				spawn(func() { s.exchangeLeases(ctx, st, other) })
 			}
 		}
 	}
 	for _, region := range s.regions {
-		spawn(func() { s.watch(ctx, region) })
+		spawn(func() { s.heartbeats(ctx, region) })
 	}
-	time.Sleep(leadTime)
-	s.set(func() { s.began = time.Now() })
+	time.Sleep(warmUp)
+	s.set(func() { s.started = time.Now() })
 	for h := range s.hosts {
 		region := s.regions[h%len(s.regions)]
 		var p *Purse
@@ -348,7 +348,7 @@
 		}
 		for _, w := range s.workspaces {
 			spawn(func() {
-				s.load(ctx, w, h, purse, &group, weight)
+				s.generateLoad(ctx, w, h, purse, &group, weight)
 			})
 		}
 	}
--- a/cappurse/suspend_test.go
+++ b/cappurse/suspend_test.go
@@ -33,21 +33,21 @@
 				Stores: func() []wheelgauge.StoreAt { return []wheelgauge.StoreAt{{Address: "s"}} },
 				Ask: func(_ context.Context, _ string, ask wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
 					if dark {
-						return wheelgauge.CapAnswer{}, errDark
+						return wheelgauge.CapAnswer{}, errUnreachable
 					}
 					return wheelgauge.CapAnswer{Grants: []wheelgauge.CapGrant{{Granted: true, Ahead: ask.Wants[0].Ahead, Alone: 1e6, AloneMS: 8000}}}, nil
 				},
 			})
 			defer p.Close()
-			if fault := p.Take(context.Background(), testSpace, units); fault != nil {
+			if fault := p.Take(context.Background(), testWorkspace, units); fault != nil {
 				t.Fatal(fault)
 			}
 			dark = true
 			clock.Pass(tt.suspended)
-			if left := p.reuse(testSpace.Name, units); left != tt.ahead {
+			if left := p.takeCached(testWorkspace.Name, units); left != tt.ahead {
 				t.Errorf("what was drawn ahead is used: %v, want %v", left, tt.ahead)
 			}
-			fault := p.goAlone(testSpace.Name, units)
+			fault := p.takeStandalone(testWorkspace.Name, units)
 			if (fault == nil) != tt.alone {
 				t.Errorf("it goes on alone: %v, want %v", fault == nil, tt.alone)
 			}
--- a/coldrate/shares.go
+++ b/coldrate/shares.go
@@ -21,8 +21,8 @@
 )
 
 type bucket struct {
-	left float64
-	at   time.Time
+	tokens float64
+	refilled   time.Time
 }
 
 // Shares is safe for concurrent use.
@@ -53,15 +53,15 @@
 	now := s.now()
 	b := s.buckets[server]
 	if b == nil {
-		b = &bucket{left: burst, at: now}
+		b = &bucket{tokens: burst, refilled: now}
 		s.buckets[server] = b
 	}
 	part := rate / float64(min(holders, max(1, len(peers))))
-	b.left = min(burst, b.left+part*now.Sub(b.at).Seconds())
-	b.at = now
-	if b.left < 1 {
+	b.tokens = min(burst, b.tokens+part*now.Sub(b.refilled).Seconds())
+	b.refilled = now
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
--- a/coldrate/shares_test.go
+++ b/coldrate/shares_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestUnknownHostsMeanNothing(t *testing.T) {
+func TestUnknownHosts(t *testing.T) {
 	if New(time.Now).Take("server", "host", nil, 100) {
 		t.Error("a host that knows no others sent to a cold server")
 	}
--- a/coldrate/views_test.go
+++ b/coldrate/views_test.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	viewTick = 50 * time.Millisecond
-	// viewLate is how much later than the first the last host hears of a change: two
+	tick = 50 * time.Millisecond
+	// maxViewDelay is how much later than the first the last host hears of a change: two
 	// heartbeats, and one between stores.
-	viewLate = 500 * time.Millisecond
-	// viewRate is a server's cold rate, in requests a second.
-	viewRate = 3.5
-	viewDay  = 9 * time.Second
-	// viewNamed is the most hosts that share.
-	viewNamed = 32
+	maxViewDelay = 500 * time.Millisecond
+	// coldRate is a server's cold rate, in requests a second.
+	coldRate = 3.5
+	runTime  = 9 * time.Second
+	// maxSharers is the most hosts that share.
+	maxSharers = 32
 )
 
 // viewHost is a host with its own view of who shares.
@@ -36,7 +36,7 @@
 	down   bool
 	// pending is a view that it hears of later.
 	pending []string
-	hears   time.Duration
+	viewAt   time.Duration
 }
 
 // views plays hosts whose views of each other differ for a while after each change.
@@ -72,31 +72,31 @@
 		}
 	}
 	slices.Sort(out)
-	return out[:min(viewNamed, len(out))]
+	return out[:min(maxSharers, len(out))]
 }
 
-// changed lets each host hear of the hosts that there are now, each at its own moment.
-func (v *views) changed() {
+// spreadChange lets each host hear of the hosts that there are now, each at its own moment.
+func (v *views) spreadChange() {
 	for _, h := range v.hosts {
-		h.pending, h.hears = v.live(), v.at+time.Duration(v.r.Int64N(int64(viewLate)))
+		h.pending, h.viewAt = v.live(), v.at+time.Duration(v.r.Int64N(int64(maxViewDelay)))
 	}
 }
 
 func (v *views) step() {
 	for _, h := range v.hosts {
-		if h.pending != nil && v.at >= h.hears {
+		if h.pending != nil && v.at >= h.viewAt {
 			h.view, h.pending = h.pending, nil
 		}
-		if !h.down && h.shares.Take("server", h.name, h.view, viewRate) {
+		if !h.down && h.shares.Take("server", h.name, h.view, coldRate) {
 			v.sent = append(v.sent, v.now())
 		}
 	}
-	v.at += viewTick
+	v.at += tick
 }
 
 // A cold server gets its rate, and what is allowed besides, while hosts join, leave, start
 // again, and hear of it one after another.
-func TestViewsThatDiffer(t *testing.T) {
+func TestDifferingViews(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(v *views)
@@ -126,23 +126,23 @@
 			for seed := range uint64(*viewSeeds) {
 				v := newViews(seed, hosts)
 				next := 2 * time.Second
-				for v.at < viewDay {
+				for v.at < runTime {
 					if v.at >= next {
 						tt.change(v)
-						v.changed()
+						v.spreadChange()
 						next += 3 * time.Second
 					}
 					v.step()
 				}
 				got, _ := judge.ColdRate().Worst(v.sent)
 				most = max(most, got)
-				if err := judge.ColdRate().Check(viewRate, v.sent); err != nil {
+				if err := judge.ColdRate().Check(coldRate, v.sent); err != nil {
 					t.Errorf("%s, %d hosts, seed %d: %v", tt.name, hosts, seed, err)
 				}
 			}
 		}
 		if *viewFigures {
-			t.Logf("%s: %d in the worst second, allowed %.2f", tt.name, most, judge.ColdRate().Allowed(viewRate))
+			t.Logf("%s: %d in the worst second, allowed %.2f", tt.name, most, judge.ColdRate().Allowed(coldRate))
 		}
 	}
 }
--- a/meanrate/rate.go
+++ b/meanrate/rate.go
@@ -11,7 +11,7 @@
 type Rate struct {
 	span  time.Duration
 	value float64
-	at    time.Time
+	updated    time.Time
 }
 
 // New returns the mean of nothing. After a span an asking counts 1/e of what it did.
@@ -24,9 +24,9 @@
 
 // At returns the mean at a moment, in units a second.
 func (r *Rate) At(now time.Time) float64 {
-	if d := now.Sub(r.at); d > 0 {
+	if d := now.Sub(r.updated); d > 0 {
 		r.value *= math.Exp(-d.Seconds() / r.span.Seconds())
-		r.at = now
+		r.updated = now
 	}
 	return r.value
 }
--- a/permitclient/client.go
+++ b/permitclient/client.go
@@ -18,19 +18,19 @@
 const Path = "/v1/permits"
 
 const (
-	// askTimeout bounds one asking within a region: some ways there and back.
-	askTimeout = 150 * time.Millisecond
-	// silentPause keeps askings off a store that did not answer.
-	silentPause = time.Second
-	// aloneRate is the part of a limit that hosts share while no store answers: one that
+	// requestTimeout bounds one asking within a region: some ways there and back.
+	requestTimeout = 150 * time.Millisecond
+	// silentStorePause keeps askings off a store that did not answer.
+	silentStorePause = time.Second
+	// standaloneFraction is the part of a limit that hosts share while no store answers: one that
 	// some of them still reach gives the whole, and both together stay below one and a half
 	// times the limit.
-	aloneRate = 0.4
-	// aloneRetry is when a host asks again that has no share, or has used it.
-	aloneRetry = 300 * time.Millisecond
-	// leastAlone is the least rate that is shared, in requests a second: without any request
+	standaloneFraction = 0.4
+	// standaloneRetryAfter is when a host asks again that has no share, or has used it.
+	standaloneRetryAfter = 300 * time.Millisecond
+	// minStandaloneRate is the least rate that is shared, in requests a second: without any request
 	// nobody would hear that a limit has ended.
-	leastAlone = 0.1
+	minStandaloneRate = 0.1
 )
 
 // Options of a Client.
@@ -49,49 +49,49 @@
 
 // Client is safe for concurrent use.
 type Client struct {
-	o      Options
+	options      Options
 	shares *coldrate.Shares
 	mu     sync.Mutex
 	// silent is until when a store that did not answer is not asked.
-	silent map[string]time.Time
+	silentUntil map[string]time.Time
 }
 
 // New returns a client.
 func New(o Options) *Client {
-	return &Client{o: o, shares: coldrate.New(o.Now), silent: map[string]time.Time{}}
+	return &Client{options: o, shares: coldrate.New(o.Now), silentUntil: map[string]time.Time{}}
 }
 
 // Take implements wheelgauge.Permits.
 func (c *Client) Take(ctx context.Context, server string, patience time.Duration) (after time.Duration, ok bool) {
-	rate, limited := c.o.Limits.Rate(server)
+	rate, limited := c.options.Limits.Rate(server)
 	if !limited {
 		return 0, true
 	}
-	for i, store := range c.order(server) {
+	for i, store := range c.rankedStores(server) {
 		if !store.Answers || c.isSilent(store.Address) {
 			continue
 		}
-		answer, err := c.ask(ctx, store.Address, wheelgauge.PermitAsk{Limit: c.o.Limits.Word(server), PatienceMS: patience.Milliseconds(), Instead: i > 0})
+		answer, err := c.ask(ctx, store.Address, wheelgauge.PermitAsk{Limit: c.options.Limits.Get(server), PatienceMS: patience.Milliseconds(), Instead: i > 0})
 		if err == nil {
-			c.o.Limits.Merge([]wheelgauge.ServerLimit{answer.Limit})
+			c.options.Limits.Merge([]wheelgauge.ServerLimit{answer.Limit})
 			return time.Duration(answer.AfterMS) * time.Millisecond, answer.Granted
 		}
 		if ctx.Err() != nil {
 			return 0, false // the request had less time than the store
 		}
-		c.noteSilent(store.Address)
+		c.markSilent(store.Address)
 	}
 	// A store that answers nobody gives nothing: a few hosts go on with their shares.
-	if c.shares.Take(server, c.o.Host, c.o.Sharers(), aloneRate*max(rate, leastAlone)) {
+	if c.shares.Take(server, c.options.Host, c.options.Sharers(), standaloneFraction*max(rate, minStandaloneRate)) {
 		return 0, true
 	}
-	return aloneRetry, false
+	return standaloneRetryAfter, false
 }
 
-// order returns the stores of the region, the one that gives the server's permits first:
+// rankedStores returns the stores of the region, the one that gives the server's permits first:
 // all hosts agree on it, so that nothing is given twice.
-func (c *Client) order(server string) []wheelgauge.RegionStore {
-	stores := c.o.Stores()
+func (c *Client) rankedStores(server string) []wheelgauge.RegionStore {
+	stores := c.options.Stores()
 	byName := make(map[string]wheelgauge.RegionStore, len(stores))
 	names := make([]string, 0, len(stores))
 	for _, s := range stores {
@@ -105,19 +105,19 @@
 }
 
 func (c *Client) ask(ctx context.Context, address string, ask wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	return c.o.Ask(ctx, address, ask)
+	return c.options.Ask(ctx, address, ask)
 }
 
 func (c *Client) isSilent(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.o.Now().Before(c.silent[address])
+	return c.options.Now().Before(c.silentUntil[address])
 }
 
-func (c *Client) noteSilent(address string) {
+func (c *Client) markSilent(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent[address] = c.o.Now().Add(silentPause)
+	c.silentUntil[address] = c.options.Now().Add(silentStorePause)
 }
--- a/permitclient/client_test.go
+++ b/permitclient/client_test.go
@@ -11,7 +11,7 @@
 	"wheelgauge/serverlimit"
 )
 
-var errDark = errors.New("dark")
+var errUnreachable = errors.New("dark")
 
 func TestTake(t *testing.T) {
 	const server = "s"
@@ -59,7 +59,7 @@
 					if a, ok := tt.answers[address]; ok {
 						return a, nil
 					}
-					return wheelgauge.PermitAnswer{}, errDark
+					return wheelgauge.PermitAnswer{}, errUnreachable
 				},
 			})
 			after, ok := c.Take(context.Background(), server, 0)
@@ -73,7 +73,7 @@
 				return
 			}
 			// Its share is used, and stores that were silent are not asked at each request.
-			if after, ok := c.Take(context.Background(), server, 0); ok || after != aloneRetry || asked != tt.asked {
+			if after, ok := c.Take(context.Background(), server, 0); ok || after != standaloneRetryAfter || asked != tt.asked {
 				t.Errorf("then after %v, %v, asked %d", after, ok, asked)
 			}
 		})
--- a/permitclient/model_test.go
+++ b/permitclient/model_test.go
@@ -23,17 +23,17 @@
 
 const (
 	tick      = 10 * time.Millisecond
-	beatEvery = 150 * time.Millisecond
-	// answerTime is how long a server takes to answer.
-	answerTime = 60 * time.Millisecond
-	dayTime    = 40 * time.Second
-	// firstNamed is when servers first name a limit, boundFrom how much later the bound
+	heartbeatInterval = 150 * time.Millisecond
+	// responseTime is how long a server takes to answer.
+	responseTime = 60 * time.Millisecond
+	runTime    = 40 * time.Second
+	// limitFrom is when servers first name a limit, boundFrom how much later the bound
 	// holds.
-	firstNamed = 2 * time.Second
-	boundFrom  = 5 * time.Second
-	// settle is how much later a lower limit binds: its first answer, and half a second.
-	settle     = time.Second
-	patience   = 2500 * time.Millisecond
+	limitFrom = 2 * time.Second
+	boundDelay  = 5 * time.Second
+	// lowerLimitDelay is how much later a lower limit binds: its first answer, and half a second.
+	lowerLimitDelay     = time.Second
+	maxWait   = 2500 * time.Millisecond
 	mostStores = 3
 )
 
@@ -49,7 +49,7 @@
 	phases []phase
 	// demand is what callers want of it, in requests a second.
 	demand float64
-	got    []time.Duration
+	arrivals    []time.Duration
 }
 
 func (s *modelServer) rate(at time.Duration) float64 {
@@ -62,8 +62,8 @@
 	return rate
 }
 
-// most is the highest limit within a span, and whether there was one throughout.
-func (s *modelServer) most(from, to time.Duration) (rate float64, limited bool) {
+// maxRate is the highest limit within a span, and whether there was one throughout.
+func (s *modelServer) maxRate(from, to time.Duration) (rate float64, limited bool) {
 	for at := from; at <= to; at += tick {
 		r := s.rate(at)
 		if r < 0 {
@@ -80,7 +80,7 @@
 	limits  *serverlimit.Table
 	issuer  *permitissuer.Issuer
 	// dark is until when it answers nobody; frozen stores keep what they know.
-	dark time.Duration
+	unreachableUntil time.Duration
 }
 
 type modelHost struct {
@@ -88,13 +88,13 @@
 	limits *serverlimit.Table
 	client *Client
 	// down is until when the host is not there.
-	down time.Duration
+	downUntil time.Duration
 	// cut are the stores that it does not reach.
-	cut [mostStores]time.Duration
+	cutUntil [mostStores]time.Duration
 	// ready is set once a store has answered: a host serves nothing before.
 	ready bool
 	// heard and since are what the stores were told and told last.
-	heard, since map[uint64]uint64
+	sentUpTo, receivedUpTo map[uint64]uint64
 }
 
 // event is something that happens later.
@@ -141,19 +141,19 @@
 
 func (m *model) startHost(h *modelHost) {
 	h.ready = false
-	h.limits, h.heard, h.since = serverlimit.New(m.now), map[uint64]uint64{}, map[uint64]uint64{}
+	h.limits, h.sentUpTo, h.receivedUpTo = serverlimit.New(m.now), map[uint64]uint64{}, map[uint64]uint64{}
 	h.client = New(Options{
 		Host: h.name, Limits: h.limits, Now: m.now,
-		Stores:  func() []wheelgauge.RegionStore { return m.view(h) },
-		Sharers: m.names,
+		Stores:  func() []wheelgauge.RegionStore { return m.storesOf(h) },
+		Sharers: m.hostNames,
 		Ask: func(_ context.Context, address string, ask wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error) {
 			return m.ask(h, address, ask)
 		},
 	})
 }
 
-// view is what a host knows of the stores: one that is dark is noticed half a second late.
-func (m *model) view(h *modelHost) []wheelgauge.RegionStore {
+// storesOf is what a host knows of the stores: one that is dark is noticed half a second late.
+func (m *model) storesOf(h *modelHost) []wheelgauge.RegionStore {
 	var out []wheelgauge.RegionStore
 	for i, s := range m.stores {
 		out = append(out, wheelgauge.RegionStore{Address: s.address, Answers: m.reaches(h, i)})
@@ -161,10 +161,10 @@
 	return out
 }
 
-func (m *model) names() []string {
+func (m *model) hostNames() []string {
 	var out []string
 	for _, h := range m.hosts {
-		if m.at >= h.down {
+		if m.at >= h.downUntil {
 			out = append(out, h.name)
 		}
 	}
@@ -172,7 +172,7 @@
 }
 
 func (m *model) reaches(h *modelHost, store int) bool {
-	return m.at >= m.stores[store].dark && m.at >= h.cut[store]
+	return m.at >= m.stores[store].unreachableUntil && m.at >= h.cutUntil[store]
 }
 
 // ask answers as a store does.
@@ -182,26 +182,26 @@
 			continue
 		}
 		if !m.reaches(h, i) {
-			return a, errDark
+			return a, errUnreachable
 		}
 		return s.issuer.Answer(ask), nil
 	}
 	return a, nil
 }
 
-// beat tells stores what the host heard, and takes what the first of them knows.
-func (m *model) beat(h *modelHost) {
+// heartbeat tells stores what the host heard, and takes what the first of them knows.
+func (m *model) heartbeat(h *modelHost) {
 	first := true
 	for i, s := range m.stores {
 		if !m.reaches(h, i) {
 			continue
 		}
 		key := uint64(i)<<32 | s.boot
-		news, last := h.limits.Heard(h.heard[key])
+		news, last := h.limits.Heard(h.sentUpTo[key])
 		s.limits.Merge(news)
-		h.heard[key] = last
+		h.sentUpTo[key] = last
 		if first {
-			news, h.since[key] = s.limits.Since(h.since[key])
+			news, h.receivedUpTo[key] = s.limits.Since(h.receivedUpTo[key])
 			h.limits.Merge(news)
 		}
 		first = false
@@ -209,18 +209,18 @@
 	}
 }
 
-func (m *model) later(after time.Duration, do func()) {
+func (m *model) schedule(after time.Duration, do func()) {
 	m.events = append(m.events, event{m.at + after, do})
 }
 
 // request is one of a caller for a server, at any host.
 func (m *model) request(s *modelServer) {
-	m.requestAt(s, m.r.IntN(len(m.hosts)), patience)
+	m.requestAt(s, m.r.IntN(len(m.hosts)), maxWait)
 }
 
 func (m *model) requestAt(s *modelServer, n int, left time.Duration) {
 	h := m.hosts[n]
-	if m.at < h.down || !h.ready {
+	if m.at < h.downUntil || !h.ready {
 		return
 	}
 	after, ok := m.permit(h, s, left)
@@ -229,10 +229,10 @@
 	}
 	client := h.client
 	was, _ := h.limits.Rate(s.name)
-	m.later(after, func() {
+	m.schedule(after, func() {
 		rate, _ := h.limits.Rate(s.name)
 		switch {
-		case h.client != client || m.at < h.down: // the host is gone
+		case h.client != client || m.at < h.downUntil: // the host is gone
 		case rate != was && after > 0:
 			m.requestAt(s, n, left-after) // what was given ahead is not good any more
 		default:
@@ -250,9 +250,9 @@
 
 func (m *model) send(s *modelServer, host int) {
 	h, sent := m.hosts[host], m.now()
-	s.got = append(s.got, m.at)
+	s.arrivals = append(s.arrivals, m.at)
 	client := h.client
-	m.later(answerTime, func() {
+	m.schedule(responseTime, func() {
 		rate := s.rate(m.at)
 		switch {
 		case h.client != client:
@@ -264,9 +264,9 @@
 	})
 }
 
-func (m *model) play() {
+func (m *model) run() {
 	slices.SortStableFunc(m.events, func(a, b event) int { return cmp.Compare(a.at, b.at) })
-	for ; m.at < dayTime; m.at += tick {
+	for ; m.at < runTime; m.at += tick {
 		due := m.events
 		m.events = nil
 		for _, e := range due {
@@ -278,8 +278,8 @@
 		}
 		for i, h := range m.hosts {
 			// Hosts beat one after another.
-			if m.at >= h.down && (m.at/tick+time.Duration(i))%(beatEvery/tick) == 0 {
-				m.beat(h)
+			if m.at >= h.downUntil && (m.at/tick+time.Duration(i))%(heartbeatInterval/tick) == 0 {
+				m.heartbeat(h)
 			}
 		}
 		for _, s := range m.servers {
@@ -294,32 +294,32 @@
 	}
 }
 
-// worst is the largest part of what is allowed that a server got in a window. What hosts
+// worstWindow is the largest part of what is allowed that a server got in a window. What hosts
 // send that were not told yet, or were disturbed, counts like all else.
-func (m *model) worst(s *modelServer) float64 {
+func (m *model) worstWindow(s *modelServer) float64 {
 	var got []time.Time
-	for _, at := range s.since(firstNamed + boundFrom) {
+	for _, at := range s.arrivalsSince(limitFrom + boundDelay) {
 		got = append(got, time.Unix(0, 0).Add(at))
 	}
 	bound, most := judge.ServerLimit(), 0.0
 	bound.Each(got, func(from, to time.Time, count int) {
 		first, last := from.Sub(time.Unix(0, 0)), to.Sub(time.Unix(0, 0))
-		if rate, limited := s.most(max(firstNamed, first-settle), last); limited {
+		if rate, limited := s.maxRate(max(limitFrom, first-lowerLimitDelay), last); limited {
 			most = max(most, float64(count)/bound.Allowed(rate))
 		}
 	})
 	return most
 }
 
-// used is the part of what a server offered that it got, from the bound on.
-func (m *model) used(s *modelServer) float64 {
+// usedFraction is the part of what a server offered that it got, from the bound on.
+func (m *model) usedFraction(s *modelServer) float64 {
 	offered, got := 0.0, 0
-	for at := firstNamed + boundFrom; at < dayTime; at += tick {
+	for at := limitFrom + boundDelay; at < runTime; at += tick {
 		if r := s.rate(at); r > 0 {
 			offered += r * tick.Seconds()
 		}
 	}
-	for _, at := range s.since(firstNamed + boundFrom) {
+	for _, at := range s.arrivalsSince(limitFrom + boundDelay) {
 		if s.rate(at) >= 0 {
 			got++
 		}
@@ -327,11 +327,11 @@
 	return float64(got) / offered
 }
 
-// since is what the server got from a moment on.
-func (s *modelServer) since(from time.Duration) []time.Duration {
-	for i, at := range s.got {
+// arrivalsSince is what the server got from a moment on.
+func (s *modelServer) arrivalsSince(from time.Duration) []time.Duration {
+	for i, at := range s.arrivals {
 		if at >= from {
-			return s.got[i:]
+			return s.arrivals[i:]
 		}
 	}
 	return nil
@@ -341,7 +341,7 @@
 func (m *model) check(name string, least float64) {
 	m.t.Helper()
 	for _, s := range m.servers {
-		worst, used := m.worst(s), m.used(s)
+		worst, used := m.worstWindow(s), m.usedFraction(s)
 		if *figures {
 			m.t.Logf("%s: %s: %.2f of what is allowed in the worst window, %.2f of what it offered was used", name, s.name, worst, used)
 		}
--- a/permitclient/schedule_test.go
+++ b/permitclient/schedule_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// needy returns servers that name limits throughout, and are wanted three times as much.
-func needy(rates ...float64) []*modelServer {
+// overloadedServers returns servers that name limits throughout, and are wanted three times as much.
+func overloadedServers(rates ...float64) []*modelServer {
 	var out []*modelServer
 	for i, rate := range rates {
-		out = append(out, &modelServer{name: fmt.Sprintf("server-%d of %g", i, rate), phases: []phase{{firstNamed, rate}}, demand: max(5, 3*rate)})
+		out = append(out, &modelServer{name: fmt.Sprintf("server-%d of %g", i, rate), phases: []phase{{limitFrom, rate}}, demand: max(5, 3*rate)})
 	}
 	return out
 }
@@ -21,8 +21,8 @@
 	t.Parallel()
 	for _, hosts := range []int{2, 6, 30, 300} {
 		for _, stores := range []int{1, 2, 3} {
-			m := newModel(t, 1, hosts, stores, needy(0.4, 1.3, 2.1, 20, 120)...)
-			m.play()
+			m := newModel(t, 1, hosts, stores, overloadedServers(0.4, 1.3, 2.1, 20, 120)...)
+			m.run()
 			m.check(fmt.Sprintf("%d hosts, %d stores", hosts, stores), 0.85)
 		}
 	}
@@ -33,12 +33,12 @@
 	t.Parallel()
 	for _, hosts := range []int{2, 30, 300} {
 		s := &modelServer{name: "server", demand: 60, phases: []phase{
-			{firstNamed, 2}, {12 * time.Second, 20}, {18 * time.Second, 0.5}, {26 * time.Second, -1}, {30 * time.Second, 3},
+			{limitFrom, 2}, {12 * time.Second, 20}, {18 * time.Second, 0.5}, {26 * time.Second, -1}, {30 * time.Second, 3},
 		}}
 		m := newModel(t, 2, hosts, 2, s)
-		m.play()
+		m.run()
 		m.check(fmt.Sprint(hosts, " hosts"), 0.8)
-		if free := len(s.since(28*time.Second)) - len(s.since(30*time.Second)); free < 100 {
+		if free := len(s.arrivalsSince(28*time.Second)) - len(s.arrivalsSince(30*time.Second)); free < 100 {
 			t.Errorf("%d hosts: %d of some 120 requests got through after the limit had ended", hosts, free)
 		}
 	}
@@ -50,17 +50,17 @@
 	play func(m *model)
 }
 
-func (m *model) any() *modelHost { return m.hosts[m.r.IntN(len(m.hosts))] }
+func (m *model) randomHost() *modelHost { return m.hosts[m.r.IntN(len(m.hosts))] }
 
-func (m *model) pause(least, most float64) time.Duration {
+func (m *model) randomDuration(least, most float64) time.Duration {
 	return time.Duration((least + (most-least)*m.r.Float64()) * float64(time.Second))
 }
 
 func faults() []fault {
 	return []fault{
 		{"a host starts again", func(m *model) {
-			h := m.any()
-			h.down = m.at + m.pause(0.3, 3)
+			h := m.randomHost()
+			h.downUntil = m.at + m.randomDuration(0.3, 3)
 			m.startHost(h)
 		}},
 		{"hosts join", func(m *model) {
@@ -72,34 +72,34 @@
 		}},
 		{"half of the hosts start again", func(m *model) {
 			for _, h := range m.hosts[:len(m.hosts)/2] {
-				h.down = m.at + m.pause(0.3, 2)
+				h.downUntil = m.at + m.randomDuration(0.3, 2)
 				m.startHost(h)
 			}
 		}},
 		{"a store starts again", func(m *model) {
 			s := m.stores[m.r.IntN(len(m.stores))]
-			s.dark = m.at + m.pause(0.3, 6)
+			s.unreachableUntil = m.at + m.randomDuration(0.3, 6)
 			m.startStore(s)
 		}},
 		{"all stores start again", func(m *model) {
 			for _, s := range m.stores {
-				s.dark = m.at + m.pause(0.3, 6)
+				s.unreachableUntil = m.at + m.randomDuration(0.3, 6)
 				m.startStore(s)
 			}
 		}},
 		{"a store is frozen", func(m *model) {
-			m.stores[m.r.IntN(len(m.stores))].dark = m.at + m.pause(1, 8)
+			m.stores[m.r.IntN(len(m.stores))].unreachableUntil = m.at + m.randomDuration(1, 8)
 		}},
 		{"a host is cut off from all stores", func(m *model) {
-			h, until := m.any(), m.at+m.pause(1, 8)
-			for i := range h.cut {
-				h.cut[i] = until
+			h, until := m.randomHost(), m.at+m.randomDuration(1, 8)
+			for i := range h.cutUntil {
+				h.cutUntil[i] = until
 			}
 		}},
 		{"half of the hosts are cut off from a store", func(m *model) {
-			store, until := m.r.IntN(len(m.stores)), m.at+m.pause(1, 8)
+			store, until := m.r.IntN(len(m.stores)), m.at+m.randomDuration(1, 8)
 			for _, h := range m.hosts[:len(m.hosts)/2] {
-				h.cut[store] = until
+				h.cutUntil[store] = until
 			}
 		}},
 		{"a limit falls to a quarter", func(m *model) {
@@ -115,9 +115,9 @@
 	for _, f := range faults() {
 		for _, hosts := range []int{2, 30, 300} {
 			for _, stores := range []int{1, 2} {
-				m := newModel(t, 3, hosts, stores, needy(0.4, 1.3, 2.1, 20)...)
-				m.later(14*time.Second, func() { f.play(m) })
-				m.play()
+				m := newModel(t, 3, hosts, stores, overloadedServers(0.4, 1.3, 2.1, 20)...)
+				m.schedule(14*time.Second, func() { f.play(m) })
+				m.run()
 				m.check(fmt.Sprintf("%s, %d hosts, %d stores", f.name, hosts, stores), 0.6)
 			}
 		}
@@ -128,15 +128,15 @@
 func TestSchedules(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(*seeds) {
-		m := newModel(t, 100+seed, []int{2, 6, 30, 300}[seed%4], 1+int(seed/4%3), needy(0.4, 1.3, 2.1, 8, 40)...)
+		m := newModel(t, 100+seed, []int{2, 6, 30, 300}[seed%4], 1+int(seed/4%3), overloadedServers(0.4, 1.3, 2.1, 8, 40)...)
 		var played []string
 		for range 2 + m.r.IntN(4) {
 			all := faults()
 			f := all[m.r.IntN(len(all))]
 			played = append(played, f.name)
-			m.later(m.pause(5, 30), func() { f.play(m) })
+			m.schedule(m.randomDuration(5, 30), func() { f.play(m) })
 		}
-		m.play()
+		m.run()
 		m.check(fmt.Sprintf("seed %d, %d hosts, %v", 100+seed, len(m.hosts), played), 0.3)
 	}
 }
@@ -144,7 +144,7 @@
 // The ways that were weighed against permits: each breaks the bound, so the check can
 // fail. A limit that each host keeps for itself is broken from two hosts on, even parts
 // by what is saved up in them, and with a limit below one a second.
-func TestOtherWays(t *testing.T) {
+func TestAlternatives(t *testing.T) {
 	t.Parallel()
 	type key struct{ host, server string }
 	perHost := func(part func(m *model) float64) func(m *model) func(h *modelHost, s *modelServer) bool {
@@ -181,12 +181,12 @@
 		{"even parts", 300, perHost(func(m *model) float64 { return 1 / float64(len(m.hosts)) })},
 	}
 	for _, tt := range tests {
-		m := newModel(t, 1, tt.hosts, 2, needy(0.4, 2.1)...)
+		m := newModel(t, 1, tt.hosts, 2, overloadedServers(0.4, 2.1)...)
 		m.take = tt.take(m)
-		m.play()
+		m.run()
 		over := 0.0
 		for _, s := range m.servers {
-			over = max(over, m.worst(s))
+			over = max(over, m.worstWindow(s))
 		}
 		if *figures {
 			t.Logf("%s: %.2f of what is allowed", tt.name, over)
--- a/permitissuer/issuer.go
+++ b/permitissuer/issuer.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// leastRate is what a server gets that wants less, in requests a second: without any
+	// minRate is what a server gets that wants less, in requests a second: without any
 	// request nobody would hear that its limit has ended.
-	leastRate = 0.1
-	// saved is how many permits are kept that nobody asked for, besides the one that is due.
-	saved = 2
-	// insteadPart of the limit is given in place of the store that usually gives it, and
+	minRate = 0.1
+	// maxSavedPermits is how many permits are kept that nobody asked for, besides the one that is due.
+	maxSavedPermits = 2
+	// fallbackFraction of the limit is given in place of the store that usually gives it, and
 	// nothing is saved: some hosts may still reach that one, and both together stay below
 	// one and a half times the limit.
-	insteadPart = 0.4
-	// furthest is how much later than the next permit a host is told to come back.
-	furthest = time.Second
-	// leastAfter is the soonest that a host is told to come back.
-	leastAfter = 20 * time.Millisecond
-	// life is how long a server is kept that nobody asks for.
-	life = 5 * time.Minute
+	fallbackFraction = 0.4
+	// maxRetrySpread is how much later than the next permit a host is told to come back.
+	maxRetrySpread = time.Second
+	// minRetryAfter is the soonest that a host is told to come back.
+	minRetryAfter = 20 * time.Millisecond
+	// idleTTL is how long a server is kept that nobody asks for.
+	idleTTL = 5 * time.Minute
 )
 
 // key tells what is given as the server's own store from what is given in place of it.
 type key struct {
 	server  string
-	instead bool
+	fallback bool
 }
 
 // schedule is that of one server's permits.
 type schedule struct {
 	// gap is the time between two permits.
-	gap     time.Duration
-	instead bool
+	interval     time.Duration
+	fallback bool
 	// next is when the next permit is due if none was saved.
 	next time.Time
 	// turn is when the last host that was refused comes back.
-	turn  time.Time
-	asked time.Time
+	lastRetry  time.Time
+	lastRequest time.Time
 }
 
 // Issuer is safe for concurrent use.
@@ -64,7 +64,7 @@
 func (i *Issuer) Answer(ask wheelgauge.PermitAsk) wheelgauge.PermitAnswer {
 	server := ask.Limit.Server
 	i.limits.Merge([]wheelgauge.ServerLimit{ask.Limit})
-	a := wheelgauge.PermitAnswer{Limit: i.limits.Word(server)}
+	a := wheelgauge.PermitAnswer{Limit: i.limits.Get(server)}
 	rate, limited := i.limits.Rate(server)
 	if !limited {
 		a.Granted = true // a later answer of the server, to another host, lacked the limit
@@ -82,24 +82,24 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := i.now()
-	s := i.schedule(key{server, instead}, gapOf(rate, instead), now)
-	s.asked = now
-	due := s.next.Add(-s.early())
+	s := i.schedule(key{server, instead}, intervalOf(rate, instead), now)
+	s.lastRequest = now
+	due := s.next.Add(-s.burstTolerance())
 	wait := max(0, due.Sub(now))
 	if wait > min(patience, wheelgauge.MostPermitWait) {
-		return s.comeBack(due, now), false
+		return s.retryAfter(due, now), false
 	}
 	if s.next.Before(now) {
 		s.next = now
 	}
-	s.next = s.next.Add(s.gap)
+	s.next = s.next.Add(s.interval)
 	return wait, true
 }
 
-func gapOf(rate float64, instead bool) time.Duration {
-	rate = max(rate, leastRate)
+func intervalOf(rate float64, instead bool) time.Duration {
+	rate = max(rate, minRate)
 	if instead {
-		rate *= insteadPart
+		rate *= fallbackFraction
 	}
 	return max(1, time.Duration(float64(time.Second)/rate))
 }
@@ -108,44 +108,44 @@
 func (i *Issuer) schedule(k key, gap time.Duration, now time.Time) *schedule {
 	s := i.schedules[k]
 	if s == nil {
-		s = &schedule{gap: gap, instead: k.instead}
-		s.next = now.Add(gap + s.early())
+		s = &schedule{interval: gap, fallback: k.fallback}
+		s.next = now.Add(gap + s.burstTolerance())
 		i.schedules[k] = s
 	}
-	if s.gap != gap {
-		s.change(gap, now)
+	if s.interval != gap {
+		s.setInterval(gap, now)
 	}
 	return s
 }
 
-// change adapts to another limit: what was saved is as many permits as before, and what was
+// setInterval adapts to another limit: what was saved is as many permits as before, and what was
 // given ahead is no longer good.
-func (s *schedule) change(gap time.Duration, now time.Time) {
-	ahead := time.Duration(float64(s.next.Sub(now)) / float64(s.gap) * float64(gap))
-	s.gap, s.turn = gap, time.Time{}
-	s.next = now.Add(min(ahead, s.early()+gap))
+func (s *schedule) setInterval(gap time.Duration, now time.Time) {
+	ahead := time.Duration(float64(s.next.Sub(now)) / float64(s.interval) * float64(gap))
+	s.interval, s.lastRetry = gap, time.Time{}
+	s.next = now.Add(min(ahead, s.burstTolerance()+gap))
 }
 
-// early is how long before its time a permit is given when earlier ones were saved.
-func (s *schedule) early() time.Duration {
-	if s.instead {
+// burstTolerance is how long before its time a permit is given when earlier ones were saved.
+func (s *schedule) burstTolerance() time.Duration {
+	if s.fallback {
 		return 0
 	}
-	return saved * s.gap
+	return maxSavedPermits * s.interval
 }
 
-// comeBack gives hosts that are refused turns one after another: told the same moment, all
+// retryAfter gives hosts that are refused turns one after another: told the same moment, all
 // of them would ask for the one permit.
-func (s *schedule) comeBack(due, now time.Time) time.Duration {
-	if s.turn.Before(due) {
-		s.turn = due
+func (s *schedule) retryAfter(due, now time.Time) time.Duration {
+	if s.lastRetry.Before(due) {
+		s.lastRetry = due
 	} else {
-		s.turn = s.turn.Add(s.gap)
+		s.lastRetry = s.lastRetry.Add(s.interval)
 	}
-	if last := due.Add(furthest); s.turn.After(last) {
-		s.turn = last
+	if last := due.Add(maxRetrySpread); s.lastRetry.After(last) {
+		s.lastRetry = last
 	}
-	return max(leastAfter, s.turn.Sub(now))
+	return max(minRetryAfter, s.lastRetry.Sub(now))
 }
 
 // Prune forgets servers that nobody asks for.
@@ -153,7 +153,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for k, s := range i.schedules {
-		if i.now().Sub(s.asked) > life {
+		if i.now().Sub(s.lastRequest) > idleTTL {
 			delete(i.schedules, k)
 		}
 	}
--- a/permitissuer/issuer_test.go
+++ b/permitissuer/issuer_test.go
@@ -27,7 +27,7 @@
 }
 
 // Whoever asks, however often, a server gets its limit, what was saved, and no more.
-func TestWhatIsGiven(t *testing.T) {
+func TestGrantedRate(t *testing.T) {
 	const span = 40 * time.Second
 	tests := []struct {
 		name    string
@@ -64,7 +64,7 @@
 }
 
 // Requests that can wait get the permits to come, one each, and no later ones.
-func TestPatience(t *testing.T) {
+func TestWaitingRequests(t *testing.T) {
 	c := manualclock.New()
 	i := New(serverlimit.New(c.Now), c.Now)
 	i.Take("s", 10, 0, false)
@@ -108,7 +108,7 @@
 }
 
 // Hosts that are refused together come back one after another.
-func TestTurns(t *testing.T) {
+func TestRetryTimes(t *testing.T) {
 	c := manualclock.New()
 	i := New(serverlimit.New(c.Now), c.Now)
 	i.Take("s", 10, 0, false)
@@ -120,7 +120,7 @@
 	if len(seen) != 8 {
 		t.Errorf("8 hosts come back at %d moments: %v", len(seen), seen)
 	}
-	c.Pass(2 * life)
+	c.Pass(2 * idleTTL)
 	i.Prune()
 	if len(i.schedules) != 0 {
 		t.Error("a server that nobody asks for is kept")
--- a/pushback/fuzz_test.go
+++ b/pushback/fuzz_test.go
@@ -11,8 +11,8 @@
 		f.Add(seed, "Thu, 16 Apr 2026 09:28:13 GMT")
 	}
 	f.Fuzz(func(t *testing.T, text, date string) {
-		wait, ok := ParseRetryAfter(values(text), values(date))
-		if wait < 0 || wait > longestBackoff || !ok && wait != 0 {
+		wait, ok := ParseRetryAfter(headerValues(text), headerValues(date))
+		if wait < 0 || wait > maxBackoff || !ok && wait != 0 {
 			t.Fatalf("%q, %q: %s, %t", text, date, wait, ok)
 		}
 		var s State
--- a/pushback/state.go
+++ b/pushback/state.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// longestBackoff bounds one backoff.
-	longestBackoff = time.Hour
-	// doubtAfter is how long a server that said that it leaves must have been listed as one
+	// maxBackoff bounds one backoff.
+	maxBackoff = time.Hour
+	// leavingTTL is how long a server that said that it leaves must have been listed as one
 	// that does not before it is taken for a new start under the old name, and for how long
 	// what is over is remembered of one that is not listed.
-	doubtAfter = time.Minute
+	leavingTTL = time.Minute
 	// leavingValue is what a leaving server says.
 	leavingValue = "1"
 )
@@ -25,40 +25,40 @@
 // State is what one start of a server asks of this host. The zero value asks nothing.
 type State struct {
 	// until is when the last backoff ends.
-	until time.Time
+	backoffEnd time.Time
 	// left is when the server last said that it leaves; zero if it has not.
-	left time.Time
+	leavingAt time.Time
 }
 
 // BackOff takes that the server wants nothing for a time from now on. It tells whether that
 // is longer than what it asked before.
 func (s *State) BackOff(now time.Time, wait time.Duration) bool {
-	until := now.Add(min(wait, longestBackoff))
-	if !until.After(s.until) {
+	until := now.Add(min(wait, maxBackoff))
+	if !until.After(s.backoffEnd) {
 		return false
 	}
-	s.until = until
+	s.backoffEnd = until
 	return true
 }
 
 // Leave takes that the server leaves, and tells whether that is new.
 func (s *State) Leave(now time.Time) bool {
-	known := !s.left.IsZero()
-	s.left = now
+	known := !s.leavingAt.IsZero()
+	s.leavingAt = now
 	return !known
 }
 
 // Listed takes that the server was listed at a moment as one that does not leave.
 func (s *State) Listed(at time.Time) {
-	if !s.left.IsZero() && at.Sub(s.left) > doubtAfter {
-		s.left = time.Time{}
+	if !s.leavingAt.IsZero() && at.Sub(s.leavingAt) > leavingTTL {
+		s.leavingAt = time.Time{}
 	}
 }
 
 // Returned takes that the server came back at a moment: what it said before is over.
 func (s *State) Returned(at time.Time) {
-	if at.After(s.left) {
-		s.left = time.Time{}
+	if at.After(s.leavingAt) {
+		s.leavingAt = time.Time{}
 	}
 }
 
@@ -66,20 +66,20 @@
 func (s State) Allows(now time.Time) bool { return !s.Leaving() && !s.BackingOff(now) }
 
 // BackingOff tells whether the server wants nothing now.
-func (s State) BackingOff(now time.Time) bool { return now.Before(s.until) }
+func (s State) BackingOff(now time.Time) bool { return now.Before(s.backoffEnd) }
 
 // Leaving tells whether the server leaves.
-func (s State) Leaving() bool { return !s.left.IsZero() }
+func (s State) Leaving() bool { return !s.leavingAt.IsZero() }
 
 // Left returns how much of the backoff is left; 0 when it is over.
-func (s State) Left(now time.Time) time.Duration { return max(0, s.until.Sub(now)) }
+func (s State) Left(now time.Time) time.Duration { return max(0, s.backoffEnd.Sub(now)) }
 
 // BackedOff tells whether the server has ever asked for a backoff.
-func (s State) BackedOff() bool { return !s.until.IsZero() }
+func (s State) BackedOff() bool { return !s.backoffEnd.IsZero() }
 
 // Over tells whether nothing that was asked matters any more.
 func (s State) Over(now time.Time) bool {
-	return now.Sub(s.until) > doubtAfter && now.Sub(s.left) > doubtAfter
+	return now.Sub(s.backoffEnd) > leavingTTL && now.Sub(s.leavingAt) > leavingTTL
 }
 
 // Values are those of a header, in the order of the answer.
@@ -139,5 +139,5 @@
 }
 
 func bounded(seconds float64) time.Duration {
-	return time.Duration(min(max(seconds, 0), longestBackoff.Seconds()) * float64(time.Second))
+	return time.Duration(min(max(seconds, 0), maxBackoff.Seconds()) * float64(time.Second))
 }
--- a/pushback/state_test.go
+++ b/pushback/state_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func values(list ...string) Values {
+func headerValues(list ...string) Values {
 	var out Values
 	for _, one := range list {
 		out = append(out, []byte(one))
@@ -24,35 +24,35 @@
 		ok     bool
 	}{
 		{"none", nil, "", 0, false},
-		{"seconds", values("3"), "", 3 * time.Second, true},
-		{"a fraction", values("0.25"), "", 250 * time.Millisecond, true},
-		{"a fraction without its zero", values(".5"), "", 500 * time.Millisecond, true},
-		{"spaces", values(" 2 "), "", 2 * time.Second, true},
-		{"nothing to wait", values("0"), "", 0, true},
-		{"the longest of several", values("1", "x", "4", "2"), "", 4 * time.Second, true},
-		{"a date", values("Thu, 16 Apr 2026 09:28:20 GMT"), date, 7 * time.Second, true},
-		{"a date that is past", values("Thu, 16 Apr 2026 09:28:02 GMT"), date, 0, true},
-		{"a date far away", values("Thu, 16 Apr 2099 09:28:02 GMT"), date, longestBackoff, true},
-		{"a date of an answer without one", values("Thu, 16 Apr 2026 09:28:20 GMT"), "", 0, false},
-		{"too long", values("99999999999999999999999999"), "", longestBackoff, true},
-		{"longer than a number", values("1" + strings.Repeat("9", 400)), "", longestBackoff, true},
-		{"negative", values("-3"), "", 0, false},
-		{"a sign", values("+3"), "", 0, false},
-		{"an exponent", values("1e3"), "", 0, false},
-		{"hexadecimal", values("0x10"), "", 0, false},
-		{"no number", values("NaN"), "", 0, false},
-		{"infinite", values("Inf"), "", 0, false},
-		{"words", values("soon"), "", 0, false},
-		{"empty", values(""), "", 0, false},
-		{"a point alone", values("."), "", 0, false},
-		{"two points", values("1.2.3"), "", 0, false},
-		{"a list in one value", values("1, 2"), "", 0, false},
+		{"seconds", headerValues("3"), "", 3 * time.Second, true},
+		{"a fraction", headerValues("0.25"), "", 250 * time.Millisecond, true},
+		{"a fraction without its zero", headerValues(".5"), "", 500 * time.Millisecond, true},
+		{"spaces", headerValues(" 2 "), "", 2 * time.Second, true},
+		{"nothing to wait", headerValues("0"), "", 0, true},
+		{"the longest of several", headerValues("1", "x", "4", "2"), "", 4 * time.Second, true},
+		{"a date", headerValues("Thu, 16 Apr 2026 09:28:20 GMT"), date, 7 * time.Second, true},
+		{"a date that is past", headerValues("Thu, 16 Apr 2026 09:28:02 GMT"), date, 0, true},
+		{"a date far away", headerValues("Thu, 16 Apr 2099 09:28:02 GMT"), date, maxBackoff, true},
+		{"a date of an answer without one", headerValues("Thu, 16 Apr 2026 09:28:20 GMT"), "", 0, false},
+		{"too long", headerValues("99999999999999999999999999"), "", maxBackoff, true},
+		{"longer than a number", headerValues("1" + strings.Repeat("9", 400)), "", maxBackoff, true},
+		{"negative", headerValues("-3"), "", 0, false},
+		{"a sign", headerValues("+3"), "", 0, false},
+		{"an exponent", headerValues("1e3"), "", 0, false},
+		{"hexadecimal", headerValues("0x10"), "", 0, false},
+		{"no number", headerValues("NaN"), "", 0, false},
+		{"infinite", headerValues("Inf"), "", 0, false},
+		{"words", headerValues("soon"), "", 0, false},
+		{"empty", headerValues(""), "", 0, false},
+		{"a point alone", headerValues("."), "", 0, false},
+		{"two points", headerValues("1.2.3"), "", 0, false},
+		{"a list in one value", headerValues("1, 2"), "", 0, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var dates Values
 			if tt.date != "" {
-				dates = values(tt.date)
+				dates = headerValues(tt.date)
 			}
 			if got, ok := ParseRetryAfter(tt.values, dates); got != tt.want || ok != tt.ok {
 				t.Errorf("got %v, %t, want %v, %t", got, ok, tt.want, tt.ok)
@@ -68,12 +68,12 @@
 		ok      bool
 	}{
 		{nil, false, true},
-		{values("1"), true, true},
-		{values(" 1"), true, true},
-		{values("0", "1"), true, true},
-		{values("0"), false, false},
-		{values("true"), false, false},
-		{values(""), false, false},
+		{headerValues("1"), true, true},
+		{headerValues(" 1"), true, true},
+		{headerValues("0", "1"), true, true},
+		{headerValues("0"), false, false},
+		{headerValues("true"), false, false},
+		{headerValues(""), false, false},
 	}
 	for _, tt := range tests {
 		if leaving, ok := ParseLeaving(tt.values); leaving != tt.leaving || ok != tt.ok {
--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// part of the ratio is spent: first sends of other hosts count in other
+	// ratioFraction of the ratio is spent: first sends of other hosts count in other
 	// windows than theirs.
-	part = 0.7
-	// slackPart of the common allowance is shared among the hosts.
-	slackPart = 0.6
-	// fewerAfter is how long a number of hosts holds that has become smaller: the
+	ratioFraction = 0.7
+	// slackFraction of the common allowance is shared among the hosts.
+	slackFraction = 0.6
+	// shrinkDelay is how long a number of hosts holds that has become smaller: the
 	// others may be cut off, and spend their parts of the allowance. Regions lose
 	// each other for minutes.
-	fewerAfter = 5 * time.Minute
+	shrinkDelay = 5 * time.Minute
 )
 
 // Options of a Budget.
@@ -36,16 +36,16 @@
 	mu      sync.Mutex
 	hosts   int
 	// before is the largest number of hosts until some time, from when on hosts holds.
-	before  int
-	until   time.Time
+	previousHosts  int
+	shrinkAt   time.Time
 	windows map[string]*window
-	began   time.Time
+	started   time.Time
 	now     func() time.Time
 }
 
 // New returns a budget for one of several hosts.
 func New(o Options, now func() time.Time) *Budget {
-	return &Budget{options: o, hosts: 1, windows: map[string]*window{}, began: now(), now: now}
+	return &Budget{options: o, hosts: 1, windows: map[string]*window{}, started: now(), now: now}
 }
 
 // SetHosts tells how many hosts share the allowance. Fewer than before count
@@ -54,9 +54,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if was := b.sharing(); n < was {
-		b.before = was
+		b.previousHosts = was
 		if b.hosts == was {
-			b.until = b.now().Add(fewerAfter)
+			b.shrinkAt = b.now().Add(shrinkDelay)
 		}
 	}
 	b.hosts = max(1, n)
@@ -64,8 +64,8 @@
 
 // sharing returns how many hosts share the allowance now; the lock is held.
 func (b *Budget) sharing() int {
-	if b.now().Before(b.until) {
-		return max(b.hosts, b.before)
+	if b.now().Before(b.shrinkAt) {
+		return max(b.hosts, b.previousHosts)
 	}
 	return b.hosts
 }
@@ -86,11 +86,11 @@
 	defer b.mu.Unlock()
 	w, at := b.window(service)
 	firsts, repeats := w.sums(at)
-	most := part*b.options.Ratio*float64(firsts) + slackPart*b.options.Slack/float64(b.sharing())
+	most := ratioFraction*b.options.Ratio*float64(firsts) + slackFraction*b.options.Slack/float64(b.sharing())
 	if float64(repeats+1) > most {
 		return false
 	}
-	w.at(at).repeats++
+	w.at(at).retries++
 	return true
 }
 
@@ -102,5 +102,5 @@
 		b.windows[service] = w
 	}
 	// Steps begin at one: none of them is that of an empty count.
-	return w, step(b.now().Sub(b.began), b.options.Window) + steps + 1
+	return w, slotAt(b.now().Sub(b.started), b.options.Window) + slots + 1
 }
--- a/retrybudget/budget_test.go
+++ b/retrybudget/budget_test.go
@@ -137,7 +137,7 @@
 // Regions that are cut from one another hear of their own hosts only. The hosts
 // of all together must not spend more than the allowance meanwhile, and a host
 // that really has fewer beside it gets its larger part after a while.
-func TestAllowanceWhileRegionsAreCut(t *testing.T) {
+func TestSlackDuringPartition(t *testing.T) {
 	o := Options{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}
 	const hosts, regions = 12, 3
 	at := time.Unix(0, 0)
@@ -168,7 +168,7 @@
 		{"still cut apart", 11 * time.Second, hosts / regions, 1, int(o.Slack)},
 		{"in touch again", 11 * time.Second, hosts, 1, int(o.Slack)},
 		{"the others are gone", 11 * time.Second, hosts / regions, 1, int(o.Slack)},
-		{"and stay away", 2 * fewerAfter, hosts / regions, int(o.Slack) + 1, regions * int(o.Slack)},
+		{"and stay away", 2 * shrinkDelay, hosts / regions, int(o.Slack) + 1, regions * int(o.Slack)},
 	}
 	for _, s := range steps {
 		at = at.Add(s.after)
--- a/serverlimit/table.go
+++ b/serverlimit/table.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// life is how long a word is kept that nobody heard again: a server with a limit is
+	// entryTTL is how long a word is kept that nobody heard again: a server with a limit is
 	// asked for something much sooner, if anything is asked of its service.
-	life = time.Hour
-	// mostTold bounds what is told at once: 256 words are 15 kB, a heartbeat's part of a
+	entryTTL = time.Hour
+	// maxPerReport bounds what is told at once: 256 words are 15 kB, a heartbeat's part of a
 	// narrow link. The next heartbeat goes on.
-	mostTold = 256
+	maxPerReport = 256
 )
 
-// word is what a server last said of its limit.
-type word struct {
+// entry is what a server last said of its limit.
+type entry struct {
 	// rate is in requests a second; named is false once the server no longer has one.
 	rate  float64
-	named bool
+	limited bool
 	// at is when it was last heard.
-	at time.Time
+	observed time.Time
 	// change numbers the last change of what was said, own is set for one that was heard
 	// here.
 	change uint64
-	own    bool
+	local    bool
 }
 
-func (w word) same(as word) bool { return w.named == as.named && w.rate == as.rate }
+func (w entry) sameLimit(as entry) bool { return w.limited == as.limited && w.rate == as.rate }
 
 // Table is safe for concurrent use.
 type Table struct {
 	mu      sync.Mutex
-	words   map[string]word
+	entries   map[string]entry
 	changes uint64
 	now     func() time.Time
 }
 
 // New returns an empty table that reads time from now.
-func New(now func() time.Time) *Table { return &Table{words: map[string]word{}, now: now} }
+func New(now func() time.Time) *Table { return &Table{entries: map[string]entry{}, now: now} }
 
 // Parse reads a limit in requests a second; ok is false for anything that is none.
 func Parse(text string) (rate float64, ok bool) {
@@ -63,7 +63,7 @@
 func (t *Table) Named(server string, rate float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.set(server, word{rate: rate, named: true, at: t.now(), own: true})
+	return t.set(server, entry{rate: rate, limited: true, observed: t.now(), local: true})
 }
 
 // Absent takes an answer without a limit to a request that was sent at a moment. It
@@ -72,25 +72,25 @@
 func (t *Table) Absent(server string, sent time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	was := t.words[server]
-	if !was.named || !sent.After(was.at) {
+	was := t.entries[server]
+	if !was.limited || !sent.After(was.observed) {
 		return false
 	}
-	return t.set(server, word{at: t.now(), own: true})
+	return t.set(server, entry{observed: t.now(), local: true})
 }
 
 // set takes a word and tells whether it differs from the last one; the lock is held.
-func (t *Table) set(server string, w word) bool {
-	was, known := t.words[server]
-	changed := !known || !w.same(was)
+func (t *Table) set(server string, w entry) bool {
+	was, known := t.entries[server]
+	changed := !known || !w.sameLimit(was)
 	w.change = was.change
 	if changed {
 		t.changes++
 		w.change = t.changes
 	} else {
-		w.own = was.own
+		w.local = was.local
 	}
-	t.words[server] = w
+	t.entries[server] = w
 	return changed
 }
 
@@ -98,23 +98,23 @@
 func (t *Table) Rate(server string) (rate float64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := t.words[server]
-	return w.rate, w.named
+	w := t.entries[server]
+	return w.rate, w.limited
 }
 
-// Word returns what is known of a server.
-func (t *Table) Word(server string) wheelgauge.ServerLimit {
+// Get returns what is known of a server.
+func (t *Table) Get(server string) wheelgauge.ServerLimit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w, known := t.words[server]
+	w, known := t.entries[server]
 	if !known {
-		return wheelgauge.ServerLimit{Server: server, None: true, AgeMS: life.Milliseconds()}
+		return wheelgauge.ServerLimit{Server: server, None: true, AgeMS: entryTTL.Milliseconds()}
 	}
 	return t.render(server, w)
 }
 
-func (t *Table) render(server string, w word) wheelgauge.ServerLimit {
-	return wheelgauge.ServerLimit{Server: server, Rate: w.rate, None: !w.named, AgeMS: t.now().Sub(w.at).Milliseconds()}
+func (t *Table) render(server string, w entry) wheelgauge.ServerLimit {
+	return wheelgauge.ServerLimit{Server: server, Rate: w.rate, None: !w.limited, AgeMS: t.now().Sub(w.observed).Milliseconds()}
 }
 
 // Merge takes what others heard, unless something later is known here.
@@ -122,14 +122,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range limits {
-		w := word{rate: l.Rate, named: !l.None, at: t.now().Add(-time.Duration(l.AgeMS) * time.Millisecond)}
-		was, known := t.words[l.Server]
+		w := entry{rate: l.Rate, limited: !l.None, observed: t.now().Add(-time.Duration(l.AgeMS) * time.Millisecond)}
+		was, known := t.entries[l.Server]
 		if !known && l.None {
 			continue // it says what is taken for granted
 		}
 		// Told to and fro, what is known already would seem later each time by the way, and
 		// no answer late enough to end it.
-		if !known || !w.same(was) && w.at.After(was.at) {
+		if !known || !w.sameLimit(was) && w.observed.After(was.observed) {
 			t.set(l.Server, w)
 		}
 	}
@@ -151,23 +151,23 @@
 		return nil, change
 	}
 	var servers []string
-	for server, w := range t.words {
-		if w.change > change && (w.own || !own) {
+	for server, w := range t.entries {
+		if w.change > change && (w.local || !own) {
 			servers = append(servers, server)
 		}
 	}
 	if len(servers) == 0 {
 		return nil, t.changes
 	}
-	slices.SortFunc(servers, func(a, b string) int { return cmp.Compare(t.words[a].change, t.words[b].change) })
+	slices.SortFunc(servers, func(a, b string) int { return cmp.Compare(t.entries[a].change, t.entries[b].change) })
 	last := t.changes
-	if len(servers) > mostTold {
-		servers = servers[:mostTold]
-		last = t.words[servers[mostTold-1]].change
+	if len(servers) > maxPerReport {
+		servers = servers[:maxPerReport]
+		last = t.entries[servers[maxPerReport-1]].change
 	}
 	out := make([]wheelgauge.ServerLimit, 0, len(servers))
 	for _, server := range servers {
-		out = append(out, t.render(server, t.words[server]))
+		out = append(out, t.render(server, t.entries[server]))
 	}
 	return out, last
 }
@@ -177,8 +177,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[string]bool{}
-	for server, w := range t.words {
-		if w.named {
+	for server, w := range t.entries {
+		if w.limited {
 			out[server] = true
 		}
 	}
@@ -189,9 +189,9 @@
 func (t *Table) Prune() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for server, w := range t.words {
-		if t.now().Sub(w.at) > life {
-			delete(t.words, server)
+	for server, w := range t.entries {
+		if t.now().Sub(w.observed) > entryTTL {
+			delete(t.entries, server)
 		}
 	}
 }
--- a/serverlimit/table_test.go
+++ b/serverlimit/table_test.go
@@ -37,7 +37,7 @@
 
 // A limit holds from the first answer that names it until an answer to a request sent
 // after that lacks it.
-func TestWords(t *testing.T) {
+func TestLimitStartAndEnd(t *testing.T) {
 	c := manualclock.New()
 	tb := New(c.Now)
 	before := c.Now()
@@ -105,12 +105,12 @@
 func TestSince(t *testing.T) {
 	c := manualclock.New()
 	tb := New(c.Now)
-	for n := range mostTold + 10 {
+	for n := range maxPerReport + 10 {
 		tb.Named(fmt.Sprint("s", n), 1)
 	}
 	first, at := tb.Since(0)
 	second, last := tb.Since(at)
-	if len(first) != mostTold || len(second) != 10 {
+	if len(first) != maxPerReport || len(second) != 10 {
 		t.Errorf("told %d, then %d", len(first), len(second))
 	}
 	tb.Named("s3", 1)
@@ -118,9 +118,9 @@
 	if third, _ := tb.Since(last); len(third) != 1 || third[0].Server != "s4" || third[0].Rate != 2 {
 		t.Errorf("told %v of one that changed", third)
 	}
-	c.Pass(2 * life)
+	c.Pass(2 * entryTTL)
 	tb.Prune()
-	if len(tb.words) != 0 {
+	if len(tb.entries) != 0 {
 		t.Error("words are kept that nobody heard for long")
 	}
 }
@@ -128,7 +128,7 @@
 // A limit that hosts and stores tell each other again and again ends with the first answer
 // that lacks it. Each telling made it later by the way, up to now, so that answers to
 // requests sent before now ended nothing: found by reading, seen here.
-func TestToldToAndFro(t *testing.T) {
+func TestRepeatedExchange(t *testing.T) {
 	const way = 3 * time.Millisecond
 	c := manualclock.New()
 	host, store := New(c.Now), New(c.Now)
@@ -136,10 +136,10 @@
 	c.Pass(time.Second)
 	sent := c.Now()
 	for range 500 {
-		word := host.Word("s")
+		word := host.Get("s")
 		c.Pass(way)
 		store.Merge([]wheelgauge.ServerLimit{word})
-		word = store.Word("s")
+		word = store.Get("s")
 		c.Pass(way)
 		host.Merge([]wheelgauge.ServerLimit{word})
 	}
