--- a/capbank/allocator.go
+++ b/capbank/allocator.go
@@ -1,9 +1,9 @@
-// Package capbank is a store's part of the caps of workspaces. Each store has an even
-// part of every cap and lends of it what its own hosts do not ask for to stores whose
-// hosts do; hosts draw units before they send. What is lent lapses by itself, and the
-// lender counts it as gone until it surely has: parts of all stores never add up to more
-// than the cap, though messages are lost, stores start again, and regions lose each
-// other.
+// Package capbank divides the caps of workspaces among stores. Each store has an equal base
+// share of every cap and leases the part that its own hosts do not use to stores whose hosts
+// need it. Hosts draw units from a store before they send requests. Leases expire by
+// themselves, and the lender counts a share as gone until its lease has expired for sure: the
+// shares of all stores never add up to more than the cap, whatever messages are lost, stores
+// restart, or regions are partitioned.
 package capbank
 
 import (
@@ -17,60 +17,60 @@
 )
 
 const (
-	// leaseTime is how long a lent part holds without news. Regions lose each other for
-	// some seconds: one that is cut off in its busy hour goes on with what it had.
+	// leaseTime is how long a lease holds without renewal. Partitions between regions last
+	// some seconds: a region that is cut off in its busy hour keeps its leases that long.
 	leaseTime = 10 * time.Second
-	// evenFraction of each cap is parted evenly whatever is asked, so that a region which
-	// wakes up serves until parts have moved, in some 0.5 s.
+	// evenFraction of each cap is divided evenly whatever the demand, so that a region whose
+	// demand begins can serve until shares have moved, which takes about 0.5 s.
 	evenFraction = 0.25
-	// Beyond rate and burst there is room for errors, of which each of these is a part.
-	// burstRoom is what buckets hold on top of the burst; debtRoom what requests may take
-	// them below nothing, so that large ones come through small parts; restartRoom what
-	// stores begin with that do not know what was drawn before; aheadRoom what hosts may
-	// hold for requests to come. The rest is for hosts that go on alone. In the worst
-	// window of 300 seeded schedules with overlapping faults 0.90 of what is allowed was
-	// sent.
-	burstMarginFraction   = 0.25
-	debtMarginFraction    = 0.25
-	restartMarginFraction = 0.15
-	prefetchMarginFraction   = 0.2
-	// minSplitTokens is the smallest part of burst and room, in tokens, that a cap is parted
-	// into: a long prompt. Of caps in requests it is one.
+	// The margin beyond rate and burst covers errors; each of these is a fraction of it.
+	// burstMarginFraction is what buckets hold on top of the burst, debtMarginFraction how far
+	// requests may take them below zero, so that large ones pass through small shares.
+	// restartMarginFraction is what stores begin with that do not know what was drawn before,
+	// prefetchMarginFraction what hosts may hold for future requests. The rest is for
+	// standalone hosts. Over 300 seeded schedules of overlapping faults the worst window
+	// reaches 0.90 of its bound.
+	burstMarginFraction    = 0.25
+	debtMarginFraction     = 0.25
+	restartMarginFraction  = 0.15
+	prefetchMarginFraction = 0.2
+	// minSplitTokens is the smallest share of burst and margin, in tokens, that a cap is
+	// divided into: one long prompt. For caps in requests it is one request.
 	minSplitTokens = 16000
-	// recomputeInterval is how old the parts may be that draws go by, but for what is lent.
+	// recomputeInterval is the maximum age of the shares used by draws; leases apply at once.
 	recomputeInterval = 50 * time.Millisecond
-	// minLeasedShare is the smallest part worth a line on a sheet.
+	// minLeasedShare is the smallest share that is worth an entry in a lease.
 	minLeasedShare = 0.002
 )
 
 // Options of a Bank.
 type Options struct {
-	// Self is the store's address, Boot differs between two of its starts.
+	// Self is the store's address, Boot identifies this run of its process.
 	Self string
 	Boot uint64
-	// Window is the length of the spans in which what is sent is bounded; Overage is the
-	// part of rate and burst, Slack the units that may be sent beyond these in one.
+	// Window is the length of the sliding windows over which usage is bounded. In each, a
+	// fraction Overage of rate and burst, plus Slack units, may be sent beyond these.
 	Window  time.Duration
 	Overage float64
 	Slack   float64
 	Now     func() time.Time
 }
 
-// Bank is safe for concurrent use.
+// Bank divides caps with the other stores. It is safe for concurrent use.
 type Bank struct {
-	options       Options
-	mu      sync.Mutex
-	started time.Time
+	options    Options
+	mu         sync.Mutex
+	started    time.Time
 	recomputed time.Time
-	members []string
-	// most is the most members there were until fewer, from when on fewer count.
-	previousMembers  int
-	shrinkAt time.Time
-	// settled is when a small cap that another store had before has surely lapsed there.
-	unsplitFrom  time.Time
-	peers    map[string]*peer
-	hosts    map[string]*host
-	buckets map[string]*bucket
+	members    []string
+	// previousMembers is the divisor used until shrinkAt, after members were removed.
+	previousMembers int
+	shrinkAt        time.Time
+	// unsplitFrom is when a cap that another store held unsplit has expired there for sure.
+	unsplitFrom time.Time
+	peers       map[string]*peer
+	hosts       map[string]*host
+	buckets     map[string]*bucket
 }
 
 // New returns a bank without caps.
@@ -78,7 +78,7 @@
 	return &Bank{options: o, started: o.Now(), peers: map[string]*peer{}, hosts: map[string]*host{}, buckets: map[string]*bucket{}}
 }
 
-// SetCaps takes the workspaces of the configuration in force.
+// SetCaps applies the workspaces of the current configuration.
 func (a *Bank) SetCaps(list []wheelgauge.Workspace) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,8 +114,8 @@
 	}
 }
 
-// SetMembers takes the addresses of all stores. Fewer than before count only when those
-// that are gone have surely noticed, or their hosts have turned to others.
+// SetMembers applies the addresses of all stores. A smaller number takes effect only once
+// removed stores have noticed for sure, or their hosts have turned to others.
 func (a *Bank) SetMembers(addresses []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -143,7 +143,7 @@
 	return a.options.Overage*(c.Rate*a.options.Window.Seconds()+c.Burst) + a.options.Slack
 }
 
-// divisor is by how many stores caps are parted.
+// divisor is the number of stores that caps are divided among.
 func (a *Bank) divisor(now time.Time) int {
 	if now.Before(a.shrinkAt) {
 		return max(a.previousMembers, len(a.members))
@@ -151,8 +151,8 @@
 	return len(a.members)
 }
 
-// ownShare is the part of a cap that this store may use or lend; 0 while it does not know
-// whether the others still hold what it lent before it started again.
+// ownShare is the share of a cap that this store may use or lease. It is 0 while the store
+// does not know whether others still hold leases from before its restart.
 func (a *Bank) ownShare(b *bucket, now time.Time) float64 {
 	if !a.ready(now) || !slices.Contains(a.members, a.options.Self) {
 		return 0
@@ -163,7 +163,7 @@
 	return 0
 }
 
-// baseShare is a store's part of a cap before anything is lent.
+// baseShare is a store's share of a cap before any leases.
 func (a *Bank) baseShare(b *bucket, address string, now time.Time) float64 {
 	if !a.unsplit(b, now) {
 		return 1 / float64(a.divisor(now))
@@ -174,7 +174,7 @@
 	return 0
 }
 
-// soleHolder is the store that a cap stays with which is not parted.
+// soleHolder is the store that holds an unsplit cap.
 func (a *Bank) soleHolder(b *bucket) string {
 	if len(a.members) == 0 {
 		return ""
@@ -182,19 +182,19 @@
 	return rendezvous.Top(b.name, a.members, 1)[0]
 }
 
-// unsplit tells whether a cap is too small for parts: it stays with one store, where hosts
-// of the others are sent. Parts that no request fits in would let nothing through, and a
-// region that is cut off from that store must do without. All stores must find the same,
-// so it goes by what is configured.
+// unsplit reports whether a cap is too small to be divided. It then stays with one store, and
+// hosts of other stores are redirected there: shares that no request fits into would let
+// nothing pass. A region that is cut off from that store cannot use the cap. All stores must
+// agree, so the decision depends on the configuration only.
 func (a *Bank) unsplit(b *bucket, now time.Time) bool {
-	least := 1.0
+	minSplit := 1.0
 	if b.cap.Unit == wheelgauge.CapTokens {
-		least = minSplitTokens
+		minSplit = minSplitTokens
 	}
-	return b.cap.Burst+b.margin < least*float64(a.divisor(now))
+	return b.cap.Burst+b.margin < minSplit*float64(a.divisor(now))
 }
 
-// ready tells whether nobody holds anything that was lent before the start.
+// ready reports whether no store holds a lease from before this store's start.
 func (a *Bank) ready(now time.Time) bool {
 	if now.Sub(a.started) > leaseTime {
 		return true
@@ -207,7 +207,7 @@
 	return len(a.members) > 0
 }
 
-// recompute works out the parts anew that draws go by; the lock is held.
+// recompute recalculates the shares that draws use. The lock must be held.
 func (a *Bank) recompute(now time.Time) {
 	a.recomputed = now
 	silent := a.silentHosts(now)
@@ -224,7 +224,7 @@
 	}
 }
 
-// recomputeIfStale counts anew what has become old; the lock is held.
+// recomputeIfStale recalculates shares older than recomputeInterval. The lock must be held.
 func (a *Bank) recomputeIfStale(now time.Time) {
 	if now.Sub(a.recomputed) >= recomputeInterval {
 		a.recompute(now)
--- a/capbank/allocator_test.go
+++ b/capbank/allocator_test.go
@@ -15,12 +15,12 @@
 	testSlack   = 140000
 )
 
-// clock is a time that a test sets.
+// clock is a manual clock.
 type clock struct{ at time.Time }
 
-func (c *clock) now() time.Time       { return c.at }
+func (c *clock) now() time.Time          { return c.at }
 func (c *clock) advance(d time.Duration) { c.at = c.at.Add(d) }
-func newClock() *clock                { return &clock{at: time.Unix(1000, 0)} }
+func newClock() *clock                   { return &clock{at: time.Unix(1000, 0)} }
 func (c *clock) newBank(self string, boot uint64, members []string) *Bank {
 	return c.newBankWithSlack(self, boot, members, testSlack)
 }
@@ -40,12 +40,12 @@
 	}
 }
 
-// exchangeLease carries one store's news to another, and its answer back.
+// exchangeLease sends a store's report to another and applies the lease it gets back.
 func exchangeLease(c *clock, from, to *Bank, boot uint64) wheelgauge.CapSheet {
 	sent := c.now()
-	sheet := to.Lend(from.options.Self, boot, from.News(to.options.Self))
-	from.Borrow(to.options.Self, sent, sheet)
-	return sheet
+	lease := to.Lend(from.options.Self, boot, from.News(to.options.Self))
+	from.Borrow(to.options.Self, sent, lease)
+	return lease
 }
 
 func shareOfCap(b *Bank) float64 { return shareOf(b, "w") }
@@ -63,31 +63,31 @@
 	return b.Draw(wheelgauge.CapAsk{Host: "h", Boot: 1, Wants: []wheelgauge.CapWant{{Workspace: workspace, Units: units}}}).Grants[0]
 }
 
-// A cap of two requests a second is served through any of five stores: it is not parted
-// into parts that no request fits in.
+// A cap of two requests a second works through any of five stores: it is not divided into
+// shares that no request fits into.
 func TestTinyCap(t *testing.T) {
 	c := newClock()
 	members := []string{"a", "b", "c", "d", "e"}
-	var banks []*Bank
+	var stores []*Bank
 	for _, m := range members {
-		banks = append(banks, c.newBankWithSlack(m, 1, members, 0))
+		stores = append(stores, c.newBankWithSlack(m, 1, members, 0))
 	}
 	granted := 0
 	for range 200 {
-		for i, from := range banks {
-			for j, to := range banks {
+		for i, from := range stores {
+			for j, to := range stores {
 				if i != j {
 					exchangeLease(c, from, to, 1)
 				}
 			}
 		}
 		c.advance(200 * time.Millisecond)
-		for _, bank := range banks {
-			bank.Seen("h", 1)
+		for _, store := range stores {
+			store.Seen("h", 1)
 		}
-		b := banks[granted%len(banks)]
+		b := stores[granted%len(stores)]
 		g := drawFrom(b, "tiny", 1)
-		for _, other := range banks {
+		for _, other := range stores {
 			if !g.Granted && other.options.Self == g.Elsewhere {
 				g = other.Draw(wheelgauge.CapAsk{Host: "h", Moved: true, Wants: []wheelgauge.CapWant{{Workspace: "tiny", Units: 1}}}).Grants[0]
 			}
@@ -96,14 +96,14 @@
 			granted++
 		}
 	}
-	// 40 s at 2 a second; what is asked is 5 a second.
+	// 40 s at 2 a second; the demand is 5 a second.
 	if granted < 60 || granted > 92 {
-		t.Errorf("%d of 40 s at 2 a second were let through", granted)
+		t.Errorf("%d requests granted in 40 s at 2 a second, want 60 to 92", granted)
 	}
 }
 
-// Parts of all stores never add up to more than the cap, whatever news are lost, and
-// however often stores start again: 3 to 6 stores by 400 seeds.
+// The shares of all stores never add up to more than the cap, whatever reports are lost and
+// however often stores restart: 3 to 6 stores by 400 seeds.
 func TestSharesNeverExceedCap(t *testing.T) {
 	for seed := range uint64(400) {
 		r, c := rand.New(rand.NewPCG(seed, 7)), newClock()
@@ -111,42 +111,42 @@
 		for i := range 3 + int(seed%4) {
 			members = append(members, fmt.Sprint("s", i))
 		}
-		var banks []*Bank
+		var stores []*Bank
 		boots := make([]uint64, len(members))
 		for i, m := range members {
 			boots[i] = 1
-			banks = append(banks, c.newBank(m, 1, members))
+			stores = append(stores, c.newBank(m, 1, members))
 		}
 		for step := range 300 {
 			c.advance(time.Duration(r.IntN(300)) * time.Millisecond)
-			i, j := r.IntN(len(banks)), r.IntN(len(banks))
+			i, j := r.IntN(len(stores)), r.IntN(len(stores))
 			switch {
 			case i == j && r.IntN(4) == 0:
 				boots[i]++
-				banks[i] = c.newBank(members[i], boots[i], members)
+				stores[i] = c.newBank(members[i], boots[i], members)
 			case i == j:
-				draw(banks[i], 1e5*r.Float64())
-				drawFrom(banks[i], "tiny", 1)
+				draw(stores[i], 1e5*r.Float64())
+				drawFrom(stores[i], "tiny", 1)
 			case r.IntN(4) == 0: // the answer is lost
-				banks[j].Lend(members[i], boots[i], banks[i].News(members[j]))
+				stores[j].Lend(members[i], boots[i], stores[i].News(members[j]))
 			default:
-				exchangeLease(c, banks[i], banks[j], boots[i])
+				exchangeLease(c, stores[i], stores[j], boots[i])
 			}
 			for _, w := range []string{"w", "tiny"} {
 				sum := 0.0
-				for _, b := range banks {
+				for _, b := range stores {
 					sum += shareOf(b, w)
 				}
 				if sum > 1.0001 {
-					t.Fatalf("seed %d, step %d: parts of %s add up to %.3f", seed, step, w, sum)
+					t.Fatalf("seed %d, step %d: shares of %s add up to %.3f, want at most 1", seed, step, w, sum)
 				}
 			}
 		}
 	}
 }
 
-// What one store's hosts ask for comes to it, and stays while the others are cut off,
-// but no longer than it was lent.
+// The share of a cap moves to the store whose hosts use it, and stays there during a partition
+// until the lease expires.
 func TestSharesFollowDemand(t *testing.T) {
 	c := newClock()
 	members := []string{"a", "b"}
@@ -158,7 +158,7 @@
 	exchange()
 	exchange()
 	if got := shareOfCap(a); got != 0.5 {
-		t.Fatalf("before anything is asked: %.2f", got)
+		t.Fatalf("share without demand is %.2f, want 0.50", got)
 	}
 	for range 20 {
 		c.advance(200 * time.Millisecond)
@@ -166,52 +166,52 @@
 		exchange()
 	}
 	if got := shareOfCap(a); got < 0.85 {
-		t.Errorf("the only one whose hosts ask has %.2f", got)
+		t.Errorf("share of the only store with demand is %.2f, want at least 0.85", got)
 	}
 	c.advance(leaseTime - time.Second)
 	if got := shareOfCap(a); got < 0.85 {
-		t.Errorf("cut off for a while, it has %.2f", got)
+		t.Errorf("its share during a partition is %.2f, want at least 0.85", got)
 	}
 	if got := shareOfCap(b); got > 0.15 {
-		t.Errorf("the lender uses %.2f of what it has lent", got)
+		t.Errorf("share of the lender is %.2f, want at most 0.15", got)
 	}
 	c.advance(2 * time.Second)
 	if x, y := shareOfCap(a), shareOfCap(b); x != 0.5 || y != 0.5 {
-		t.Errorf("once that has lapsed they have %.2f and %.2f", x, y)
+		t.Errorf("shares after the lease expired are %.2f and %.2f, want 0.50 each", x, y)
 	}
 }
 
-// A store that starts again does not know what it lent: it uses nothing until the others
-// go by its new sheets.
+// A restarted store does not know what it had leased out: it uses no share until the other
+// stores have replaced its old leases.
 func TestRestartedStoreWaitsForPeers(t *testing.T) {
 	c := newClock()
 	members := []string{"a", "b", "c"}
 	a, b, third := c.newBank("a", 1, members), c.newBank("b", 1, members), c.newBank("c", 1, members)
 	if shareOfCap(a) != 0 {
-		t.Fatal("a store that has just started uses its part")
+		t.Fatal("a store that has just started uses its share")
 	}
 	for range 2 {
 		exchangeLease(c, b, a, 1)
 		exchangeLease(c, third, a, 1)
 	}
 	if shareOfCap(a) == 0 {
-		t.Fatal("a store that all others have answered uses nothing")
+		t.Fatal("a store that all others have answered uses no share")
 	}
 	a = c.newBank("a", 2, members)
 	exchangeLease(c, b, a, 1)
 	exchangeLease(c, b, a, 1)
 	exchangeLease(c, a, b, 2)
 	if shareOfCap(a) != 0 {
-		t.Error("one of the others may still go by what was lent before")
+		t.Error("the store uses its share while a peer may hold a lease from before the restart")
 	}
 	c.advance(leaseTime + time.Second)
 	if shareOfCap(a) == 0 {
-		t.Error("what was lent before has lapsed")
+		t.Error("the store uses no share though all earlier leases have expired")
 	}
 }
 
-// Stores that all start again find at their first news that nobody holds anything: after
-// a loss of power they serve at once, also while one of them knows no other yet.
+// Stores that all restart learn from their first reports that nobody holds a lease: after a
+// power loss they serve at once, also while one of them has no member list yet.
 func TestAllStoresRestarted(t *testing.T) {
 	c := newClock()
 	members := []string{"a", "b", "c"}
@@ -219,7 +219,7 @@
 	exchangeLease(c, a, b, 2)
 	exchangeLease(c, a, blank, 2)
 	if shareOfCap(a) == 0 {
-		t.Error("nobody holds anything, and nothing is used")
+		t.Error("the store uses no share though nobody holds a lease")
 	}
 	old := c.newBank("b", 5, members)
 	old.Borrow("a", c.now(), wheelgauge.CapSheet{Giver: 1, Number: 4, Shares: []wheelgauge.CapShare{{Workspace: "w", Share: 0.3}}})
@@ -227,21 +227,21 @@
 	exchangeLease(c, again, old, 3)
 	exchangeLease(c, again, blank, 3)
 	if shareOfCap(again) != 0 {
-		t.Error("another store goes by an earlier sheet, and its part is used")
+		t.Error("the store uses its share while a peer holds an earlier lease")
 	}
 }
 
-// Hosts that are silent may go on alone; what they may send is taken off, until they
-// are heard of again, start anew, or it has lapsed.
+// Silent hosts may be standalone. Their shares are subtracted until the hosts are in contact
+// again, restart, or their standalone time is over.
 func TestSilentHosts(t *testing.T) {
 	tests := []struct {
 		name  string
 		after func(b *Bank, c *clock)
 		less  bool
 	}{
-		{"heard of", func(b *Bank, _ *clock) { b.Seen("h", 1) }, false},
+		{"in contact", func(b *Bank, _ *clock) { b.Seen("h", 1) }, false},
 		{"silent", func(*Bank, *clock) {}, true},
-		{"started anew", func(b *Bank, _ *clock) { b.Seen("h", 2) }, false},
+		{"restarted as a new process", func(b *Bank, _ *clock) { b.Seen("h", 2) }, false},
 		{"lapsed", func(_ *Bank, c *clock) { c.advance(standaloneTime) }, false},
 	}
 	for _, tt := range tests {
@@ -250,12 +250,12 @@
 		whole := shareOfCap(b)
 		g := draw(b, 1)
 		if g.Alone <= 0 || g.AloneMS <= 0 {
-			t.Fatalf("a host is told nothing of what it may do alone: %+v", g)
+			t.Fatalf("the grant has no standalone rate or time: %+v", g)
 		}
 		c.advance(hostSilenceTimeout + time.Millisecond)
 		tt.after(b, c)
 		if got := shareOfCap(b); (got < whole) != tt.less {
-			t.Errorf("%s: part %.2f of %.2f", tt.name, got, whole)
+			t.Errorf("%s: share is %.2f of %.2f", tt.name, got, whole)
 		}
 	}
 }
@@ -274,33 +274,33 @@
 		} else {
 			refused++
 			if g.AfterMS < minRetryAfter.Milliseconds() || g.AfterMS > maxRetryAfter.Milliseconds() {
-				t.Fatalf("come back in %d ms", g.AfterMS)
+				t.Fatalf("retry after %d ms is out of bounds", g.AfterMS)
 			}
 		}
 	}
 	most := 1e6*(1+testOverage) + testOverage*8e6 + testSlack
 	if sum < 0.4e6 || sum > most || refused == 0 {
-		t.Errorf("at once %.0f of a burst of 1e6 were sent, %d refused", sum, refused)
+		t.Errorf("%.0f units of a burst of 1e6 granted at once, %d requests refused", sum, refused)
 	}
-	// Small requests go on where large ones must wait.
+	// Small requests pass where large ones must wait.
 	if g := draw(b, 10); !g.Granted {
 		t.Error("a small request is refused")
 	}
 	c.advance(time.Second)
 	if g := draw(b, 5000); !g.Granted {
-		t.Error("a second later a request is refused")
+		t.Error("a request is still refused a second later")
 	}
 }
 
-// A cap that is cut to a fraction holds at once, and a large request of a small one
-// comes through.
+// A cap that is reduced to a fraction applies at once, and a large request passes through a
+// small cap.
 func TestCapChanges(t *testing.T) {
 	c := newClock()
 	b := c.newBank("a", 1, []string{"a"})
 	c.advance(time.Minute)
 	b.SetCaps([]wheelgauge.Workspace{{Name: "w", Cap: wheelgauge.Cap{Rate: 36000, Burst: 36000, Unit: wheelgauge.CapTokens}}})
 	if g := draw(b, 30000); !g.Granted {
-		t.Error("a request of 30,000 is refused by a burst of 36,000")
+		t.Error("a request of 30,000 units is refused with a burst of 36,000")
 	}
 	sum := 0.0
 	for range 100 {
@@ -309,31 +309,31 @@
 		}
 	}
 	if room := testOverage*9*36000 + testSlack; sum > 36000+room {
-		t.Errorf("after the cut %.0f were sent at once", sum)
+		t.Errorf("%.0f units granted at once after the cap was reduced", sum)
 	}
 }
 
 func BenchmarkDraw(b *testing.B) {
 	for _, workspaces := range []int{16, 890} {
 		b.Run(fmt.Sprint("workspaces ", workspaces), func(b *testing.B) {
-			bank := New(Options{Self: "a", Boot: 1, Window: testWindow, Overage: testOverage, Slack: testSlack, Now: time.Now})
-			bank.SetMembers([]string{"a"})
+			store := New(Options{Self: "a", Boot: 1, Window: testWindow, Overage: testOverage, Slack: testSlack, Now: time.Now})
+			store.SetMembers([]string{"a"})
 			var list []wheelgauge.Workspace
 			for i := range workspaces {
 				list = append(list, wheelgauge.Workspace{Name: fmt.Sprint("w", i), Cap: wheelgauge.Cap{Rate: 1e6, Burst: 1e6}})
 			}
-			bank.SetCaps(list)
+			store.SetCaps(list)
 			ask := wheelgauge.CapAsk{Host: "h", Boot: 1, Wants: []wheelgauge.CapWant{{Workspace: "w7", Units: 5000}}}
 			b.ReportAllocs()
 			for b.Loop() {
-				bank.Draw(ask)
+				store.Draw(ask)
 			}
 		})
 	}
 }
 
-// FuzzShares lets any sequence of news, lost answers, starts and drawings happen between
-// four stores: their parts never add up to more than the cap.
+// FuzzShares runs any sequence of reports, lost answers, restarts and draws among four stores:
+// their shares never add up to more than the cap.
 func FuzzShares(f *testing.F) {
 	f.Add([]byte{0x01, 0x12, 0x23, 0x31, 0x81, 0x42, 0xc3, 0x00, 0x10, 0x99})
 	f.Add([]byte("news and news again, a start, 10 s, a start"))
@@ -341,30 +341,30 @@
 		c := newClock()
 		members := []string{"a", "b", "c", "d"}
 		boots := []uint64{1, 1, 1, 1}
-		var banks []*Bank
+		var stores []*Bank
 		for _, m := range members {
-			banks = append(banks, c.newBank(m, 1, members))
+			stores = append(stores, c.newBank(m, 1, members))
 		}
 		for n, step := range steps {
 			i, j := int(step&3), int(step>>2&3)
 			c.advance(time.Duration(step>>4) * 100 * time.Millisecond)
 			switch {
 			case i != j && step&0x10 == 0:
-				exchangeLease(c, banks[i], banks[j], boots[i])
+				exchangeLease(c, stores[i], stores[j], boots[i])
 			case i != j:
-				banks[j].Lend(members[i], boots[i], banks[i].News(members[j]))
+				stores[j].Lend(members[i], boots[i], stores[i].News(members[j]))
 			case step&0x20 == 0:
-				draw(banks[i], 1e5)
+				draw(stores[i], 1e5)
 			default:
 				boots[i]++
-				banks[i] = c.newBank(members[i], boots[i], members)
+				stores[i] = c.newBank(members[i], boots[i], members)
 			}
 			sum := 0.0
-			for _, b := range banks {
+			for _, b := range stores {
 				sum += shareOfCap(b)
 			}
 			if sum > 1.0001 {
-				t.Fatalf("step %d: parts add up to %.3f", n, sum)
+				t.Fatalf("step %d: shares add up to %.3f, want at most 1", n, sum)
 			}
 		}
 	})
--- a/capbank/hosts.go
+++ b/capbank/hosts.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	// standaloneTime is how long a host that no store answers may go on by itself: all
-	// stores may be killed at once, and are back within some seconds.
+	// standaloneTime is how long a host may go on by itself when no store answers: all stores
+	// may be killed at once, and are back within some seconds.
 	standaloneTime = 8 * time.Second
-	// standaloneFraction of the store's part of a cap is parted among its hosts for that.
+	// standaloneFraction of the store's share of a cap is divided among its hosts for that
+	// time.
 	standaloneFraction = 0.7
-	// hostSilenceTimeout is how long a host may ask for nothing before what it may send alone
-	// is taken off the store's part: a host whose asking fails goes on alone at once.
+	// hostSilenceTimeout is how long a host may send no draw before its standalone share is
+	// subtracted from the store's share: a host whose draw fails becomes standalone at once.
 	hostSilenceTimeout = 400 * time.Millisecond
 )
 
-// host is an entry host that draws here.
+// host is an entry host that draws units from this store.
 type host struct {
-	boot uint64
+	boot        uint64
 	lastContact time.Time
-	// asked is when it last asked for units; until aloneTime after that it may go on
-	// alone, at the shares of caps by workspace in alone.
-	lastDraw time.Time
+	// lastDraw is when it last drew units. Until standaloneTime later it may go on standalone,
+	// with the shares of caps by workspace in standaloneShares.
+	lastDraw         time.Time
 	standaloneShares map[string]float64
 }
 
-// Seen notes that a host is in touch, in its present start.
+// Seen records contact with a host and the run of its process.
 func (a *Bank) Seen(name string, boot uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if h := a.hosts[name]; h != nil {
 		if h.boot != boot {
-			delete(a.hosts, name) // the process that might go on alone is gone
+			delete(a.hosts, name) // the process that might be standalone has ended
 			return
 		}
 		h.lastContact = a.options.Now()
 	}
 }
 
-// silentHosts returns those that may be going on alone, and forgets those that may no
-// more; the lock is held.
+// silentHosts returns the hosts that may be standalone and drops those that may no longer be.
+// The lock must be held.
 func (a *Bank) silentHosts(now time.Time) []*host {
 	var out []*host
 	for name, h := range a.hosts {
@@ -55,28 +56,28 @@
 	return out
 }
 
-// Draw takes units for a host, want by want.
-func (a *Bank) Draw(ask wheelgauge.CapAsk) wheelgauge.CapAnswer {
+// Draw takes units for a host; grants are in the order of the wants.
+func (a *Bank) Draw(req wheelgauge.CapAsk) wheelgauge.CapAnswer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.options.Now()
 	a.recomputeIfStale(now)
 	var h *host
-	if !ask.Moved {
-		h = a.touchHost(ask, now)
+	if !req.Moved {
+		h = a.touchHost(req, now)
 	}
 	var out wheelgauge.CapAnswer
-	for _, w := range ask.Wants {
-		out.Grants = append(out.Grants, a.drawOne(h, w, ask.Moved, now))
+	for _, w := range req.Wants {
+		out.Grants = append(out.Grants, a.drawOne(h, w, req.Moved, now))
 	}
 	return out
 }
 
-func (a *Bank) touchHost(ask wheelgauge.CapAsk, now time.Time) *host {
-	h := a.hosts[ask.Host]
-	if h == nil || h.boot != ask.Boot {
-		h = &host{boot: ask.Boot, standaloneShares: map[string]float64{}}
-		a.hosts[ask.Host] = h
+func (a *Bank) touchHost(req wheelgauge.CapAsk, now time.Time) *host {
+	h := a.hosts[req.Host]
+	if h == nil || h.boot != req.Boot {
+		h = &host{boot: req.Boot, standaloneShares: map[string]float64{}}
+		a.hosts[req.Host] = h
 	}
 	h.lastContact, h.lastDraw = now, now
 	return h
@@ -85,8 +86,8 @@
 func (a *Bank) drawOne(h *host, w wheelgauge.CapWant, moved bool, now time.Time) wheelgauge.CapGrant {
 	b := a.buckets[w.Workspace]
 	if b == nil {
-		// This store knows of no bound; a host that knows of one has a newer or an older
-		// configuration for some hundred ms.
+		// This store has no cap for the workspace. A host that has one uses a newer or an
+		// older configuration, for a few hundred milliseconds.
 		return wheelgauge.CapGrant{Granted: true}
 	}
 	if w.Units > 0 {
--- a/capbank/peer.go
+++ b/capbank/peer.go
@@ -7,42 +7,41 @@
 	"wheelgauge"
 )
 
-// reportTTL is how long a store's word of its hosts holds: some of its news.
+// reportTTL is how long a store's report of its hosts' demand is used: a few report intervals.
 const reportTTL = 1500 * time.Millisecond
 
-// lease is what one store has lent another.
+// lease is a set of shares that one store has granted to another.
 type lease struct {
 	lender  uint64
-	number uint64
-	expires  time.Time
-	shares map[string]float64
+	number  uint64
+	expires time.Time
+	shares  map[string]float64
 }
 
-// peer is another store.
+// peer is the state kept for another store.
 type peer struct {
 	boot uint64
-	// seen is when it last sent news.
+	// lastReport is when it last sent a report.
 	lastReport time.Time
-	// ready is set while it uses its own part.
+	// ready is set while it uses its own base share.
 	ready bool
-	// demand is what its hosts ask by workspace, in units a second.
+	// demand is what its hosts request by workspace, in units a second.
 	demand map[string]float64
-	// spare is what it has to spare, in units, less what hosts were sent there for since
-	// it said so.
+	// spare is what it has to spare, in units, less what hosts were redirected for since its
+	// report.
 	spare map[string]float64
-	// given are the sheets that it may go by, the last one at the end; number is that of
-	// the last one ever given.
-	granted  []lease
+	// granted holds the leases that it may be using, the latest at the end; lastNumber is the
+	// number of the latest one ever granted.
+	granted    []lease
 	lastNumber uint64
-	// answered is set once it has a sheet of this store's present start: it goes by no
-	// earlier one.
+	// confirmed is set once it is known to use no lease from an earlier run of this store.
 	confirmed bool
-	// taken is the last sheet of its own.
+	// held is the latest lease received from it.
 	held lease
 }
 
-// currentDemand is what the peer's hosts ask, in units a second; nothing of one that is silent:
-// its hosts have turned to others, or it is cut off and can be lent nothing.
+// currentDemand is the demand of the peer's hosts, in units a second. It is 0 for a silent
+// peer: its hosts have turned to other stores, or it is cut off and no lease reaches it.
 func (p *peer) currentDemand(workspace string, now time.Time) float64 {
 	if now.Sub(p.lastReport) > reportTTL {
 		return 0
@@ -50,7 +49,7 @@
 	return p.demand[workspace]
 }
 
-// maxLent is the most that the peer may go by of what it was lent.
+// maxLent is the largest share that the peer may be using under leases from this store.
 func (p *peer) maxLent(workspace string, now time.Time) float64 {
 	most := 0.0
 	for _, s := range p.granted {
@@ -61,7 +60,7 @@
 	return most
 }
 
-// borrowed is what the peer has lent this store.
+// borrowed is the share that the peer has leased to this store.
 func (p *peer) borrowed(workspace string, now time.Time) float64 {
 	if now.Before(p.held.expires) {
 		return p.held.shares[workspace]
@@ -69,7 +68,7 @@
 	return 0
 }
 
-// mayHoldLease tells whether the peer may still go by a sheet.
+// mayHoldLease reports whether the peer may still be using a lease.
 func (p *peer) mayHoldLease(now time.Time) bool {
 	for _, s := range p.granted {
 		if now.Before(s.expires) {
@@ -79,15 +78,15 @@
 	return false
 }
 
-// dropBefore drops the sheets that the peer has put aside for a later one.
+// dropBefore drops the leases that the peer has replaced by a later one.
 func (p *peer) dropBefore(number uint64) {
 	for len(p.granted) > 0 && p.granted[0].number < number {
 		p.granted = p.granted[1:]
 	}
 }
 
-// restarted notes a start of the peer. One that follows an earlier start known here goes
-// by nothing: that process is gone, and what it was lent with it.
+// restarted records a new run of the peer's process. If an earlier run is known, that process
+// and the leases it held are gone.
 func (p *peer) restarted(boot uint64) {
 	if p.boot != 0 {
 		p.granted, p.confirmed = nil, true
@@ -95,12 +94,12 @@
 	p.boot = boot
 }
 
-// dropExpired drops the sheets that have lapsed.
+// dropExpired drops the leases that have expired.
 func (p *peer) dropExpired(now time.Time) {
 	p.granted = slices.DeleteFunc(p.granted, func(s lease) bool { return !now.Before(s.expires) })
 }
 
-// News returns what another store is told of this one's hosts.
+// News returns the report of this store's demand for another store.
 func (a *Bank) News(to string) wheelgauge.CapNews {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -120,7 +119,7 @@
 	return n
 }
 
-// hasRemoteDemand tells whether hosts of other stores ask for units of a workspace's cap.
+// hasRemoteDemand reports whether hosts of other stores request units of a workspace's cap.
 func (a *Bank) hasRemoteDemand(workspace string, now time.Time) bool {
 	for _, p := range a.peers {
 		if p.currentDemand(workspace, now) > 0 {
@@ -130,17 +129,17 @@
 	return false
 }
 
-// alternative returns the store that seems to have units which this one lacks, empty when
-// there is none.
+// alternative returns the store that is likely to have the units which this one lacks, empty
+// if there is none.
 func (a *Bank) alternative(b *bucket, units float64, now time.Time) string {
 	if a.unsplit(b, now) {
 		return a.soleHolder(b)
 	}
 	workspace := b.name
-	best, most := "", units
+	best, mostSpare := "", units
 	for address, p := range a.peers {
-		if spare := p.spare[workspace]; spare >= most && now.Sub(p.lastReport) < reportTTL {
-			best, most = address, spare
+		if spare := p.spare[workspace]; spare >= mostSpare && now.Sub(p.lastReport) < reportTTL {
+			best, mostSpare = address, spare
 		}
 	}
 	if best != "" {
@@ -149,8 +148,8 @@
 	return best
 }
 
-// Lend takes another store's news, and returns what it may use of this store's part
-// from when it sent them. The lender counts it as gone for as long from now.
+// Lend applies another store's report and returns the lease granted to it, which holds from
+// when the report was sent. The lender counts the shares as gone for as long from now.
 func (a *Bank) Lend(from string, boot uint64, n wheelgauge.CapNews) wheelgauge.CapSheet {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -186,41 +185,41 @@
 	return out
 }
 
-// leasableShare is the part of a cap that a peer is lent: of what this store's hosts do not
-// need, by what each store lacks.
+// leasableShare is the share of a cap that a peer is granted: this store's surplus, divided in
+// proportion to what each store lacks.
 func (a *Bank) leasableShare(from string, b *bucket, now time.Time) float64 {
-	own := a.ownShare(b, now)
-	if own == 0 || a.unsplit(b, now) {
+	ownShare := a.ownShare(b, now)
+	if ownShare == 0 || a.unsplit(b, now) {
 		return 0
 	}
-	surplus := own - a.targetShare(b, a.options.Self, b.demand.At(now), now)
-	lacks, mine := 0.0, 0.0
+	surplus := ownShare - a.targetShare(b, a.options.Self, b.demand.At(now), now)
+	totalDeficit, peerDeficit := 0.0, 0.0
 	for address, other := range a.peers {
 		part := a.baseShare(b, address, now)
-		lack := a.targetShare(b, address, other.currentDemand(b.name, now), now)
+		deficit := a.targetShare(b, address, other.currentDemand(b.name, now), now)
 		if other.ready {
-			lack -= part
+			deficit -= part
 		}
-		lack = max(0, lack)
-		lacks += lack
+		deficit = max(0, deficit)
+		totalDeficit += deficit
 		if address == from {
-			mine = lack
+			peerDeficit = deficit
 		}
 	}
-	if surplus <= 0 || mine <= 0 {
+	if surplus <= 0 || peerDeficit <= 0 {
 		return 0
 	}
-	// What others may still go by cannot be lent again.
-	free := own
+	// Shares that other peers may still be using cannot be leased again.
+	unleased := ownShare
 	for address, other := range a.peers {
 		if address != from {
-			free -= other.maxLent(b.name, now)
+			unleased -= other.maxLent(b.name, now)
 		}
 	}
-	return max(0, min(surplus*mine/lacks, mine, free))
+	return max(0, min(surplus*peerDeficit/totalDeficit, peerDeficit, unleased))
 }
 
-// targetShare is the part of a cap that a store should have.
+// targetShare is the share of a cap that a store should have at its demand.
 func (a *Bank) targetShare(b *bucket, address string, demand float64, now time.Time) float64 {
 	part := a.baseShare(b, address, now)
 	all := b.demand.At(now)
@@ -233,7 +232,7 @@
 	return evenFraction*part + (1-evenFraction)*demand/all
 }
 
-// Borrow takes another store's answer to news sent at a moment.
+// Borrow applies the lease with which another store answered a report sent at the given time.
 func (a *Bank) Borrow(from string, sent time.Time, s wheelgauge.CapSheet) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -249,7 +248,7 @@
 	a.recompute(now)
 }
 
-// peer returns a store's entry; the lock is held.
+// peer returns a store's entry, creating it if needed. The lock must be held.
 func (a *Bank) peer(address string) *peer {
 	if a.peers[address] == nil {
 		a.peers[address] = &peer{}
--- a/capbank/suspend_test.go
+++ b/capbank/suspend_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// suspendableClock is the clock of one store that is suspended now and then: the steady one does
-// not count that time.
+// suspendableClock is the clock of a store whose machine is suspended at times; the steady
+// clock does not count that time.
 type suspendableClock struct {
-	base     *clock
-	suspended  time.Duration
-	steady bool
+	base      *clock
+	suspended time.Duration
+	steady    bool
 }
 
 func (s *suspendableClock) now() time.Time {
@@ -21,70 +21,70 @@
 	return s.base.now()
 }
 
-// maxShareSum plays stores that are suspended for 3, 10 or 60 s each, one at a time, and returns
-// the largest sum of all parts of a cap: those of a store that sleeps don't count, but
-// what it goes by when it wakes does.
+// maxShareSum runs stores that are suspended for 3, 10 or 60 s each, one at a time, and
+// returns the largest sum of all shares of a cap. A suspended store does not count, the shares
+// it uses after it resumes do.
 func maxShareSum(seed uint64, steady bool) float64 {
 	r, c := rand.New(rand.NewPCG(seed, 9)), newClock()
 	members := []string{"a", "b", "c"}
-	var banks []*Bank
-	var sleepers []*suspendableClock
+	var stores []*Bank
+	var clocks []*suspendableClock
 	for _, m := range members {
 		s := &suspendableClock{base: c, steady: steady}
 		b := New(Options{Self: m, Boot: 1, Window: testWindow, Overage: testOverage, Slack: testSlack, Now: s.now})
 		b.SetMembers(members)
 		b.SetCaps(caps())
-		banks, sleepers = append(banks, b), append(sleepers, s)
+		stores, clocks = append(stores, b), append(clocks, s)
 	}
-	all := func(but int) {
-		for i, from := range banks {
-			for j, to := range banks {
-				if i != j && i != but && j != but {
-					sent := sleepers[i].now()
+	exchangeAll := func(except int) {
+		for i, from := range stores {
+			for j, to := range stores {
+				if i != j && i != except && j != except {
+					sent := clocks[i].now()
 					from.Borrow(members[j], sent, to.Lend(members[i], 1, from.News(members[j])))
 				}
 			}
 		}
 	}
-	top := 0.0
+	largest := 0.0
 	for range 8 {
-		busy := r.IntN(len(banks))
+		busy := r.IntN(len(stores))
 		for range 20 {
 			c.advance(200 * time.Millisecond)
-			draw(banks[busy], 1e6*r.Float64())
-			all(-1)
+			draw(stores[busy], 1e6*r.Float64())
+			exchangeAll(-1)
 		}
-		// The busy one holds what the others lent it, and is suspended.
-		nap := []time.Duration{3, 10, 60}[r.IntN(3)] * time.Second
-		next := (busy + 1) % len(banks)
-		for range int(nap / (200 * time.Millisecond)) {
+		// The store with demand holds leases from the others when it is suspended.
+		pause := []time.Duration{3, 10, 60}[r.IntN(3)] * time.Second
+		next := (busy + 1) % len(stores)
+		for range int(pause / (200 * time.Millisecond)) {
 			c.advance(200 * time.Millisecond)
-			draw(banks[next], 1e6*r.Float64())
-			all(busy)
+			draw(stores[next], 1e6*r.Float64())
+			exchangeAll(busy)
 		}
-		sleepers[busy].suspended += nap
+		clocks[busy].suspended += pause
 		sum := 0.0
-		for _, b := range banks {
+		for _, b := range stores {
 			sum += shareOfCap(b)
 		}
-		top = max(top, sum)
+		largest = max(largest, sum)
 	}
-	return top
+	return largest
 }
 
-// A store that is suspended wakes with parts that were lent for ten seconds, long lent to
-// others since: by the steady clock parts of all stores add up to 1.5 of the cap, by one
-// that counts the time they never exceed it.
+// A store resumes with shares of 10 s leases that others have been granted since. By the
+// steady clock, which does not count the suspension, the shares of all stores add up to 1.5 of
+// the cap; by a clock that counts it they never exceed the cap.
 func TestSuspendedStore(t *testing.T) {
 	worst, before := 0.0, 0.0
 	for seed := range uint64(50) {
 		worst, before = max(worst, maxShareSum(seed, false)), max(before, maxShareSum(seed, true))
 	}
-	t.Logf("parts add up to %.2f, by the steady clock %.2f", worst, before)
+	t.Logf("shares add up to %.2f, by the steady clock %.2f", worst, before)
 	if worst > 1.0001 {
-		t.Errorf("parts add up to %.3f of the cap", worst)
+		t.Errorf("shares add up to %.3f of the cap, want at most 1", worst)
 	}
 	if before <= 1 {
-		t.Errorf("by the steady clock they add up to %.3f: the schedule proves nothing", before)
+		t.Errorf("by the steady clock shares add up to %.3f, want more than 1: the schedule proves nothing", before)
 	}
 }
--- a/capbank/usage.go
+++ b/capbank/usage.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Usage is what became of what a store's hosts asked of one cap since it was last told.
+// Usage is what the hosts of a store were granted and refused of one cap since the last
+// report.
 type Usage struct {
 	Workspace string
-	// Share is the store's part of the cap, Rate the whole cap's units a second, Level
-	// what the bucket holds, Demand what is asked a second.
+	// Share is the store's share of the cap, Rate the rate of the whole cap, Level the level
+	// of the bucket, Demand what hosts request. Rate and Demand are in units a second.
 	Share  float64
 	Rate   float64
 	Level  float64
 	Demand float64
-	// Granted and Refused are units, Refusals requests.
+	// Granted and Refused are units, Refusals counts requests.
 	Granted  float64
 	Refused  float64
 	Refusals int
 }
 
-// Refusing returns the caps of which something was refused since the last call, the
-// most refused first.
+// Refusing returns the usage of caps with refusals since the last call, the most refused
+// first, and resets the counts.
 func (a *Bank) Refusing() []Usage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/cappurse/baseline_test.go
+++ b/cappurse/baseline_test.go
@@ -12,10 +12,10 @@
 	"wheelgauge"
 )
 
-// decider decides in a schedule whether a host may send; the lock is held.
+// decider decides in a schedule whether a host may send. The lock is held.
 type decider func(s *schedule, h int, w *workspace, units float64) bool
 
-// fixedShares gives each host an even part of rate and burst, whoever asks.
+// fixedShares gives each host an equal share of rate and burst, whatever the demand.
 func fixedShares() decider {
 	type bucket struct {
 		level float64
@@ -35,7 +35,7 @@
 		}
 		b.level = math.Min(c.Burst/n, b.level+c.Rate/n*time.Since(b.at).Seconds())
 		b.at = time.Now()
-		// Into debt once it is full: no part holds a request.
+		// A full bucket may go into debt: no share is as large as a request.
 		if b.level < math.Min(units, 0.9*c.Burst/n) {
 			return false
 		}
@@ -44,12 +44,12 @@
 	}
 }
 
-// reportedFraction lets through the part that what all hosts asked some time ago leaves, as
-// stores would work it out and tell it with heartbeats.
+// reportedFraction lets a fraction of requests pass: rate over the total demand of all hosts
+// some time ago, as stores would compute it and send it with heartbeats.
 func reportedFraction() decider {
 	const (
-		old  = 350 * time.Millisecond
-		span = 500 * time.Millisecond
+		delay = 350 * time.Millisecond
+		span  = 500 * time.Millisecond
 	)
 	type asked struct {
 		at    time.Time
@@ -59,15 +59,15 @@
 	return func(s *schedule, h int, w *workspace, units float64) bool {
 		now, name := time.Now(), w.spec.Name
 		if region := s.regions[h%len(s.regions)]; s.cutRegions[region] {
-			name += region // it hears of no other
+			name += region // it receives no reports from other regions
 		}
 		seen[name] = append(seen[name], asked{now, units})
 		sum := 0.0
-		for len(seen[name]) > 0 && now.Sub(seen[name][0].at) > old+span {
+		for len(seen[name]) > 0 && now.Sub(seen[name][0].at) > delay+span {
 			seen[name] = seen[name][1:]
 		}
 		for _, a := range seen[name] {
-			if now.Sub(a.at) > old {
+			if now.Sub(a.at) > delay {
 				sum += a.units
 			}
 		}
@@ -75,28 +75,28 @@
 	}
 }
 
-// The two ways that were weighed against parts that stores lend: what each sends in the
-// worst window and refuses of what is within the cap, in calm and beside a workspace that
-// asks 8 times its usual. Fixed parts refuse a third of what is owed. A told fraction is
-// as good as lent parts where everybody hears of everybody, and takes no asking; but
-// regions that are cut apart each let the whole cap through.
+// Two alternatives to leased shares, without load and beside a workspace at 8 times its usual
+// demand: what each sends in the worst window, and what it refuses within the cap. Fixed
+// shares refuse a third of what the cap allows. A reported fraction is as good as leased
+// shares while all stores exchange reports, and needs no draws, but each region of a partition
+// lets the whole cap pass.
 func TestBaselines(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
-		name string
-		make func() decider
-		hot  bool
-		cut  bool
-		// wrong is the least that is wrongly refused of the smallest cap, over is set where
-		// the largest must send more than is allowed.
-		wrong float64
-		over  bool
+		name        string
+		make        func() decider
+		overloaded  bool
+		partitioned bool
+		// wrong is the least fraction wrongly refused of the smallest cap; over is set where
+		// the largest workspace must exceed its bound.
+		refused float64
+		over    bool
 	}{
-		{"fixed parts, calm", fixedShares, false, false, 0.15, false},
-		{"fixed parts, hot", fixedShares, true, false, 0.15, false},
-		{"told fraction, calm", reportedFraction, false, false, 0, false},
-		{"told fraction, hot", reportedFraction, true, false, 0, false},
-		{"told fraction, hot, regions cut apart", reportedFraction, true, true, 0, true},
+		{"fixed shares, normal load", fixedShares, false, false, 0.15, false},
+		{"fixed shares, overload", fixedShares, true, false, 0.15, false},
+		{"reported fraction, normal load", reportedFraction, false, false, 0, false},
+		{"reported fraction, overload", reportedFraction, true, false, 0, false},
+		{"reported fraction, overload, regions partitioned", reportedFraction, true, true, 0, true},
 	}
 	for _, tt := range tests {
 		synctest.Test(t, func(t *testing.T) {
@@ -110,11 +110,11 @@
 				}
 				return wheelgauge.NewError(wheelgauge.ReasonRateLimited, wheelgauge.OutcomeNotRun, http.StatusTooManyRequests, "")
 			}
-			if tt.hot {
+			if tt.overloaded {
 				s.overload("large", 8, 6*time.Second, 16*time.Second)
 			}
 			var faults func(context.Context)
-			if tt.cut {
+			if tt.partitioned {
 				faults = func(context.Context) {
 					time.Sleep(6 * time.Second)
 					s.set(func() { s.cutRegions["a"], s.cutRegions["b"], s.cutRegions["c"] = true, true, true })
@@ -122,15 +122,15 @@
 			}
 			s.run(faults)
 			for _, w := range s.workspaces {
-				wrong, _ := s.wronglyRefused(w)
+				refused, _ := s.wronglyRefused(w)
 				if *figures {
-					t.Logf("%s: workspace %s: %.2f of the bound in the worst window, %.2f%% wrongly refused", tt.name, w.spec.Name, s.worstWindow(w), 100*wrong)
+					t.Logf("%s: workspace %s: %.2f of the bound in the worst window, %.2f%% wrongly refused", tt.name, w.spec.Name, s.worstWindow(w), 100*refused)
 				}
 				if over := s.worstWindow(w) > 1; w.spec.Name == "large" && tt.over && !over {
-					t.Errorf("%s: %.2f of what is allowed was sent in some window", tt.name, s.worstWindow(w))
+					t.Errorf("%s: %.2f of the bound sent in the worst window, want more than 1", tt.name, s.worstWindow(w))
 				}
-				if w.spec.Name == "small" && wrong < tt.wrong {
-					t.Errorf("%s: %.2f%% of a small cap were wrongly refused: it is better than it was taken for", tt.name, 100*wrong)
+				if w.spec.Name == "small" && refused < tt.refused {
+					t.Errorf("%s: %.2f%% of a small cap wrongly refused: fewer than expected of this baseline", tt.name, 100*refused)
 				}
 			}
 		})
--- a/cappurse/bounds_test.go
+++ b/cappurse/bounds_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// worstWindow returns the largest part of what is allowed in a window that was sent in one.
+// worstWindow returns the largest fraction of the bound that was sent in a window.
 func (s *schedule) worstWindow(w *workspace) float64 {
 	var sent []arrival
 	for _, a := range s.arrivals[w.spec.Name] {
@@ -24,16 +24,16 @@
 		}
 		rate, burst := w.spec.Cap.Rate, w.spec.Cap.Burst
 		if w.reducedTo > 0 && sent[first].at < w.reducedAt+time.Second {
-			rate, burst = rate/w.reducedTo, burst/w.reducedTo // the larger cap binds this window
+			rate, burst = rate/w.reducedTo, burst/w.reducedTo // the cap before the reduction applies to this window
 		}
 		most = math.Max(most, sum/((rate*window.Seconds()+burst)*(1+overage)+slack))
 	}
 	return most
 }
 
-// wronglyRefused returns the part of what one perfect bucket lets through that was refused, and
-// what that lets through.
-func (s *schedule) wronglyRefused(w *workspace) (part, ideal float64) {
+// wronglyRefused returns the fraction of what a single ideal bucket lets pass that was
+// refused, and the units that the ideal bucket lets pass.
+func (s *schedule) wronglyRefused(w *workspace) (fraction, ideal float64) {
 	all := s.arrivals[w.spec.Name]
 	sort.Slice(all, func(i, j int) bool { return all[i].at < all[j].at })
 	level, last := w.spec.Cap.Burst, time.Duration(0)
@@ -60,25 +60,25 @@
 	s.t.Helper()
 	for _, w := range s.workspaces {
 		worst := s.worstWindow(w)
-		wrong, ideal := s.wronglyRefused(w)
+		refused, ideal := s.wronglyRefused(w)
 		if *figures {
-			s.t.Logf("%s: workspace %s: %.2f of the bound in the worst window, %.2f%% wrongly refused", name, w.spec.Name, worst, 100*wrong)
+			s.t.Logf("%s: workspace %s: %.2f of the bound in the worst window, %.2f%% wrongly refused", name, w.spec.Name, worst, 100*refused)
 		}
 		if worst > 1 {
-			s.t.Errorf("%s: workspace %s sent %.3f of what is allowed in some window", name, w.spec.Name, worst)
+			s.t.Errorf("%s: workspace %s sent %.3f of the bound in the worst window, want at most 1", name, w.spec.Name, worst)
 		}
 		// Two of the largest requests are a tenth of all that a small workspace sends.
-		if wrong > most+2*maxUnits/ideal {
-			s.t.Errorf("%s: workspace %s: %.2f%% of what is within its cap was refused, expected %.0f%% at most", name, w.spec.Name, 100*wrong, 100*most)
+		if refused > most+2*maxUnits/ideal {
+			s.t.Errorf("%s: workspace %s: %.2f%% wrongly refused within its cap, want %.0f%% at most", name, w.spec.Name, 100*refused, 100*most)
 		}
 	}
 }
 
-// overload lets one workspace ask much more for some seconds.
-func (s *schedule) overload(name string, x float64, from, to time.Duration) {
+// overload multiplies the demand of one workspace for some time.
+func (s *schedule) overload(name string, factor float64, from, to time.Duration) {
 	for _, w := range s.workspaces {
 		if w.spec.Name == name {
-			w.overloadFactor, w.overloadFrom, w.overloadTo = x, from, to
+			w.overloadFactor, w.overloadFrom, w.overloadTo = factor, from, to
 		}
 	}
 }
--- a/cappurse/client.go
+++ b/cappurse/client.go
@@ -1,6 +1,6 @@
-// Package cappurse is an entry host's side of the caps of workspaces: it draws units at
-// a store before requests are sent to backend servers, and goes on for a while by itself
-// when no store answers.
+// Package cappurse is the entry host's client for the caps of workspaces. It draws units from
+// a store before requests are sent to backend servers, and goes on standalone for a while when
+// no store answers.
 package cappurse
 
 import (
@@ -14,73 +14,77 @@
 	"wheelgauge/meanrate"
 )
 
-// Path is where stores are asked for units.
+// Path is the HTTP path of stores that answers draws.
 const Path = "/v1/caps"
 
 const (
-	// nearTimeout bounds one asking within a region, where an answer takes 1 to 3 ms,
-	// farTimeout one of a store elsewhere: connect and answer over a long link.
+	// nearTimeout bounds a draw from a store of the own region, where an answer takes 1 to 3
+	// ms; farTimeout bounds one from another region, which connects and answers over a long
+	// link.
 	nearTimeout = 150 * time.Millisecond
 	farTimeout  = 400 * time.Millisecond
-	// maxStoresPerRequest are asked for one request.
+	// maxStoresPerRequest is the number of stores tried for one request.
 	maxStoresPerRequest = 2
-	// silentStorePause keeps askings off a store that did not answer.
+	// silentStorePause is how long a store that did not answer is not tried.
 	silentStorePause = 300 * time.Millisecond
-	// cachedTTL is how long units are good that were drawn and not used: a store has
-	// counted them as sent.
+	// cachedTTL is how long drawn and unused units may be used: the store has counted them as
+	// sent.
 	cachedTTL = time.Second
-	// prefetchTime is for how long a host draws ahead at a far store, which takes two of its
-	// ways there and back at worst: without, nearly all requests of a region whose stores
-	// are dark would wait for them.
+	// prefetchTime is how much demand a host prefetches from a far store. A draw there takes
+	// two round trips at worst; without prefetching, nearly all requests of a region whose
+	// stores are unreachable would wait for them.
 	prefetchTime = 500 * time.Millisecond
-	// rateTimeConstant is over how long what is drawn is averaged.
+	// rateTimeConstant is the time constant of the average rate of draws.
 	rateTimeConstant = 2 * time.Second
-	// standaloneBurst is what a host may send at once when it begins to go on alone, in
-	// seconds of its rate: all hosts that begin at once send 0.2 s of the caps.
+	// standaloneBurst is what a host may send at once when it becomes standalone, in seconds
+	// of its rate. If all hosts become standalone together, they send 0.2 s of the caps at
+	// once.
 	standaloneBurst = 0.3
-	// meanSizeWeight is the weight of a new request in their mean size.
+	// meanSizeWeight is the weight of a new request in the mean size.
 	meanSizeWeight = 0.05
-	// standaloneRetryAfter is when a caller comes back to a host that is alone and has nothing left.
+	// standaloneRetryAfter is the delay given to callers when a standalone host has no units
+	// left.
 	standaloneRetryAfter = 400 * time.Millisecond
-	// noStoreRetryAfter is when a caller comes back who was refused because no store answers.
+	// noStoreRetryAfter is the delay given to callers when no store answers.
 	noStoreRetryAfter = 300 * time.Millisecond
 )
 
 // Options of a Purse.
 type Options struct {
 	Host string
-	// Boot differs between two starts of the host's process.
+	// Boot identifies this run of the host's process.
 	Boot uint64
-	// Stores returns those in touch, the best first.
+	// Stores returns the reachable stores in order of preference.
 	Stores func() []wheelgauge.StoreAt
-	// Ask carries an asking to a store.
-	Ask func(ctx context.Context, address string, ask wheelgauge.CapAsk) (wheelgauge.CapAnswer, error)
+	// Ask sends a draw to a store.
+	Ask func(ctx context.Context, address string, req wheelgauge.CapAsk) (wheelgauge.CapAnswer, error)
 	Now func() time.Time
 }
 
-// standaloneBucket is what the host may send of a workspace while no store answers.
+// standaloneBucket bounds what the host may send of a workspace while no store answers.
 type standaloneBucket struct {
-	rate  float64
-	expires time.Time
-	level float64
-	refilled    time.Time
+	rate     float64
+	expires  time.Time
+	level    float64
+	refilled time.Time
 }
 
-// unitCache are units that were drawn and not used: those of requests that were not run, and
-// those drawn ahead at a far store.
+// unitCache holds units that were drawn and not used: those of requests that were not run, and
+// those prefetched from a far store.
 type unitCache struct {
-	units float64
+	units   float64
 	expires time.Time
-	// drawn is what is drawn a second, size what a request counts in the mean.
+	// drawRate is the mean rate of draws in units a second, meanSize the mean units of a
+	// request.
 	drawRate meanrate.Rate
-	meanSize  float64
-	// far is the store that was asked last if it is a far one, fetching is set while it
-	// is asked ahead of requests.
-	farStore      string
+	meanSize float64
+	// farStore is the last store that answered if it is a far one; prefetching is set during a
+	// prefetch from it.
+	farStore    string
 	prefetching bool
 }
 
-// record takes what a request counts into the means.
+// record adds a request to the means.
 func (k *unitCache) record(units float64, now time.Time) {
 	if k.meanSize == 0 {
 		k.meanSize = units
@@ -89,10 +93,12 @@
 	k.drawRate.Add(units, now)
 }
 
-// target is what should be there for requests to come.
-func (k *unitCache) target() float64 { return max(k.meanSize, k.drawRate.Last()*prefetchTime.Seconds()) }
+// target is how many units should be cached for future requests.
+func (k *unitCache) target() float64 {
+	return max(k.meanSize, k.drawRate.Last()*prefetchTime.Seconds())
+}
 
-// available is what is still good.
+// available returns the units that have not expired.
 func (k *unitCache) available(now time.Time) float64 {
 	if !now.Before(k.expires) {
 		return 0
@@ -100,24 +106,24 @@
 	return k.units
 }
 
-// add adds units that are good from now on, with what is left.
+// add adds units to those that are left, and restarts their lifetime.
 func (k *unitCache) add(units float64, now time.Time) {
 	if units > 0 {
 		k.units, k.expires = k.available(now)+units, now.Add(cachedTTL)
 	}
 }
 
-// Purse is safe for concurrent use.
+// Purse draws units from stores. It is safe for concurrent use.
 type Purse struct {
-	options      Options
-	mu     sync.Mutex
+	options     Options
+	mu          sync.Mutex
 	standalone  map[string]*standaloneBucket
-	cached   map[string]*unitCache
+	cached      map[string]*unitCache
 	silentUntil map[string]time.Time
-	// fetches are askings ahead of requests; ctx ends them.
+	// prefetches counts prefetches in progress; ctx cancels them.
 	prefetches sync.WaitGroup
-	ctx     context.Context
-	cancel    context.CancelFunc
+	ctx        context.Context
+	cancel     context.CancelFunc
 }
 
 // New returns a purse without units.
@@ -126,7 +132,7 @@
 	return &Purse{options: o, standalone: map[string]*standaloneBucket{}, cached: map[string]*unitCache{}, silentUntil: map[string]time.Time{}, ctx: ctx, cancel: stop}
 }
 
-// Close ends askings that are under way, and waits.
+// Close cancels prefetches in progress and waits for them.
 func (p *Purse) Close() {
 	p.cancel()
 	p.prefetches.Wait()
@@ -140,8 +146,8 @@
 	for _, s := range p.reachable() {
 		g, ok := p.draw(ctx, s, w.Name, units, false)
 		if ok && g.Elsewhere != "" {
-			// Parts of caps follow what is asked by some 0.5 s: until then another store
-			// may have what this one lacks.
+			// Shares of caps follow demand within about 0.5 s; until then another store may
+			// have the units that this one lacks.
 			if there, answered := p.draw(ctx, wheelgauge.StoreAt{Address: g.Elsewhere}, w.Name, units, true); answered {
 				g = there
 			}
@@ -166,7 +172,7 @@
 	p.cacheOf(w.Name).add(units, p.options.Now())
 }
 
-// cacheOf returns what is kept of a workspace; the lock is held.
+// cacheOf returns the cache of a workspace. The lock must be held.
 func (p *Purse) cacheOf(workspace string) *unitCache {
 	if p.cached[workspace] == nil {
 		p.cached[workspace] = &unitCache{drawRate: meanrate.New(rateTimeConstant)}
@@ -174,18 +180,18 @@
 	return p.cached[workspace]
 }
 
-// takeCached takes units that are there, and draws others in time if the store is far.
+// takeCached takes cached units, and starts a prefetch in time if the store is far.
 func (p *Purse) takeCached(workspace string, units float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.options.Now()
 	k := p.cacheOf(workspace)
 	k.record(units, now)
-	left := k.available(now)
-	if left < units {
+	cached := k.available(now)
+	if cached < units {
 		return false
 	}
-	k.units = left - units
+	k.units = cached - units
 	if k.farStore != "" && !k.prefetching && k.units < k.target()/2 && p.ctx.Err() == nil {
 		k.prefetching = true
 		p.prefetches.Add(1)
@@ -203,7 +209,7 @@
 	p.cacheOf(workspace).prefetching = false
 }
 
-// reachable returns the stores to ask; none when all in touch were silent lately.
+// reachable returns the stores to try; none if all of them were silent lately.
 func (p *Purse) reachable() []wheelgauge.StoreAt {
 	all := p.options.Stores()
 	p.mu.Lock()
@@ -218,36 +224,36 @@
 	return out
 }
 
-// draw asks one store; ok is false when it does not answer.
-func (p *Purse) draw(within context.Context, s wheelgauge.StoreAt, workspace string, units float64, moved bool) (g wheelgauge.CapGrant, ok bool) {
+// draw draws units from one store; ok is false when the store does not answer.
+func (p *Purse) draw(parent context.Context, s wheelgauge.StoreAt, workspace string, units float64, moved bool) (g wheelgauge.CapGrant, ok bool) {
 	timeout := farTimeout
 	if s.Near {
 		timeout = nearTimeout
 	}
-	ctx, cancel := context.WithTimeout(within, timeout)
+	ctx, cancel := context.WithTimeout(parent, timeout)
 	defer cancel()
-	asked := p.options.Now()
+	sent := p.options.Now()
 	want := wheelgauge.CapWant{Workspace: workspace, Units: units}
 	if !s.Near && !moved {
 		want.Ahead = p.prefetchAmount(workspace)
 	}
 	answer, err := p.options.Ask(ctx, s.Address, wheelgauge.CapAsk{Host: p.options.Host, Boot: p.options.Boot, Moved: moved, Wants: []wheelgauge.CapWant{want}})
 	if err != nil || len(answer.Grants) != 1 {
-		// A request that had less time than the store says nothing about the store.
-		if within.Err() == nil {
+		// The request's own deadline passed: that says nothing about the store.
+		if parent.Err() == nil {
 			p.markSilent(s.Address)
 		}
 		return g, false
 	}
 	g = answer.Grants[0]
 	if !moved {
-		p.updateStandalone(workspace, g, asked)
+		p.updateStandalone(workspace, g, sent)
 		p.addPrefetched(workspace, s, g.Ahead)
 	}
 	return g, true
 }
 
-// prefetchAmount is what is missing for requests to come.
+// prefetchAmount returns how many units are missing for future requests.
 func (p *Purse) prefetchAmount(workspace string) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -255,7 +261,7 @@
 	return max(0, k.target()-k.available(p.options.Now()))
 }
 
-// addPrefetched keeps units that a store gave for requests to come.
+// addPrefetched adds units that a store granted for future requests.
 func (p *Purse) addPrefetched(workspace string, s wheelgauge.StoreAt, units float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -273,27 +279,27 @@
 	p.silentUntil[address] = p.options.Now().Add(silentStorePause)
 }
 
-// updateStandalone takes a store's word of what the host may do without it. The units of an
-// earlier time alone stay spent.
-func (p *Purse) updateStandalone(workspace string, g wheelgauge.CapGrant, asked time.Time) {
+// updateStandalone applies a store's answer on what the host may send standalone. Units spent
+// while standalone earlier stay spent.
+func (p *Purse) updateStandalone(workspace string, g wheelgauge.CapGrant, sent time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := p.standalone[workspace]
 	if a == nil {
-		a = &standaloneBucket{level: standaloneBurst * g.Alone, refilled: asked}
+		a = &standaloneBucket{level: standaloneBurst * g.Alone, refilled: sent}
 		p.standalone[workspace] = a
 	}
 	a.refill(p.options.Now())
-	a.rate, a.expires = g.Alone, asked.Add(time.Duration(g.AloneMS)*time.Millisecond)
+	a.rate, a.expires = g.Alone, sent.Add(time.Duration(g.AloneMS)*time.Millisecond)
 }
 
-// refill lets the units fill until now.
+// refill adds the units of the time since the last refill.
 func (a *standaloneBucket) refill(now time.Time) {
 	a.level = min(standaloneBurst*a.rate, a.level+a.rate*now.Sub(a.refilled).Seconds())
 	a.refilled = now
 }
 
-// takeStandalone sends what the host may by itself.
+// takeStandalone takes units from the host's standalone rate.
 func (p *Purse) takeStandalone(workspace string, units float64) *wheelgauge.Error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -309,9 +315,9 @@
 	return capExceeded(standaloneRetryAfter)
 }
 
-// spend spends the units that are there. Where they are fewer than a request needs, it
-// is sent as often as they make up for it: parts of single hosts are smaller than one
-// request, and all hosts together send what they may.
+// spend spends available units. If they are fewer than the request needs, the request passes
+// with the probability of their part of it: the share of a single host may be smaller than one
+// request, and so all hosts together still send what they may.
 func (a *standaloneBucket) spend(units float64) bool {
 	spent := min(max(0, a.level), units)
 	a.level -= spent
@@ -319,9 +325,9 @@
 }
 
 func capExceeded(after time.Duration) *wheelgauge.Error {
-	return wheelgauge.NewError(wheelgauge.ReasonRateLimited, wheelgauge.OutcomeNotRun, http.StatusTooManyRequests, "the workspace has used its cap").WithRetryAfter(after)
+	return wheelgauge.NewError(wheelgauge.ReasonRateLimited, wheelgauge.OutcomeNotRun, http.StatusTooManyRequests, "workspace cap exceeded").WithRetryAfter(after)
 }
 
 func noStoreAnswers() *wheelgauge.Error {
-	return wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "no store tells what is left of the workspace's cap").WithRetryAfter(noStoreRetryAfter)
+	return wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "no store answers to grant units of the workspace's cap").WithRetryAfter(noStoreRetryAfter)
 }
--- a/cappurse/client_test.go
+++ b/cappurse/client_test.go
@@ -14,14 +14,15 @@
 
 var testWorkspace = &wheelgauge.Workspace{Name: "w", Cap: wheelgauge.Cap{Rate: 1e6, Burst: 1e6, Unit: wheelgauge.CapTokens}}
 
-// A region whose own stores are dark draws at far ones: ahead of requests, so that few
-// wait for the way. Without, all of them waited for 110 ms, and bursts for as much again.
+// A region whose own stores are unreachable prefetches units from far ones, so that few
+// requests wait for the round trip. Without prefetching all of them wait for 110 ms, and
+// bursts for twice that.
 func TestPrefetchFromFarStore(t *testing.T) {
-	const wayAndBack = 110 * time.Millisecond
+	const roundTrip = 110 * time.Millisecond
 	tests := []struct {
 		name string
 		near bool
-		// waits is the most of 200 requests that wait for the way and back.
+		// waits is the most of 200 requests that wait for the round trip.
 		waits int
 	}{{"far", false, 40}, {"near", true, 200}}
 	for _, tt := range tests {
@@ -31,35 +32,35 @@
 			p := New(Options{
 				Host: "h", Boot: 1, Now: time.Now,
 				Stores: func() []wheelgauge.StoreAt { return []wheelgauge.StoreAt{{Address: "s", Near: tt.near}} },
-				Ask: func(_ context.Context, _ string, ask wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
-					time.Sleep(wayAndBack)
+				Ask: func(_ context.Context, _ string, req wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
+					time.Sleep(roundTrip)
 					mu.Lock()
 					defer mu.Unlock()
-					given += ask.Wants[0].Units + ask.Wants[0].Ahead
-					return wheelgauge.CapAnswer{Grants: []wheelgauge.CapGrant{{Granted: true, Ahead: ask.Wants[0].Ahead}}}, nil
+					given += req.Wants[0].Units + req.Wants[0].Ahead
+					return wheelgauge.CapAnswer{Grants: []wheelgauge.CapGrant{{Granted: true, Ahead: req.Wants[0].Ahead}}}, nil
 				},
 			})
 			waits, used := 0, 0.0
 			for range 200 {
-				began := time.Now()
-				if fault := p.Take(context.Background(), testWorkspace, 3000); fault != nil {
-					t.Fatal(fault)
+				start := time.Now()
+				if err := p.Take(context.Background(), testWorkspace, 3000); err != nil {
+					t.Fatal(err)
 				}
 				used += 3000
-				if time.Since(began) >= wayAndBack {
+				if time.Since(start) >= roundTrip {
 					waits++
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
 			p.Close()
 			if waits > tt.waits {
-				t.Errorf("%s: %d of 200 requests waited", tt.name, waits)
+				t.Errorf("%s: %d of 200 requests waited for a round trip, want fewer", tt.name, waits)
 			}
 			if tt.near && given != used {
-				t.Errorf("near: %.0f drawn for %.0f", given, used)
+				t.Errorf("near: %.0f units drawn for %.0f units used", given, used)
 			}
 			if given > 1.5*used {
-				t.Errorf("%s: %.0f drawn for %.0f", tt.name, given, used)
+				t.Errorf("%s: %.0f units drawn for %.0f units used", tt.name, given, used)
 			}
 		})
 	}
@@ -70,72 +71,71 @@
 	refusal := wheelgauge.CapGrant{AfterMS: 700, Alone: 1e6, AloneMS: 1000}
 	tests := []struct {
 		name string
-		// grants by store; those that are not there do not answer.
+		// grants by store; other stores do not answer.
 		grants map[string]wheelgauge.CapGrant
 		stores []wheelgauge.StoreAt
 		status int
 		after  time.Duration
-		asked  int
+		calls  int
 	}{
 		{"granted", map[string]wheelgauge.CapGrant{"a": granted}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 0, 0, 1},
 		{"refused", map[string]wheelgauge.CapGrant{"a": refusal}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 429, 700 * time.Millisecond, 1},
-		{"the first is dark", map[string]wheelgauge.CapGrant{"b": granted}, []wheelgauge.StoreAt{{Address: "a", Near: true}, {Address: "b"}}, 0, 0, 2},
+		{"the first store does not answer", map[string]wheelgauge.CapGrant{"b": granted}, []wheelgauge.StoreAt{{Address: "a", Near: true}, {Address: "b"}}, 0, 0, 2},
 		{"another store has the units", map[string]wheelgauge.CapGrant{"a": {AfterMS: 700, Elsewhere: "b"}, "b": granted}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 0, 0, 2},
-		{"nor has that", map[string]wheelgauge.CapGrant{"a": {AfterMS: 700, Elsewhere: "b"}, "b": {AfterMS: 900}}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 429, 900 * time.Millisecond, 2},
-		{"it does not answer", map[string]wheelgauge.CapGrant{"a": {AfterMS: 700, Elsewhere: "b"}}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 429, 700 * time.Millisecond, 2},
+		{"no other store has the units", map[string]wheelgauge.CapGrant{"a": {AfterMS: 700, Elsewhere: "b"}, "b": {AfterMS: 900}}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 429, 900 * time.Millisecond, 2},
+		{"the other store does not answer", map[string]wheelgauge.CapGrant{"a": {AfterMS: 700, Elsewhere: "b"}}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 429, 700 * time.Millisecond, 2},
 		{"no store answers, and none ever did", nil, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 503, noStoreRetryAfter, 1},
 		{"no store is known", nil, nil, 503, noStoreRetryAfter, 0},
 	}
 	for _, tt := range tests {
 		synctest.Test(t, func(t *testing.T) {
-			asked := 0
+			calls := 0
 			p := New(Options{
 				Host: "h", Boot: 1, Now: time.Now, Stores: func() []wheelgauge.StoreAt { return tt.stores },
 				Ask: func(ctx context.Context, address string, _ wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
-					asked++
+					calls++
 					if g, ok := tt.grants[address]; ok {
 						return wheelgauge.CapAnswer{Grants: []wheelgauge.CapGrant{g}}, nil
 					}
 					<-ctx.Done()
-					return wheelgauge.CapAnswer{}, errors.New("dark")
+					return wheelgauge.CapAnswer{}, errors.New("unreachable")
 				},
 			})
 			defer p.Close()
-			fault := p.Take(context.Background(), testWorkspace, 100)
+			err := p.Take(context.Background(), testWorkspace, 100)
 			status, after := 0, time.Duration(0)
-			if fault != nil {
-				status, after = fault.Status(), fault.RetryAfter()
+			if err != nil {
+				status, after = err.Status(), err.RetryAfter()
 			}
-			if status != tt.status || after != tt.after || asked != tt.asked {
-				t.Errorf("%s: %d after %v, %d asked", tt.name, status, after, asked)
+			if status != tt.status || after != tt.after || calls != tt.calls {
+				t.Errorf("%s: status %d, retry after %v, %d draws", tt.name, status, after, calls)
 			}
-			if fault != nil && fault.Outcome() != wheelgauge.OutcomeNotRun {
-				t.Errorf("%s: outcome %s", tt.name, fault.Outcome())
+			if err != nil && err.Outcome() != wheelgauge.OutcomeNotRun {
+				t.Errorf("%s: outcome %s", tt.name, err.Outcome())
 			}
 		})
 	}
 }
 
-// Units of a request that was not run serve another one, for a while.
-// What silences a store for all requests of the host: that it does not answer in the
-// time an asking has, and not that the request which asked had less time than that.
+// A store counts as silent for all requests of the host when it does not answer within the
+// timeout of a draw, but not when the deadline of the request that drew passed earlier.
 func TestSilentStore(t *testing.T) {
 	tests := []struct {
 		name   string
 		within time.Duration
-		asked  int
+		calls  int
 	}{
-		{"the request's time is over", 20 * time.Millisecond, 2},
+		{"the request's deadline passes first", 20 * time.Millisecond, 2},
 		{"the store does not answer", time.Second, 1},
 	}
 	for _, tt := range tests {
 		synctest.Test(t, func(t *testing.T) {
-			asked := 0
+			calls := 0
 			p := New(Options{
 				Host: "h", Boot: 1, Now: time.Now,
 				Stores: func() []wheelgauge.StoreAt { return []wheelgauge.StoreAt{{Address: "s", Near: true}} },
 				Ask: func(ctx context.Context, _ string, _ wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
-					asked++
+					calls++
 					<-ctx.Done()
 					return wheelgauge.CapAnswer{}, ctx.Err()
 				},
@@ -146,48 +146,49 @@
 				p.Take(ctx, testWorkspace, 1)
 				cancel()
 			}
-			if asked != tt.asked {
-				t.Errorf("%s: the store was asked %d times for two requests, want %d", tt.name, asked, tt.asked)
+			if calls != tt.calls {
+				t.Errorf("%s: %d draws for two requests, want %d", tt.name, calls, tt.calls)
 			}
 		})
 	}
 }
 
+// Units of a request that was not run are used for another one until they expire.
 func TestReturn(t *testing.T) {
 	tests := []struct {
 		name  string
 		after time.Duration
 		units float64
-		asked int
+		calls int
 	}{{"at once", 0, 100, 0}, {"a smaller one", 0, 40, 0}, {"a larger one", 0, 101, 1}, {"too late", 2 * cachedTTL, 100, 1}}
 	for _, tt := range tests {
 		synctest.Test(t, func(t *testing.T) {
-			asked := 0
+			calls := 0
 			p := New(Options{
 				Host: "h", Boot: 1, Now: time.Now, Stores: func() []wheelgauge.StoreAt { return []wheelgauge.StoreAt{{Address: "a", Near: true}} },
 				Ask: func(context.Context, string, wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
-					asked++
+					calls++
 					return wheelgauge.CapAnswer{Grants: []wheelgauge.CapGrant{{Granted: true}}}, nil
 				},
 			})
 			defer p.Close()
 			p.Return(testWorkspace, 100)
 			time.Sleep(tt.after)
-			if fault := p.Take(context.Background(), testWorkspace, tt.units); fault != nil || asked != tt.asked {
-				t.Errorf("%s: %v, %d asked", tt.name, fault, asked)
+			if err := p.Take(context.Background(), testWorkspace, tt.units); err != nil || calls != tt.calls {
+				t.Errorf("%s: error %v, %d draws", tt.name, err, calls)
 			}
 		})
 	}
 }
 
-// A host that no store answers any more goes on within what it was told, for as long.
+// A host that no store answers any more goes on within its standalone rate and time.
 func TestStandalone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dark := false
+		unreachable := false
 		p := New(Options{
 			Host: "h", Boot: 1, Now: time.Now, Stores: func() []wheelgauge.StoreAt { return []wheelgauge.StoreAt{{Address: "a", Near: true}} },
 			Ask: func(ctx context.Context, _ string, _ wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
-				if dark {
+				if unreachable {
 					<-ctx.Done()
 					return wheelgauge.CapAnswer{}, ctx.Err()
 				}
@@ -195,24 +196,25 @@
 			},
 		})
 		defer p.Close()
-		if fault := p.Take(context.Background(), testWorkspace, 100); fault != nil {
-			t.Fatal(fault)
+		if err := p.Take(context.Background(), testWorkspace, 100); err != nil {
+			t.Fatal(err)
 		}
-		dark = true
-		began, sent := time.Now(), 0.0
-		for time.Since(began) < 4*time.Second {
+		unreachable = true
+		start, sent := time.Now(), 0.0
+		for time.Since(start) < 4*time.Second {
 			if p.Take(context.Background(), testWorkspace, 2000) == nil {
 				sent += 2000
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		// 43,000 in the mean, by lot in steps of 2,000: five deviations of 9,000 either way.
+		// 43,000 in the mean, at random in steps of 2,000: five deviations of 9,000 either
+		// way.
 		if sent < 2000 || sent > 88000 {
-			t.Errorf("alone for 4 s at 10,000 a second it sent %.0f", sent)
+			t.Errorf("%.0f units sent in 4 s standalone at 10,000 a second, want 2000 to 88000", sent)
 		}
 		time.Sleep(2 * time.Second)
-		if fault := p.Take(context.Background(), testWorkspace, 100); fault == nil || fault.Status() != http.StatusServiceUnavailable {
-			t.Errorf("after that it is refused with %v", fault)
+		if err := p.Take(context.Background(), testWorkspace, 100); err == nil || err.Status() != http.StatusServiceUnavailable {
+			t.Errorf("error after the standalone time is %v, want status 503", err)
 		}
 	})
 }
--- a/cappurse/faults_test.go
+++ b/cappurse/faults_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Caps hold in every window over all hosts, whatever happens, and in calm hardly
-// anything within them is refused: 1%, the users' figure.
+// Caps hold in every window over all hosts, whatever happens. Without faults at most 1% of
+// what they allow is refused, which is the users' requirement.
 func TestCalm(t *testing.T) {
 	t.Parallel()
 	for _, hosts := range []int{24, 68} {
@@ -22,8 +22,8 @@
 	}
 }
 
-// A workspace that asks 8 times its usual from one second to the next gets its cap and
-// no more.
+// A workspace whose demand rises to 8 times its usual within a second gets its cap and no
+// more.
 func TestOverload(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"small", "middle", "large", "plain"} {
@@ -36,7 +36,7 @@
 	}
 }
 
-// fault brings about one kind of trouble for a while.
+// fault is a kind of fault that lasts for a while.
 type fault struct {
 	name string
 	play func(s *schedule)
@@ -44,7 +44,7 @@
 
 func faults() []fault {
 	return []fault{
-		{"regions cut apart", func(s *schedule) {
+		{"regions partitioned", func(s *schedule) {
 			s.set(func() { s.cutRegions["a"], s.cutRegions["b"], s.cutRegions["c"] = true, true, true })
 			s.pause(2, 9)
 			s.set(func() { clear(s.cutRegions) })
@@ -75,7 +75,7 @@
 			s.pause(1, 6)
 			s.set(func() { st.frozen = false })
 		}},
-		{"a herd of hosts killed", func(s *schedule) {
+		{"many hosts killed at once", func(s *schedule) {
 			s.set(func() {
 				for h := range s.hosts {
 					if s.r.Float64() < 0.55 {
@@ -84,7 +84,7 @@
 				}
 			})
 		}},
-		{"a cap cut", func(s *schedule) {
+		{"a cap reduced", func(s *schedule) {
 			w := s.workspaces[s.intN(len(s.workspaces))]
 			s.set(func() {
 				if w.reducedTo == 0 {
@@ -93,8 +93,8 @@
 					w.spec.Cap.Burst *= w.reducedTo
 				}
 				for _, st := range s.stores {
-					if st.bank != nil {
-						st.bank.SetCaps(s.specs())
+					if st.allocator != nil {
+						st.allocator.SetCaps(s.specs())
 					}
 				}
 			})
@@ -108,14 +108,14 @@
 	f()
 }
 
-// intN returns a number below n.
+// intN returns a random number below n.
 func (s *schedule) intN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.r.IntN(n)
 }
 
-// pause waits for some seconds.
+// pause waits for a random time in seconds.
 func (s *schedule) pause(least, most float64) {
 	s.mu.Lock()
 	d := least + (most-least)*s.r.Float64()
@@ -123,7 +123,7 @@
 	time.Sleep(time.Duration(d * float64(time.Second)))
 }
 
-// Each fault alone, beside a workspace that asks too much.
+// Each fault by itself, beside an overloaded workspace.
 func TestEachFault(t *testing.T) {
 	t.Parallel()
 	for _, f := range faults() {
@@ -143,7 +143,7 @@
 	}
 }
 
-// Faults that overlap, by seed. The bound holds in every window.
+// Overlapping faults, by seed. The bound holds in every window.
 func TestSchedules(t *testing.T) {
 	t.Parallel()
 	for seed := range *seeds {
--- a/cappurse/schedule_test.go
+++ b/cappurse/schedule_test.go
@@ -18,30 +18,31 @@
 var (
 	seeds   = flag.Int("cap.seeds", 6, "seeded schedules to play")
 	repeats = flag.Int("cap.repeats", 1, "how often each fault is played alone")
-	figures  = flag.Bool("cap.figures", false, "print what was wrongly refused, by workspace")
+	figures = flag.Bool("cap.figures", false, "print what was wrongly refused, by workspace")
 )
 
 const (
 	window  = 8 * time.Second
 	overage = 0.1
 	slack   = 140000.0
-	// maxUnits is the most that a request counts.
+	// maxUnits is the most units that a request needs.
 	maxUnits = 54000.0
-	// warmUp is how long stores are there before callers come.
+	// warmUp is how long stores run before load begins.
 	warmUp = 11 * time.Second
 	// runTime is how long a schedule lasts.
 	runTime = 24 * time.Second
 )
 
-// workspace is one of a schedule, with what its callers ask.
+// workspace is a workspace of a schedule with the load of its callers.
 type workspace struct {
 	spec wheelgauge.Workspace
-	// mean is what a request counts, asks how many come a second over all hosts.
+	// meanUnits is the mean units of a request, requestRate the requests a second over all
+	// hosts.
 	meanUnits, requestRate float64
-	// hot is when and how much more callers ask.
+	// overloadFactor multiplies the load between overloadFrom and overloadTo.
 	overloadFrom, overloadTo time.Duration
-	overloadFactor            float64
-	// cut is when the cap falls to a part.
+	overloadFactor           float64
+	// reducedAt is when the cap falls to the fraction reducedTo.
 	reducedAt time.Duration
 	reducedTo float64
 }
@@ -50,13 +51,13 @@
 	at    time.Duration
 	units float64
 	sent  bool
-	final  bool // it was refused for good, or sent: not for want of a store
+	final bool // sent, or refused by the cap and not for lack of a store
 }
 
-// store is a store of a schedule; bank is nil while it is down.
+// store is a store of a schedule; allocator is nil while it is down.
 type store struct {
 	address, region string
-	bank            *capbank.Bank
+	allocator       *capbank.Bank
 	boots           uint64
 	frozen          bool
 }
@@ -67,20 +68,20 @@
 	mu         sync.Mutex
 	seed       uint64
 	r          *rand.Rand
-	started      time.Time
+	started    time.Time
 	stores     []*store
 	regions    []string
 	hosts      int
 	workspaces []*workspace
-	// take decides in place of the hosts' purses, if it is set.
+	// take decides in place of the hosts' clients, if it is set.
 	take     func(ctx context.Context, h int, w *workspace, units float64) *wheelgauge.Error
-	purses   []*Purse
+	clients  []*Purse
 	arrivals map[string][]arrival
-	// cutRegions are those cut off from all others, alone the hosts cut off from all
-	// stores.
+	// cutRegions are the regions that are cut off from all others. downUntil is until when a
+	// host is down.
 	cutRegions map[string]bool
-	downUntil       map[int]time.Time
-	storesSeen      map[string]map[string]time.Time
+	downUntil  map[int]time.Time
+	storesSeen map[string]map[string]time.Time
 }
 
 var regionNames = []string{"a", "a", "b", "b", "c"}
@@ -135,61 +136,61 @@
 	return out
 }
 
-// start starts a store's process anew; it takes 0.3 s to know caps and members.
+// start starts a new process of a store.
 func (s *schedule) start(st *store) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st.boots++
-	st.bank = capbank.New(capbank.Options{Self: st.address, Boot: st.boots, Window: window, Overage: overage, Slack: slack, Now: time.Now})
-	st.bank.SetMembers(s.members())
-	st.bank.SetCaps(s.specs())
+	st.allocator = capbank.New(capbank.Options{Self: st.address, Boot: st.boots, Window: window, Overage: overage, Slack: slack, Now: time.Now})
+	st.allocator.SetMembers(s.members())
+	st.allocator.SetCaps(s.specs())
 }
 
 func (s *schedule) stop(st *store) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st.bank = nil
+	st.allocator = nil
 }
 
-// reach returns a store's bank if a call from a region gets there now.
+// reach returns a store's allocator if a call from a region gets through now.
 func (s *schedule) reach(region string, st *store) *capbank.Bank {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if st.frozen || !s.linked(region, st.region) {
 		return nil
 	}
-	return st.bank
+	return st.allocator
 }
 
-// exchangeLeases lets stores tell each other, one call at a time between each two.
+// exchangeLeases sends reports from one store to another, one call at a time.
 func (s *schedule) exchangeLeases(ctx context.Context, from, to *store) {
 	for ctx.Err() == nil {
 		time.Sleep(200 * time.Millisecond)
 		s.mu.Lock()
-		bank, boot, frozen := from.bank, from.boots, from.frozen
+		alloc, boot, frozen := from.allocator, from.boots, from.frozen
 		s.mu.Unlock()
-		if bank == nil || frozen {
+		if alloc == nil || frozen {
 			continue
 		}
-		sent, n := time.Now(), bank.News(to.address)
+		sent, n := time.Now(), alloc.News(to.address)
 		time.Sleep(linkLatency(from.region, to.region))
 		other := s.reach(from.region, to)
 		if other == nil {
 			time.Sleep(800 * time.Millisecond)
 			continue
 		}
-		sheet := other.Lend(from.address, boot, n)
+		lease := other.Lend(from.address, boot, n)
 		time.Sleep(linkLatency(from.region, to.region))
 		s.mu.Lock()
-		lost := !s.linked(from.region, to.region) || from.bank != bank || from.frozen
+		lost := !s.linked(from.region, to.region) || from.allocator != alloc || from.frozen
 		s.mu.Unlock()
 		if !lost {
-			bank.Borrow(to.address, sent, sheet)
+			alloc.Borrow(to.address, sent, lease)
 		}
 	}
 }
 
-// heartbeats keeps a region's view of the stores by heartbeats, and tells these of hosts.
+// heartbeats updates a region's view of the stores and reports its hosts to them.
 func (s *schedule) heartbeats(ctx context.Context, region string) {
 	view := map[string]time.Time{}
 	s.mu.Lock()
@@ -197,15 +198,15 @@
 	s.mu.Unlock()
 	for ctx.Err() == nil {
 		for _, st := range s.stores {
-			bank := s.reach(region, st)
-			if bank == nil {
+			alloc := s.reach(region, st)
+			if alloc == nil {
 				continue
 			}
 			s.mu.Lock()
 			view[st.address] = time.Now()
 			for h := range s.hosts {
 				if s.regions[h%len(s.regions)] == region && !time.Now().Before(s.downUntil[h]) {
-					bank.Seen(fmt.Sprint("host-", h), s.boot(h))
+					alloc.Seen(fmt.Sprint("host-", h), s.boot(h))
 				}
 			}
 			s.mu.Unlock()
@@ -214,7 +215,7 @@
 	}
 }
 
-// boot numbers a host's starts; the lock is held.
+// boot returns the number of the host's process. The lock is held.
 func (s *schedule) boot(h int) uint64 {
 	if s.downUntil[h].IsZero() {
 		return 1
@@ -222,7 +223,7 @@
 	return uint64(s.downUntil[h].Sub(s.started))
 }
 
-// storesFor returns the stores that a region's hosts know of, near ones first.
+// storesFor returns the stores that a host knows of, near ones first.
 func (s *schedule) storesFor(h int, region string) []wheelgauge.StoreAt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,23 +241,23 @@
 
 var errUnreachable = errors.New("no answer")
 
-// purse returns a new purse of a host.
-func (s *schedule) purse(h int, region string, boot uint64) *Purse {
+// newClient returns a new client of a host.
+func (s *schedule) newClient(h int, region string, boot uint64) *Purse {
 	return New(Options{
 		Host: fmt.Sprint("host-", h), Boot: boot, Now: time.Now,
 		Stores: func() []wheelgauge.StoreAt { return s.storesFor(h, region) },
-		Ask: func(ctx context.Context, address string, ask wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
+		Ask: func(ctx context.Context, address string, req wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
 			for _, st := range s.stores {
 				if st.address != address {
 					continue
 				}
 				time.Sleep(linkLatency(region, st.region))
-				bank := s.reach(region, st)
-				if bank == nil {
+				alloc := s.reach(region, st)
+				if alloc == nil {
 					<-ctx.Done()
 					return wheelgauge.CapAnswer{}, errUnreachable
 				}
-				answer := bank.Draw(ask)
+				answer := alloc.Draw(req)
 				time.Sleep(linkLatency(region, st.region))
 				return answer, ctx.Err()
 			}
@@ -272,8 +273,8 @@
 	return p.Take(ctx, spec, units)
 }
 
-// generateLoad sends what callers of one host ask of one workspace.
-func (s *schedule) generateLoad(ctx context.Context, w *workspace, h int, purse func() *Purse, group *sync.WaitGroup, weight func(at time.Duration) float64) {
+// generateLoad sends the requests of one host's callers for one workspace.
+func (s *schedule) generateLoad(ctx context.Context, w *workspace, h int, client func() *Purse, group *sync.WaitGroup, weight func(at time.Duration) float64) {
 	r := rand.New(rand.NewPCG(s.seed, uint64(h)<<8|uint64(len(w.spec.Name))))
 	for ctx.Err() == nil {
 		s.mu.Lock()
@@ -290,7 +291,7 @@
 		}
 		s.mu.Lock()
 		up := !time.Now().Before(s.downUntil[h])
-		spec, p := w.spec, purse()
+		spec, p := w.spec, client()
 		s.mu.Unlock()
 		if !up {
 			continue
@@ -298,18 +299,18 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			fault := s.takeUnits(ctx, p, h, w, &spec, units)
+			err := s.takeUnits(ctx, p, h, w, &spec, units)
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if fault == nil && p != purse() {
-				return // the host was killed meanwhile
+			if err == nil && p != client() {
+				return // the host was killed during the request
 			}
-			s.arrivals[w.spec.Name] = append(s.arrivals[w.spec.Name], arrival{at: s.elapsed(), units: units, sent: fault == nil, final: fault == nil || fault.Status() == 429})
+			s.arrivals[w.spec.Name] = append(s.arrivals[w.spec.Name], arrival{at: s.elapsed(), units: units, sent: err == nil, final: err == nil || err.Status() == 429})
 		}()
 	}
 }
 
-// run plays the schedule with faults and returns once all is over.
+// run plays the schedule with faults and returns when all requests have ended.
 func (s *schedule) run(faults func(ctx context.Context)) {
 	ctx, cancel := context.WithTimeout(context.Background(), warmUp+runTime)
 	defer cancel()
@@ -333,22 +334,23 @@
 		var p *Purse
 		var boot uint64
 		// The lock is held.
-		purse := func() *Purse {
+		client := func() *Purse {
 			if b := s.boot(h); p == nil || b != boot {
-				p, boot = s.purse(h, region, b), b
-				s.purses = append(s.purses, p)
+				p, boot = s.newClient(h, region, b), b
+				s.clients = append(s.clients, p)
 			}
 			return p
 		}
 		phase := float64(h%len(s.regions)) / float64(len(s.regions))
-		// Regions have their busy hours in turn, from 0.17 to 2.8 times the mean within 3 s.
+		// Regions have their busy hours in turn: load goes from 0.17 to 2.8 times the mean
+		// within 3 s.
 		weight := func(at time.Duration) float64 {
 			up := math.Max(0, math.Min(1, 0.4+1.7*math.Sin(2*math.Pi*(at.Seconds()/24+phase))))
 			return 0.17 + 2.63*up*0.8
 		}
 		for _, w := range s.workspaces {
 			spawn(func() {
-				s.generateLoad(ctx, w, h, purse, &group, weight)
+				s.generateLoad(ctx, w, h, client, &group, weight)
 			})
 		}
 	}
@@ -357,7 +359,7 @@
 	}
 	<-ctx.Done()
 	group.Wait()
-	for _, p := range s.purses {
+	for _, p := range s.clients {
 		p.Close()
 	}
 }
--- a/coldrate/shares.go
+++ b/coldrate/shares.go
@@ -1,6 +1,6 @@
-// Package coldrate bounds what a cold server gets from all hosts of its region
-// together, without messages: a few hosts, the same in every host's view, have
-// a part of the rate each, and the others send nothing.
+// Package coldrate bounds the requests that all hosts of a region send to a cold server,
+// without messages: a few hosts, the same ones in every host's view, have an equal share of
+// the rate, and the others send nothing.
 package coldrate
 
 import (
@@ -12,20 +12,20 @@
 )
 
 const (
-	// holders is how many hosts share a server's rate. With one host too many
-	// while views differ, the sum stays within one and a half times the rate
-	// and the burst of each.
+	// holders is how many hosts share a server's rate. While views differ there may be one
+	// host too many, and the sum stays within one and a half times the rate and the burst of
+	// each.
 	holders = 2
 	// burst is how many requests a holder may send at once.
 	burst = 1.0
 )
 
 type bucket struct {
-	tokens float64
-	refilled   time.Time
+	tokens   float64
+	refilled time.Time
 }
 
-// Shares is safe for concurrent use.
+// Shares applies the shares of one host. It is safe for concurrent use.
 type Shares struct {
 	mu      sync.Mutex
 	buckets map[string]*bucket
@@ -35,15 +35,15 @@
 // New returns shares that read time from now.
 func New(now func() time.Time) *Shares { return &Shares{buckets: map[string]*bucket{}, now: now} }
 
-// Mine tells whether host is one of a server's holders.
+// Mine reports whether host is one of a server's holders.
 func (s *Shares) Mine(server, host string, peers []string) bool {
 	if len(peers) == 0 {
-		return false // nobody knows yet how many hosts there are
+		return false // the number of hosts is not known yet
 	}
 	return slices.Contains(rendezvous.Top(server, peers, holders), host)
 }
 
-// Take takes one request of the host's part of rate, in requests a second.
+// Take takes one request from the host's share of rate, in requests a second.
 func (s *Shares) Take(server, host string, peers []string, rate float64) bool {
 	if !s.Mine(server, host, peers) {
 		return false
@@ -56,8 +56,8 @@
 		b = &bucket{tokens: burst, refilled: now}
 		s.buckets[server] = b
 	}
-	part := rate / float64(min(holders, max(1, len(peers))))
-	b.tokens = min(burst, b.tokens+part*now.Sub(b.refilled).Seconds())
+	share := rate / float64(min(holders, max(1, len(peers))))
+	b.tokens = min(burst, b.tokens+share*now.Sub(b.refilled).Seconds())
 	b.refilled = now
 	if b.tokens < 1 {
 		return false
--- a/coldrate/shares_test.go
+++ b/coldrate/shares_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// Over any number of hosts the sum stays within one and a half times the rate
-// and a slack of three in every second, also while one host does not know of
-// the others yet.
+// For any number of hosts the sum stays within one and a half times the rate and a slack of
+// three in every second.
 func TestSumOverHosts(t *testing.T) {
 	const rate, overage, slack = 3.5, 1.5, 3.0
 	for _, n := range []int{1, 2, 3, 8, 40} {
@@ -33,10 +32,10 @@
 				}
 			}
 			if float64(sent) > rate*overage+slack {
-				t.Errorf("%d hosts: %d in second %d, want %.2f at most", n, sent, second, rate*overage+slack)
+				t.Errorf("%d hosts: %d requests in second %d, want at most %.2f", n, sent, second, rate*overage+slack)
 			}
 			if sent == 0 {
-				t.Errorf("%d hosts: nothing in second %d", n, second)
+				t.Errorf("%d hosts: no request in second %d", n, second)
 			}
 		}
 	}
@@ -44,6 +43,6 @@
 
 func TestUnknownHosts(t *testing.T) {
 	if New(time.Now).Take("server", "host", nil, 100) {
-		t.Error("a host that knows no others sent to a cold server")
+		t.Error("a host without a view of the hosts sent to a cold server")
 	}
 }
--- a/coldrate/views_test.go
+++ b/coldrate/views_test.go
@@ -18,28 +18,28 @@
 
 const (
 	tick = 50 * time.Millisecond
-	// maxViewDelay is how much later than the first the last host hears of a change: two
+	// maxViewDelay bounds how much later than the first the last host learns of a change: two
 	// heartbeats, and one between stores.
 	maxViewDelay = 500 * time.Millisecond
 	// coldRate is a server's cold rate, in requests a second.
 	coldRate = 3.5
 	runTime  = 9 * time.Second
-	// maxSharers is the most hosts that share.
+	// maxSharers bounds the hosts that share a rate.
 	maxSharers = 32
 )
 
-// viewHost is a host with its own view of who shares.
+// viewHost is a host with its own view of the hosts that share.
 type viewHost struct {
 	name   string
 	shares *Shares
 	view   []string
 	down   bool
-	// pending is a view that it hears of later.
+	// pending is the view that it receives at viewAt.
 	pending []string
-	viewAt   time.Duration
+	viewAt  time.Duration
 }
 
-// views plays hosts whose views of each other differ for a while after each change.
+// views simulates hosts whose views of each other differ for a while after each change.
 type views struct {
 	r     *rand.Rand
 	at    time.Duration
@@ -75,7 +75,7 @@
 	return out[:min(maxSharers, len(out))]
 }
 
-// spreadChange lets each host hear of the hosts that there are now, each at its own moment.
+// spreadChange sends the present list of hosts to each host, with a random delay.
 func (v *views) spreadChange() {
 	for _, h := range v.hosts {
 		h.pending, h.viewAt = v.live(), v.at+time.Duration(v.r.Int64N(int64(maxViewDelay)))
@@ -94,8 +94,8 @@
 	v.at += tick
 }
 
-// A cold server gets its rate, and what is allowed besides, while hosts join, leave, start
-// again, and hear of it one after another.
+// A cold server gets no more than its rate and the allowed excess while hosts join, leave or
+// restart and other hosts learn of it at different times.
 func TestDifferingViews(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -114,7 +114,7 @@
 				h.down = true
 			}
 		}},
-		{"all start again", func(v *views) {
+		{"all of them restart", func(v *views) {
 			for _, h := range v.hosts {
 				h.shares = New(v.now)
 			}
--- a/meanrate/rate_test.go
+++ b/meanrate/rate_test.go
@@ -18,7 +18,7 @@
 	// 18 a second, one span later
 }
 
-// What is asked evenly has that mean; nothing asked has none, however long ago.
+// A constant rate has that average; without any units it is zero.
 func TestRate(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -28,7 +28,7 @@
 		most  float64
 	}{
 		{"often", 10 * time.Millisecond, 30, 2985, 3030},
-		{"now and then", 500 * time.Millisecond, 100, 150, 260},
+		{"at long intervals", 500 * time.Millisecond, 100, 150, 260},
 		{"nothing", 100 * time.Millisecond, 0, 0, 0},
 	}
 	for _, tt := range tests {
@@ -42,7 +42,7 @@
 			t.Errorf("%s: %.0f a second, want %.0f to %.0f", tt.name, got, tt.least, tt.most)
 		}
 		if last, earlier := r.Last(), r.At(now.Add(-time.Second)); math.Abs(last-earlier) > 0 {
-			t.Errorf("%s: a moment that is over changed the mean, %.0f to %.0f", tt.name, last, earlier)
+			t.Errorf("%s: an earlier time changed the average, %.0f to %.0f", tt.name, last, earlier)
 		}
 	}
 }
--- a/permitclient/client_test.go
+++ b/permitclient/client_test.go
@@ -11,7 +11,7 @@
 	"wheelgauge/serverlimit"
 )
 
-var errUnreachable = errors.New("dark")
+var errUnreachable = errors.New("unreachable")
 
 func TestTake(t *testing.T) {
 	const server = "s"
@@ -23,12 +23,12 @@
 		name    string
 		limited bool
 		stores  []wheelgauge.RegionStore
-		// answers by store; the others do not answer.
-		answers map[string]wheelgauge.PermitAnswer
-		after   time.Duration
-		ok      bool
-		asked   int
-		instead int
+		// answers by store; other stores do not answer.
+		answers   map[string]wheelgauge.PermitAnswer
+		after     time.Duration
+		ok        bool
+		calls     int
+		fallbacks int
 	}{
 		{"no limit", false, all, nil, 0, true, 0, 0},
 		{"granted", true, all, map[string]wheelgauge.PermitAnswer{"a": granted, "b": granted}, 0, true, 1, 0},
@@ -46,15 +46,15 @@
 				limits.Named(server, 2)
 			}
 			k.Pass(time.Second)
-			asked, instead := 0, 0
+			calls, fallbacks := 0, 0
 			c := New(Options{
 				Host: "h", Limits: limits, Now: k.Now,
 				Stores:  func() []wheelgauge.RegionStore { return append([]wheelgauge.RegionStore(nil), tt.stores...) },
 				Sharers: func() []string { return []string{"h"} },
-				Ask: func(_ context.Context, address string, ask wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error) {
-					asked++
-					if ask.Instead {
-						instead++
+				Ask: func(_ context.Context, address string, req wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error) {
+					calls++
+					if req.Instead {
+						fallbacks++
 					}
 					if a, ok := tt.answers[address]; ok {
 						return a, nil
@@ -63,18 +63,19 @@
 				},
 			})
 			after, ok := c.Take(context.Background(), server, 0)
-			if after != tt.after || ok != tt.ok || asked != tt.asked || instead != tt.instead {
-				t.Errorf("after %v, %v; asked %d, %d instead; want %v, %v, %d, %d", after, ok, asked, instead, tt.after, tt.ok, tt.asked, tt.instead)
+			if after != tt.after || ok != tt.ok || calls != tt.calls || fallbacks != tt.fallbacks {
+				t.Errorf("after %v, granted %v, %d requests, %d fallbacks; want %v, %v, %d, %d", after, ok, calls, fallbacks, tt.after, tt.ok, tt.calls, tt.fallbacks)
 			}
 			if _, known := limits.Rate(server); known == (tt.name == "the limit has ended") && tt.limited {
-				t.Errorf("the limit is known: %v", known)
+				t.Errorf("limit is known: %v", known)
 			}
-			if !tt.ok || tt.asked > 0 && len(tt.answers) > 0 || !tt.limited {
+			if !tt.ok || tt.calls > 0 && len(tt.answers) > 0 || !tt.limited {
 				return
 			}
-			// Its share is used, and stores that were silent are not asked at each request.
-			if after, ok := c.Take(context.Background(), server, 0); ok || after != standaloneRetryAfter || asked != tt.asked {
-				t.Errorf("then after %v, %v, asked %d", after, ok, asked)
+			// The share is used up now, and stores that were silent are not tried for each
+			// request.
+			if after, ok := c.Take(context.Background(), server, 0); ok || after != standaloneRetryAfter || calls != tt.calls {
+				t.Errorf("second request: after %v, granted %v, %d requests in total", after, ok, calls)
 			}
 		})
 	}
--- a/permitclient/model_test.go
+++ b/permitclient/model_test.go
@@ -22,34 +22,35 @@
 )
 
 const (
-	tick      = 10 * time.Millisecond
+	tick              = 10 * time.Millisecond
 	heartbeatInterval = 150 * time.Millisecond
 	// responseTime is how long a server takes to answer.
 	responseTime = 60 * time.Millisecond
-	runTime    = 40 * time.Second
-	// limitFrom is when servers first name a limit, boundFrom how much later the bound
-	// holds.
-	limitFrom = 2 * time.Second
-	boundDelay  = 5 * time.Second
-	// lowerLimitDelay is how much later a lower limit binds: its first answer, and half a second.
-	lowerLimitDelay     = time.Second
-	maxWait   = 2500 * time.Millisecond
-	mostStores = 3
+	runTime      = 40 * time.Second
+	// limitFrom is when servers first announce a limit; the bound is checked from boundDelay
+	// later.
+	limitFrom  = 2 * time.Second
+	boundDelay = 5 * time.Second
+	// lowerLimitDelay is how much later a lower limit binds: its first answer, and half a
+	// second.
+	lowerLimitDelay = time.Second
+	maxWait         = 2500 * time.Millisecond
+	mostStores      = 3
 )
 
-// phase is a limit that a server names from a moment on; none below 0.
+// phase is a limit that a server announces from a given time on; negative for no limit.
 type phase struct {
 	from time.Duration
 	rate float64
 }
 
-// modelServer is a server in need.
+// modelServer is a server with limits.
 type modelServer struct {
 	name   string
 	phases []phase
-	// demand is what callers want of it, in requests a second.
-	demand float64
-	arrivals    []time.Duration
+	// demand is the rate of callers' requests for it, in requests a second.
+	demand   float64
+	arrivals []time.Duration
 }
 
 func (s *modelServer) rate(at time.Duration) float64 {
@@ -62,7 +63,7 @@
 	return rate
 }
 
-// maxRate is the highest limit within a span, and whether there was one throughout.
+// maxRate returns the highest limit within a span, and whether there was one throughout.
 func (s *modelServer) maxRate(from, to time.Duration) (rate float64, limited bool) {
 	for at := from; at <= to; at += tick {
 		r := s.rate(at)
@@ -79,7 +80,7 @@
 	boot    uint64
 	limits  *serverlimit.Table
 	issuer  *permitissuer.Issuer
-	// dark is until when it answers nobody; frozen stores keep what they know.
+	// unreachableUntil is until when it answers no host; frozen stores keep their state.
 	unreachableUntil time.Duration
 }
 
@@ -87,23 +88,23 @@
 	name   string
 	limits *serverlimit.Table
 	client *Client
-	// down is until when the host is not there.
+	// downUntil is until when the host is down.
 	downUntil time.Duration
-	// cut are the stores that it does not reach.
+	// cutUntil is until when the host does not reach each store.
 	cutUntil [mostStores]time.Duration
 	// ready is set once a store has answered: a host serves nothing before.
 	ready bool
-	// heard and since are what the stores were told and told last.
+	// sentUpTo and receivedUpTo are the last changes exchanged with each store process.
 	sentUpTo, receivedUpTo map[uint64]uint64
 }
 
-// event is something that happens later.
+// event is an action at a later time.
 type event struct {
 	at time.Duration
 	do func()
 }
 
-// model plays hosts, stores and servers in need over time that a loop moves.
+// model simulates hosts, stores and servers with limits over virtual time.
 type model struct {
 	t       *testing.T
 	r       *rand.Rand
@@ -146,13 +147,13 @@
 		Host: h.name, Limits: h.limits, Now: m.now,
 		Stores:  func() []wheelgauge.RegionStore { return m.storesOf(h) },
 		Sharers: m.hostNames,
-		Ask: func(_ context.Context, address string, ask wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error) {
-			return m.ask(h, address, ask)
+		Ask: func(_ context.Context, address string, req wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error) {
+			return m.ask(h, address, req)
 		},
 	})
 }
 
-// storesOf is what a host knows of the stores: one that is dark is noticed half a second late.
+// storesOf returns a host's view of the stores.
 func (m *model) storesOf(h *modelHost) []wheelgauge.RegionStore {
 	var out []wheelgauge.RegionStore
 	for i, s := range m.stores {
@@ -175,8 +176,8 @@
 	return m.at >= m.stores[store].unreachableUntil && m.at >= h.cutUntil[store]
 }
 
-// ask answers as a store does.
-func (m *model) ask(h *modelHost, address string, ask wheelgauge.PermitAsk) (a wheelgauge.PermitAnswer, err error) {
+// ask answers a permit request as a store does.
+func (m *model) ask(h *modelHost, address string, req wheelgauge.PermitAsk) (a wheelgauge.PermitAnswer, err error) {
 	for i, s := range m.stores {
 		if s.address != address {
 			continue
@@ -184,12 +185,13 @@
 		if !m.reaches(h, i) {
 			return a, errUnreachable
 		}
-		return s.issuer.Answer(ask), nil
+		return s.issuer.Answer(req), nil
 	}
 	return a, nil
 }
 
-// heartbeat tells stores what the host heard, and takes what the first of them knows.
+// heartbeat sends the limits observed by the host to stores, and merges the answer of the
+// first.
 func (m *model) heartbeat(h *modelHost) {
 	first := true
 	for i, s := range m.stores {
@@ -197,12 +199,12 @@
 			continue
 		}
 		key := uint64(i)<<32 | s.boot
-		news, last := h.limits.Heard(h.sentUpTo[key])
-		s.limits.Merge(news)
+		limits, last := h.limits.Heard(h.sentUpTo[key])
+		s.limits.Merge(limits)
 		h.sentUpTo[key] = last
 		if first {
-			news, h.receivedUpTo[key] = s.limits.Since(h.receivedUpTo[key])
-			h.limits.Merge(news)
+			limits, h.receivedUpTo[key] = s.limits.Since(h.receivedUpTo[key])
+			h.limits.Merge(limits)
 		}
 		first = false
 		h.ready = true
@@ -213,7 +215,7 @@
 	m.events = append(m.events, event{m.at + after, do})
 }
 
-// request is one of a caller for a server, at any host.
+// request is a caller's request for a server at a random host.
 func (m *model) request(s *modelServer) {
 	m.requestAt(s, m.r.IntN(len(m.hosts)), maxWait)
 }
@@ -228,13 +230,13 @@
 		return
 	}
 	client := h.client
-	was, _ := h.limits.Rate(s.name)
+	before, _ := h.limits.Rate(s.name)
 	m.schedule(after, func() {
 		rate, _ := h.limits.Rate(s.name)
 		switch {
-		case h.client != client || m.at < h.downUntil: // the host is gone
-		case rate != was && after > 0:
-			m.requestAt(s, n, left-after) // what was given ahead is not good any more
+		case h.client != client || m.at < h.downUntil: // the host's process has ended
+		case rate != before && after > 0:
+			m.requestAt(s, n, left-after) // permits granted ahead are void after a change
 		default:
 			m.send(s, n)
 		}
@@ -277,7 +279,7 @@
 			}
 		}
 		for i, h := range m.hosts {
-			// Hosts beat one after another.
+			// Heartbeats of hosts are spread over the interval.
 			if m.at >= h.downUntil && (m.at/tick+time.Duration(i))%(heartbeatInterval/tick) == 0 {
 				m.heartbeat(h)
 			}
@@ -294,8 +296,8 @@
 	}
 }
 
-// worstWindow is the largest part of what is allowed that a server got in a window. What hosts
-// send that were not told yet, or were disturbed, counts like all else.
+// worstWindow is the largest fraction of the bound that a server got in a window. Requests of
+// hosts that have not received a limit yet, or are affected by faults, count too.
 func (m *model) worstWindow(s *modelServer) float64 {
 	var got []time.Time
 	for _, at := range s.arrivalsSince(limitFrom + boundDelay) {
@@ -311,7 +313,8 @@
 	return most
 }
 
-// usedFraction is the part of what a server offered that it got, from the bound on.
+// usedFraction is the fraction of the permitted requests that a server got once the bound
+// holds.
 func (m *model) usedFraction(s *modelServer) float64 {
 	offered, got := 0.0, 0
 	for at := limitFrom + boundDelay; at < runTime; at += tick {
@@ -327,7 +330,7 @@
 	return float64(got) / offered
 }
 
-// arrivalsSince is what the server got from a moment on.
+// arrivalsSince returns the requests that the server got from a given time on.
 func (s *modelServer) arrivalsSince(from time.Duration) []time.Duration {
 	for i, at := range s.arrivals {
 		if at >= from {
@@ -337,19 +340,19 @@
 	return nil
 }
 
-// check holds what servers got against the bound, and what was used against a least part.
+// check compares what servers got with the bound, and the used fraction with a minimum.
 func (m *model) check(name string, least float64) {
 	m.t.Helper()
 	for _, s := range m.servers {
 		worst, used := m.worstWindow(s), m.usedFraction(s)
 		if *figures {
-			m.t.Logf("%s: %s: %.2f of what is allowed in the worst window, %.2f of what it offered was used", name, s.name, worst, used)
+			m.t.Logf("%s: %s: %.2f of the bound in the worst window, %.2f of the limit was used", name, s.name, worst, used)
 		}
 		if worst > 1 {
-			m.t.Errorf("%s: %s got %.2f of what is allowed in some window", name, s.name, worst)
+			m.t.Errorf("%s: %s got %.2f of the bound in the worst window, want at most 1", name, s.name, worst)
 		}
 		if used < least {
-			m.t.Errorf("%s: %s got %.2f of what it offered, want %.2f", name, s.name, used, least)
+			m.t.Errorf("%s: %s got %.2f of its limit, want at least %.2f", name, s.name, used, least)
 		}
 	}
 }
--- a/permitclient/schedule_test.go
+++ b/permitclient/schedule_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// overloadedServers returns servers that name limits throughout, and are wanted three times as much.
+// overloadedServers returns servers that always announce limits, with three times as much
+// demand.
 func overloadedServers(rates ...float64) []*modelServer {
 	var out []*modelServer
 	for i, rate := range rates {
@@ -15,8 +16,8 @@
 	return out
 }
 
-// In calm a server in need gets what it takes and no more, whatever the number of hosts
-// and stores.
+// Without faults a limited server gets its limit and no more, whatever the number of hosts and
+// stores.
 func TestCalm(t *testing.T) {
 	t.Parallel()
 	for _, hosts := range []int{2, 6, 30, 300} {
@@ -39,12 +40,12 @@
 		m.run()
 		m.check(fmt.Sprint(hosts, " hosts"), 0.8)
 		if free := len(s.arrivalsSince(28*time.Second)) - len(s.arrivalsSince(30*time.Second)); free < 100 {
-			t.Errorf("%d hosts: %d of some 120 requests got through after the limit had ended", hosts, free)
+			t.Errorf("%d hosts: %d of about 120 requests passed after the limit had ended, want at least 100", hosts, free)
 		}
 	}
 }
 
-// fault is one kind of trouble.
+// fault is a kind of fault.
 type fault struct {
 	name string
 	play func(m *model)
@@ -109,7 +110,7 @@
 	}
 }
 
-// Each fault alone.
+// Each fault by itself.
 func TestEachFault(t *testing.T) {
 	t.Parallel()
 	for _, f := range faults() {
@@ -124,7 +125,7 @@
 	}
 }
 
-// Faults that overlap, by seed.
+// Overlapping faults, by seed.
 func TestSchedules(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(*seeds) {
@@ -141,9 +142,9 @@
 	}
 }
 
-// The ways that were weighed against permits: each breaks the bound, so the check can
-// fail. A limit that each host keeps for itself is broken from two hosts on, even parts
-// by what is saved up in them, and with a limit below one a second.
+// Alternatives to permits. Each breaks the bound, so the check can fail: a limit applied by
+// each host on its own from two hosts on, equal shares by the bursts saved up in them, and
+// with a limit below one a second.
 func TestAlternatives(t *testing.T) {
 	t.Parallel()
 	type key struct{ host, server string }
@@ -174,11 +175,11 @@
 		hosts int
 		take  func(m *model) func(h *modelHost, s *modelServer) bool
 	}{
-		{"nobody reads the limit", 6, func(*model) func(*modelHost, *modelServer) bool {
+		{"the limit is ignored", 6, func(*model) func(*modelHost, *modelServer) bool {
 			return func(*modelHost, *modelServer) bool { return true }
 		}},
-		{"each host for itself", 6, perHost(func(*model) float64 { return 1 })},
-		{"even parts", 300, perHost(func(m *model) float64 { return 1 / float64(len(m.hosts)) })},
+		{"each host on its own", 6, perHost(func(*model) float64 { return 1 })},
+		{"equal shares", 300, perHost(func(m *model) float64 { return 1 / float64(len(m.hosts)) })},
 	}
 	for _, tt := range tests {
 		m := newModel(t, 1, tt.hosts, 2, overloadedServers(0.4, 2.1)...)
@@ -189,10 +190,10 @@
 			over = max(over, m.worstWindow(s))
 		}
 		if *figures {
-			t.Logf("%s: %.2f of what is allowed", tt.name, over)
+			t.Logf("%s: %.2f of the bound in the worst window", tt.name, over)
 		}
 		if over <= 1 {
-			t.Errorf("%s: %.2f of what is allowed: it is better than it was taken for", tt.name, over)
+			t.Errorf("%s: %.2f of the bound in the worst window, want more than 1", tt.name, over)
 		}
 	}
 }
--- a/permitissuer/issuer.go
+++ b/permitissuer/issuer.go
@@ -1,5 +1,5 @@
-// Package permitissuer gives the permits to send requests to backend servers that have
-// named a limit: as many a second as the server takes from all hosts together.
+// Package permitissuer issues permits to send requests to backend servers that have announced
+// a limit: as many a second as the server accepts from all hosts together.
 package permitissuer
 
 import (
@@ -11,42 +11,42 @@
 )
 
 const (
-	// minRate is what a server gets that wants less, in requests a second: without any
-	// request nobody would hear that its limit has ended.
+	// minRate is the least rate of permits for a server, in requests a second: without any
+	// request no host would learn that its limit has ended.
 	minRate = 0.1
-	// maxSavedPermits is how many permits are kept that nobody asked for, besides the one that is due.
+	// maxSavedPermits is how many unused permits are saved, besides the one that is due.
 	maxSavedPermits = 2
-	// fallbackFraction of the limit is given in place of the store that usually gives it, and
-	// nothing is saved: some hosts may still reach that one, and both together stay below
-	// one and a half times the limit.
+	// fallbackFraction of the limit is granted in place of the store that usually issues the
+	// server's permits, and nothing is saved. Some hosts may still reach that store, and both
+	// together stay below one and a half times the limit.
 	fallbackFraction = 0.4
-	// maxRetrySpread is how much later than the next permit a host is told to come back.
+	// maxRetrySpread bounds how much later than the next permit a host is told to retry.
 	maxRetrySpread = time.Second
-	// minRetryAfter is the soonest that a host is told to come back.
+	// minRetryAfter is the shortest retry delay.
 	minRetryAfter = 20 * time.Millisecond
-	// idleTTL is how long a server is kept that nobody asks for.
+	// idleTTL is how long a server is kept without permit requests.
 	idleTTL = 5 * time.Minute
 )
 
-// key tells what is given as the server's own store from what is given in place of it.
+// key separates permits issued as the server's own store from those issued as a fallback.
 type key struct {
-	server  string
+	server   string
 	fallback bool
 }
 
-// schedule is that of one server's permits.
+// schedule schedules the permits of one server.
 type schedule struct {
-	// gap is the time between two permits.
-	interval     time.Duration
+	// interval is the time between two permits.
+	interval time.Duration
 	fallback bool
 	// next is when the next permit is due if none was saved.
 	next time.Time
-	// turn is when the last host that was refused comes back.
-	lastRetry  time.Time
+	// lastRetry is when the last refused host was told to retry.
+	lastRetry   time.Time
 	lastRequest time.Time
 }
 
-// Issuer is safe for concurrent use.
+// Issuer issues permits. It is safe for concurrent use.
 type Issuer struct {
 	limits    *serverlimit.Table
 	mu        sync.Mutex
@@ -54,39 +54,39 @@
 	now       func() time.Time
 }
 
-// New returns an issuer that goes by limits and reads time from now. It has nothing saved
-// for any server: what was given before its start is not known.
+// New returns an issuer that applies limits and reads time from now. It has no permits saved
+// for any server: those granted before its start are not known.
 func New(limits *serverlimit.Table, now func() time.Time) *Issuer {
 	return &Issuer{limits: limits, schedules: map[key]*schedule{}, now: now}
 }
 
-// Answer answers a host that asks, and takes what the host knows of the limit.
-func (i *Issuer) Answer(ask wheelgauge.PermitAsk) wheelgauge.PermitAnswer {
-	server := ask.Limit.Server
-	i.limits.Merge([]wheelgauge.ServerLimit{ask.Limit})
+// Answer answers a permit request, and merges the limit that the host knows.
+func (i *Issuer) Answer(req wheelgauge.PermitAsk) wheelgauge.PermitAnswer {
+	server := req.Limit.Server
+	i.limits.Merge([]wheelgauge.ServerLimit{req.Limit})
 	a := wheelgauge.PermitAnswer{Limit: i.limits.Get(server)}
 	rate, limited := i.limits.Rate(server)
 	if !limited {
-		a.Granted = true // a later answer of the server, to another host, lacked the limit
+		a.Granted = true // the server sent a later answer without the limit to another host
 		return a
 	}
-	after, ok := i.Take(server, rate, time.Duration(ask.PatienceMS)*time.Millisecond, ask.Instead)
+	after, ok := i.Take(server, rate, time.Duration(req.PatienceMS)*time.Millisecond, req.Instead)
 	a.Granted, a.AfterMS = ok, after.Milliseconds()
 	return a
 }
 
-// Take takes a permit for a request to a server whose limit is rate, in requests a second.
-// The request may be sent after a time that is no longer than its patience. If there is no
-// permit, after says when to ask again.
-func (i *Issuer) Take(server string, rate float64, patience time.Duration, instead bool) (after time.Duration, ok bool) {
+// Take takes a permit for a request to a server whose limit is rate, in requests a second. The
+// request may be sent after the returned delay, which is at most maxWait. Without a permit,
+// after is when to retry.
+func (i *Issuer) Take(server string, rate float64, maxWait time.Duration, fallback bool) (after time.Duration, ok bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := i.now()
-	s := i.schedule(key{server, instead}, intervalOf(rate, instead), now)
+	s := i.schedule(key{server, fallback}, intervalOf(rate, fallback), now)
 	s.lastRequest = now
 	due := s.next.Add(-s.burstTolerance())
 	wait := max(0, due.Sub(now))
-	if wait > min(patience, wheelgauge.MostPermitWait) {
+	if wait > min(maxWait, wheelgauge.MostPermitWait) {
 		return s.retryAfter(due, now), false
 	}
 	if s.next.Before(now) {
@@ -96,37 +96,38 @@
 	return wait, true
 }
 
-func intervalOf(rate float64, instead bool) time.Duration {
+func intervalOf(rate float64, fallback bool) time.Duration {
 	rate = max(rate, minRate)
-	if instead {
+	if fallback {
 		rate *= fallbackFraction
 	}
 	return max(1, time.Duration(float64(time.Second)/rate))
 }
 
-// schedule returns a server's, adapted to its limit of now; the lock is held.
-func (i *Issuer) schedule(k key, gap time.Duration, now time.Time) *schedule {
+// schedule returns a server's schedule, adapted to its present limit. The lock must be held.
+func (i *Issuer) schedule(k key, interval time.Duration, now time.Time) *schedule {
 	s := i.schedules[k]
 	if s == nil {
-		s = &schedule{interval: gap, fallback: k.fallback}
-		s.next = now.Add(gap + s.burstTolerance())
+		s = &schedule{interval: interval, fallback: k.fallback}
+		s.next = now.Add(interval + s.burstTolerance())
 		i.schedules[k] = s
 	}
-	if s.interval != gap {
-		s.setInterval(gap, now)
+	if s.interval != interval {
+		s.setInterval(interval, now)
 	}
 	return s
 }
 
-// setInterval adapts to another limit: what was saved is as many permits as before, and what was
-// given ahead is no longer good.
-func (s *schedule) setInterval(gap time.Duration, now time.Time) {
-	ahead := time.Duration(float64(s.next.Sub(now)) / float64(s.interval) * float64(gap))
-	s.interval, s.lastRetry = gap, time.Time{}
-	s.next = now.Add(min(ahead, s.burstTolerance()+gap))
+// setInterval adapts to another limit: the number of saved permits stays, and permits granted
+// ahead are void.
+func (s *schedule) setInterval(interval time.Duration, now time.Time) {
+	ahead := time.Duration(float64(s.next.Sub(now)) / float64(s.interval) * float64(interval))
+	s.interval, s.lastRetry = interval, time.Time{}
+	s.next = now.Add(min(ahead, s.burstTolerance()+interval))
 }
 
-// burstTolerance is how long before its time a permit is given when earlier ones were saved.
+// burstTolerance is how long before its due time a permit is granted if earlier ones were
+// saved.
 func (s *schedule) burstTolerance() time.Duration {
 	if s.fallback {
 		return 0
@@ -134,8 +135,8 @@
 	return maxSavedPermits * s.interval
 }
 
-// retryAfter gives hosts that are refused turns one after another: told the same moment, all
-// of them would ask for the one permit.
+// retryAfter spreads refused hosts over time: told to retry at the same moment, all of them
+// would compete for one permit.
 func (s *schedule) retryAfter(due, now time.Time) time.Duration {
 	if s.lastRetry.Before(due) {
 		s.lastRetry = due
@@ -148,7 +149,7 @@
 	return max(minRetryAfter, s.lastRetry.Sub(now))
 }
 
-// Prune forgets servers that nobody asks for.
+// Prune drops servers without recent permit requests.
 func (i *Issuer) Prune() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/permitissuer/issuer_test.go
+++ b/permitissuer/issuer_test.go
@@ -13,7 +13,7 @@
 func ExampleIssuer() {
 	c := manualclock.New()
 	i := New(serverlimit.New(c.Now), c.Now)
-	for range 5 { // as five hosts would
+	for range 5 { // as from five hosts
 		after, ok := i.Take("server", 2, 0, false)
 		fmt.Println(after, ok)
 		c.Pass(200 * time.Millisecond)
@@ -26,44 +26,44 @@
 	// 1.2s false
 }
 
-// Whoever asks, however often, a server gets its limit, what was saved, and no more.
+// A server gets its limit and saved permits and no more, however often permits are requested.
 func TestGrantedRate(t *testing.T) {
 	const span = 40 * time.Second
 	tests := []struct {
-		name    string
-		rate    float64
-		instead bool
-		every   time.Duration
-		least   int
-		most    int
+		name     string
+		rate     float64
+		fallback bool
+		every    time.Duration
+		least    int
+		most     int
 	}{
-		{"asked all the time", 2, false, time.Millisecond, 79, 83},
-		{"asked now and then", 2, false, 700 * time.Millisecond, 56, 58},
-		{"asked about as often as it takes", 2, false, 500 * time.Millisecond, 79, 80},
-		{"below one a second", 0.25, false, 10 * time.Millisecond, 9, 13},
+		{"requested all the time", 2, false, time.Millisecond, 79, 83},
+		{"requested at times", 2, false, 700 * time.Millisecond, 56, 58},
+		{"requested at the limit", 2, false, 500 * time.Millisecond, 79, 80},
+		{"a limit below one a second", 0.25, false, 10 * time.Millisecond, 9, 13},
 		{"much", 50, false, time.Millisecond, 1990, 2003},
-		{"in place of another store", 2, true, time.Millisecond, 31, 33},
-		{"nothing: it is asked now and then whether it still is", 0, false, 10 * time.Millisecond, 3, 5},
+		{"as a fallback", 2, true, time.Millisecond, 31, 33},
+		{"a limit of zero is probed at the minimum rate", 0, false, 10 * time.Millisecond, 3, 5},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := manualclock.New()
 			i := New(serverlimit.New(c.Now), c.Now)
-			given := 0
+			granted := 0
 			for passed := time.Duration(0); passed < span; passed += tt.every {
-				if _, ok := i.Take("s", tt.rate, 0, tt.instead); ok {
-					given++
+				if _, ok := i.Take("s", tt.rate, 0, tt.fallback); ok {
+					granted++
 				}
 				c.Pass(tt.every)
 			}
-			if given < tt.least || given > tt.most {
-				t.Errorf("%d were given in %v, want %d to %d", given, span, tt.least, tt.most)
+			if granted < tt.least || granted > tt.most {
+				t.Errorf("%d permits granted in %v, want %d to %d", granted, span, tt.least, tt.most)
 			}
 		})
 	}
 }
 
-// Requests that can wait get the permits to come, one each, and no later ones.
+// Requests that can wait get future permits, one each, and none beyond their wait.
 func TestWaitingRequests(t *testing.T) {
 	c := manualclock.New()
 	i := New(serverlimit.New(c.Now), c.Now)
@@ -83,31 +83,31 @@
 	}
 }
 
-// A limit that changes holds from then on: nothing that was given ahead at the larger one
-// is given again, and nothing is owed at the pace of the smaller one.
+// A change of limit applies at once: permits granted ahead at a higher limit are not granted
+// again, and a lower limit leaves no debt behind.
 func TestLimitChanges(t *testing.T) {
 	c := manualclock.New()
 	i := New(serverlimit.New(c.Now), c.Now)
 	count := func(rate float64, span time.Duration) int {
-		given := 0
+		granted := 0
 		for passed := time.Duration(0); passed < span; passed += 10 * time.Millisecond {
 			if _, ok := i.Take("s", rate, 0, false); ok {
-				given++
+				granted++
 			}
 			c.Pass(10 * time.Millisecond)
 		}
-		return given
+		return granted
 	}
 	count(20, 10*time.Second)
-	if given := count(0.5, 10*time.Second); given < 4 || given > 6 {
-		t.Errorf("%d were given in 10 s at 0.5 a second", given)
+	if granted := count(0.5, 10*time.Second); granted < 4 || granted > 6 {
+		t.Errorf("%d permits granted in 10 s at 0.5 a second, want 4 to 6", granted)
 	}
-	if given := count(20, 10*time.Second); given < 195 || given > 203 {
-		t.Errorf("%d were given in 10 s at 20 a second", given)
+	if granted := count(20, 10*time.Second); granted < 195 || granted > 203 {
+		t.Errorf("%d permits granted in 10 s at 20 a second, want 195 to 203", granted)
 	}
 }
 
-// Hosts that are refused together come back one after another.
+// Hosts that are refused together are told to retry one after another.
 func TestRetryTimes(t *testing.T) {
 	c := manualclock.New()
 	i := New(serverlimit.New(c.Now), c.Now)
@@ -118,27 +118,27 @@
 		seen[after]++
 	}
 	if len(seen) != 8 {
-		t.Errorf("8 hosts come back at %d moments: %v", len(seen), seen)
+		t.Errorf("8 hosts retry at %d different times: %v", len(seen), seen)
 	}
 	c.Pass(2 * idleTTL)
 	i.Prune()
 	if len(i.schedules) != 0 {
-		t.Error("a server that nobody asks for is kept")
+		t.Error("a server without permit requests is kept")
 	}
 }
 
-// One asking at a store that knows of 600 servers with limits takes 0.3 us: the call
-// that carries it is all.
+// A permit request at a store that knows of 600 limited servers takes 0.3 us: the cost is that
+// of the call that carries it.
 func BenchmarkAnswer(b *testing.B) {
 	c := manualclock.New()
 	limits := serverlimit.New(c.Now)
 	i := New(limits, c.Now)
-	var asks []wheelgauge.PermitAsk
+	var reqs []wheelgauge.PermitAsk
 	for n := range 600 {
-		asks = append(asks, wheelgauge.PermitAsk{Limit: wheelgauge.ServerLimit{Server: fmt.Sprint("server-", n), Rate: 3}})
+		reqs = append(reqs, wheelgauge.PermitAsk{Limit: wheelgauge.ServerLimit{Server: fmt.Sprint("server-", n), Rate: 3}})
 	}
 	for n := 0; b.Loop(); n++ {
 		c.Pass(time.Millisecond)
-		i.Answer(asks[n%len(asks)])
+		i.Answer(reqs[n%len(reqs)])
 	}
 }
--- a/pushback/state.go
+++ b/pushback/state.go
@@ -1,6 +1,7 @@
-// Package pushback holds what a backend server asks of a host by its answers: no requests
-// for a while after a 503 with Retry-After, none at all once it leaves. It binds the host
-// that was asked, and decides nothing but whether a request may go there.
+// Package pushback tracks what a backend server requests from a host in its answers: no
+// requests for a while after a 503 with Retry-After, and none at all once it is leaving. It
+// applies to the host that got the answer, and decides only whether a request may go to the
+// server.
 package pushback
 
 import (
@@ -14,24 +15,24 @@
 const (
 	// maxBackoff bounds one backoff.
 	maxBackoff = time.Hour
-	// leavingTTL is how long a server that said that it leaves must have been listed as one
-	// that does not before it is taken for a new start under the old name, and for how long
-	// what is over is remembered of one that is not listed.
+	// leavingTTL is how long after its last announcement a leaving server must be listed as
+	// not leaving before it is taken for a new instance under the old name. The state of a
+	// server that is not listed is kept as long after it has ended.
 	leavingTTL = time.Minute
-	// leavingValue is what a leaving server says.
+	// leavingValue is the header value of a leaving server.
 	leavingValue = "1"
 )
 
-// State is what one start of a server asks of this host. The zero value asks nothing.
+// State is the pushback of one server instance. The zero value holds none.
 type State struct {
-	// until is when the last backoff ends.
+	// backoffEnd is when the latest backoff ends.
 	backoffEnd time.Time
-	// left is when the server last said that it leaves; zero if it has not.
+	// leavingAt is when the server last announced that it is leaving; zero if it has not.
 	leavingAt time.Time
 }
 
-// BackOff takes that the server wants nothing for a time from now on. It tells whether that
-// is longer than what it asked before.
+// BackOff records that the server accepts no requests for a time from now on, and reports
+// whether that extends its current backoff.
 func (s *State) BackOff(now time.Time, wait time.Duration) bool {
 	until := now.Add(min(wait, maxBackoff))
 	if !until.After(s.backoffEnd) {
@@ -41,52 +42,52 @@
 	return true
 }
 
-// Leave takes that the server leaves, and tells whether that is new.
+// Leave records that the server is leaving, and reports whether that is new.
 func (s *State) Leave(now time.Time) bool {
-	known := !s.leavingAt.IsZero()
+	leaving := !s.leavingAt.IsZero()
 	s.leavingAt = now
-	return !known
+	return !leaving
 }
 
-// Listed takes that the server was listed at a moment as one that does not leave.
+// Listed records that the server was listed as not leaving at the given time.
 func (s *State) Listed(at time.Time) {
 	if !s.leavingAt.IsZero() && at.Sub(s.leavingAt) > leavingTTL {
 		s.leavingAt = time.Time{}
 	}
 }
 
-// Returned takes that the server came back at a moment: what it said before is over.
+// Returned records that the server came back at the given time, which ends an earlier
+// announcement that it is leaving.
 func (s *State) Returned(at time.Time) {
 	if at.After(s.leavingAt) {
 		s.leavingAt = time.Time{}
 	}
 }
 
-// Allows tells whether a request may go to the server.
+// Allows reports whether a request may go to the server.
 func (s State) Allows(now time.Time) bool { return !s.Leaving() && !s.BackingOff(now) }
 
-// BackingOff tells whether the server wants nothing now.
+// BackingOff reports whether the server accepts no requests now.
 func (s State) BackingOff(now time.Time) bool { return now.Before(s.backoffEnd) }
 
-// Leaving tells whether the server leaves.
+// Leaving reports whether the server is leaving.
 func (s State) Leaving() bool { return !s.leavingAt.IsZero() }
 
-// Left returns how much of the backoff is left; 0 when it is over.
+// Left returns the remaining time of the backoff; 0 when it is over.
 func (s State) Left(now time.Time) time.Duration { return max(0, s.backoffEnd.Sub(now)) }
 
-// BackedOff tells whether the server has ever asked for a backoff.
+// BackedOff reports whether the server has ever requested a backoff.
 func (s State) BackedOff() bool { return !s.backoffEnd.IsZero() }
 
-// Over tells whether nothing that was asked matters any more.
+// Over reports whether the state no longer matters and can be dropped.
 func (s State) Over(now time.Time) bool {
 	return now.Sub(s.backoffEnd) > leavingTTL && now.Sub(s.leavingAt) > leavingTTL
 }
 
-// Values are those of a header, in the order of the answer.
+// Values are the values of a header, in the order of the answer.
 type Values [][]byte
 
-// ParseLeaving reads what a server says of its leaving; ok is false if it says something
-// else.
+// ParseLeaving parses the header of a leaving server; ok is false for any other value.
 func ParseLeaving(values Values) (leaving, ok bool) {
 	ok = true
 	for _, v := range values {
@@ -99,12 +100,12 @@
 	return leaving, ok || leaving
 }
 
-// ParseRetryAfter reads the backoff that an answer asks for, from its Retry-After and Date headers:
-// seconds, also fractions, or an HTTP date, which is held against the answer's own, as
-// clocks differ. Of several values the longest counts; ok is false if none can be read.
+// ParseRetryAfter parses the backoff in the Retry-After and Date headers of an answer:
+// seconds, also with a fraction, or an HTTP date, which is compared with the Date header
+// because clocks differ. The longest of several values counts; ok is false if none is valid.
 func ParseRetryAfter(values, dates Values) (wait time.Duration, ok bool) {
 	for _, v := range values {
-		if one, good := parseRetryAfter(strings.TrimSpace(string(v)), dates); good {
+		if one, valid := parseRetryAfter(strings.TrimSpace(string(v)), dates); valid {
 			wait, ok = max(wait, one), true
 		}
 	}
@@ -126,7 +127,7 @@
 	return bounded(until.Sub(from).Seconds()), true
 }
 
-// ParseSeconds reads digits, perhaps with a fraction, as seconds; longestBackoff at most.
+// ParseSeconds parses digits with an optional fraction as seconds, bounded by maxBackoff.
 func ParseSeconds(text string) (time.Duration, bool) {
 	if text == "" || strings.Trim(text, "0123456789.") != "" {
 		return 0, false
--- a/pushback/state_test.go
+++ b/pushback/state_test.go
@@ -28,24 +28,24 @@
 		{"a fraction", headerValues("0.25"), "", 250 * time.Millisecond, true},
 		{"a fraction without its zero", headerValues(".5"), "", 500 * time.Millisecond, true},
 		{"spaces", headerValues(" 2 "), "", 2 * time.Second, true},
-		{"nothing to wait", headerValues("0"), "", 0, true},
+		{"no wait", headerValues("0"), "", 0, true},
 		{"the longest of several", headerValues("1", "x", "4", "2"), "", 4 * time.Second, true},
 		{"a date", headerValues("Thu, 16 Apr 2026 09:28:20 GMT"), date, 7 * time.Second, true},
-		{"a date that is past", headerValues("Thu, 16 Apr 2026 09:28:02 GMT"), date, 0, true},
-		{"a date far away", headerValues("Thu, 16 Apr 2099 09:28:02 GMT"), date, maxBackoff, true},
-		{"a date of an answer without one", headerValues("Thu, 16 Apr 2026 09:28:20 GMT"), "", 0, false},
-		{"too long", headerValues("99999999999999999999999999"), "", maxBackoff, true},
-		{"longer than a number", headerValues("1" + strings.Repeat("9", 400)), "", maxBackoff, true},
+		{"a date in the past", headerValues("Thu, 16 Apr 2026 09:28:02 GMT"), date, 0, true},
+		{"a date in the far future", headerValues("Thu, 16 Apr 2099 09:28:02 GMT"), date, maxBackoff, true},
+		{"an answer without a Date header", headerValues("Thu, 16 Apr 2026 09:28:20 GMT"), "", 0, false},
+		{"above the maximum", headerValues("99999999999999999999999999"), "", maxBackoff, true},
+		{"out of the range of a number", headerValues("1" + strings.Repeat("9", 400)), "", maxBackoff, true},
 		{"negative", headerValues("-3"), "", 0, false},
 		{"a sign", headerValues("+3"), "", 0, false},
 		{"an exponent", headerValues("1e3"), "", 0, false},
 		{"hexadecimal", headerValues("0x10"), "", 0, false},
-		{"no number", headerValues("NaN"), "", 0, false},
+		{"not a number", headerValues("NaN"), "", 0, false},
 		{"infinite", headerValues("Inf"), "", 0, false},
 		{"words", headerValues("soon"), "", 0, false},
 		{"empty", headerValues(""), "", 0, false},
-		{"a point alone", headerValues("."), "", 0, false},
-		{"two points", headerValues("1.2.3"), "", 0, false},
+		{"only a decimal point", headerValues("."), "", 0, false},
+		{"two decimal points", headerValues("1.2.3"), "", 0, false},
 		{"a list in one value", headerValues("1, 2"), "", 0, false},
 	}
 	for _, tt := range tests {
@@ -92,35 +92,35 @@
 		allows bool
 		left   time.Duration
 	}{
-		{"nothing was asked", func(*State) {}, 0, true, 0},
-		{"in a backoff", func(s *State) { s.BackOff(at(0), 3*time.Second) }, 2.999, false, time.Millisecond},
-		{"at its end", func(s *State) { s.BackOff(at(0), 3*time.Second) }, 3, true, 0},
-		{"a shorter one later ends nothing", func(s *State) {
+		{"no pushback", func(*State) {}, 0, true, 0},
+		{"during a backoff", func(s *State) { s.BackOff(at(0), 3*time.Second) }, 2.999, false, time.Millisecond},
+		{"at the end of a backoff", func(s *State) { s.BackOff(at(0), 3*time.Second) }, 3, true, 0},
+		{"a later, shorter backoff is ignored", func(s *State) {
 			s.BackOff(at(0), 3*time.Second)
 			s.BackOff(at(1), time.Second)
 		}, 2.5, false, 500 * time.Millisecond},
-		{"a longer one goes on", func(s *State) {
+		{"a later, longer backoff extends it", func(s *State) {
 			s.BackOff(at(0), time.Second)
 			s.BackOff(at(0.5), 3*time.Second)
 		}, 3, false, 500 * time.Millisecond},
-		{"no backoff at all", func(s *State) { s.BackOff(at(0), 0) }, 0, true, 0},
-		{"longer than any", func(s *State) { s.BackOff(at(0), 1<<62) }, 3599, false, time.Second},
+		{"a backoff of zero", func(s *State) { s.BackOff(at(0), 0) }, 0, true, 0},
+		{"above the maximum", func(s *State) { s.BackOff(at(0), 1<<62) }, 3599, false, time.Second},
 		{"leaving", func(s *State) { s.Leave(at(0)) }, 1000, false, 0},
-		{"leaving, listed as before for a while", func(s *State) { s.Leave(at(0)); s.Listed(at(30)) }, 30, false, 0},
-		{"leaving, listed as before for long", func(s *State) { s.Leave(at(0)); s.Listed(at(61)) }, 61, true, 0},
-		{"leaving, said again since", func(s *State) { s.Leave(at(0)); s.Leave(at(50)); s.Listed(at(61)) }, 61, false, 0},
-		{"leaving, seen back before", func(s *State) { s.Leave(at(1)); s.Returned(at(0)) }, 2, false, 0},
-		{"leaving, seen back since", func(s *State) { s.Leave(at(1)); s.Returned(at(2)) }, 2, true, 0},
+		{"leaving, listed as not leaving for a short time", func(s *State) { s.Leave(at(0)); s.Listed(at(30)) }, 30, false, 0},
+		{"leaving, listed as not leaving for long", func(s *State) { s.Leave(at(0)); s.Listed(at(61)) }, 61, true, 0},
+		{"leaving, announced again since", func(s *State) { s.Leave(at(0)); s.Leave(at(50)); s.Listed(at(61)) }, 61, false, 0},
+		{"leaving, returned before", func(s *State) { s.Leave(at(1)); s.Returned(at(0)) }, 2, false, 0},
+		{"leaving, returned since", func(s *State) { s.Leave(at(1)); s.Returned(at(2)) }, 2, true, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var s State
 			tt.do(&s)
 			if got := s.Allows(at(tt.after)); got != tt.allows {
-				t.Errorf("a request may go there: %t", got)
+				t.Errorf("allows requests: %t, want the opposite", got)
 			}
 			if got := s.Left(at(tt.after)); got != tt.left {
-				t.Errorf("%v of the backoff are left, want %v", got, tt.left)
+				t.Errorf("%v of the backoff left, want %v", got, tt.left)
 			}
 		})
 	}
--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -1,6 +1,6 @@
-// Package retrybudget bounds repeats over all hosts: each host spends a part
-// of its own first sends and of a common allowance, so that the sum stays
-// within the bound without messages.
+// Package retrybudget bounds retries over all hosts without messages: each host may spend a
+// fraction of its own first sends and a share of a common allowance, so that the sum stays
+// within the bound.
 package retrybudget
 
 import (
@@ -9,60 +9,60 @@
 )
 
 const (
-	// ratioFraction of the ratio is spent: first sends of other hosts count in other
-	// windows than theirs.
+	// ratioFraction of the ratio is spent, as the first sends of other hosts fall into other
+	// windows.
 	ratioFraction = 0.7
 	// slackFraction of the common allowance is shared among the hosts.
 	slackFraction = 0.6
-	// shrinkDelay is how long a number of hosts holds that has become smaller: the
-	// others may be cut off, and spend their parts of the allowance. Regions lose
-	// each other for minutes.
+	// shrinkDelay is how long a larger number of hosts stays in effect after it falls. The
+	// missing hosts may be cut off and still spend their shares of the allowance; partitions
+	// between regions last minutes.
 	shrinkDelay = 5 * time.Minute
 )
 
 // Options of a Budget.
 type Options struct {
-	// Ratio is the repeats allowed for each first send.
+	// Ratio is the number of retries allowed for each first send.
 	Ratio float64
-	// Slack is the repeats allowed beyond that in a window, over all hosts.
+	// Slack is the number of retries allowed beyond that in a window, over all hosts.
 	Slack float64
-	// Window is the length of the window.
+	// Window is the length of the sliding window.
 	Window time.Duration
 }
 
-// Budget counts for each service. It is safe for concurrent use.
+// Budget keeps a window for each service. It is safe for concurrent use.
 type Budget struct {
 	options Options
 	mu      sync.Mutex
 	hosts   int
-	// before is the largest number of hosts until some time, from when on hosts holds.
-	previousHosts  int
-	shrinkAt   time.Time
-	windows map[string]*window
-	started   time.Time
-	now     func() time.Time
+	// previousHosts is the number of hosts that stays in effect until shrinkAt.
+	previousHosts int
+	shrinkAt      time.Time
+	windows       map[string]*window
+	started       time.Time
+	now           func() time.Time
 }
 
-// New returns a budget for one of several hosts.
+// New returns the budget of one host, which shares with no others until SetHosts.
 func New(o Options, now func() time.Time) *Budget {
 	return &Budget{options: o, hosts: 1, windows: map[string]*window{}, started: now(), now: now}
 }
 
-// SetHosts tells how many hosts share the allowance. Fewer than before count
-// only after a while.
+// SetHosts sets how many hosts share the allowance. A smaller number takes effect only after
+// shrinkDelay.
 func (b *Budget) SetHosts(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if was := b.sharing(); n < was {
-		b.previousHosts = was
-		if b.hosts == was {
+	if previous := b.sharing(); n < previous {
+		b.previousHosts = previous
+		if b.hosts == previous {
 			b.shrinkAt = b.now().Add(shrinkDelay)
 		}
 	}
 	b.hosts = max(1, n)
 }
 
-// sharing returns how many hosts share the allowance now; the lock is held.
+// sharing returns how many hosts share the allowance now. The lock must be held.
 func (b *Budget) sharing() int {
 	if b.now().Before(b.shrinkAt) {
 		return max(b.hosts, b.previousHosts)
@@ -78,29 +78,28 @@
 	w.at(at).firsts++
 }
 
-// Repeat takes one repeat; false means that there is none left. Whatever was sent
-// first in a window may be spent at once: when a server is lost, all that it ran
-// is repeated in the same moment.
+// Repeat takes one retry; false means that none is left. The whole budget of a window may be
+// spent at once: when a server fails, all requests that it ran are retried at the same time.
 func (b *Budget) Repeat(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, at := b.window(service)
-	firsts, repeats := w.sums(at)
+	firsts, retries := w.sums(at)
 	most := ratioFraction*b.options.Ratio*float64(firsts) + slackFraction*b.options.Slack/float64(b.sharing())
-	if float64(repeats+1) > most {
+	if float64(retries+1) > most {
 		return false
 	}
 	w.at(at).retries++
 	return true
 }
 
-// window returns a service's window and the present step; the lock is held.
+// window returns a service's window and the current slot. The lock must be held.
 func (b *Budget) window(service string) (*window, int64) {
 	w := b.windows[service]
 	if w == nil {
 		w = &window{}
 		b.windows[service] = w
 	}
-	// Steps begin at one: none of them is that of an empty count.
+	// Slots begin above zero, which is the slot of an unused count.
 	return w, slotAt(b.now().Sub(b.started), b.options.Window) + slots + 1
 }
--- a/retrybudget/budget_test.go
+++ b/retrybudget/budget_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// All hosts together stay within ratio and slack in every window, however the
-// first sends are spread over them.
+// All hosts together stay within ratio and slack in every window, however the first sends are
+// distributed over them.
 func TestSumOverHosts(t *testing.T) {
 	o := Options{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
 	tests := []struct {
@@ -27,7 +27,7 @@
 				budgets[i] = New(o, func() time.Time { return at })
 				budgets[i].SetHosts(tt.hosts)
 			}
-			repeats, firsts := 0, 0
+			retries, firsts := 0, 0
 			for range 100 { // one window
 				at = at.Add(100 * time.Millisecond)
 				for i, b := range budgets {
@@ -36,19 +36,19 @@
 						firsts++
 					}
 					for b.Repeat("s") {
-						repeats++
+						retries++
 					}
 				}
 			}
-			if most := o.Ratio*float64(firsts) + o.Slack; float64(repeats) > most {
-				t.Errorf("%d repeats for %d first sends, want %.0f at most", repeats, firsts, most)
+			if most := o.Ratio*float64(firsts) + o.Slack; float64(retries) > most {
+				t.Errorf("%d retries for %d first sends, want %.0f at most", retries, firsts, most)
 			}
 		})
 	}
 }
 
-// A host whose server is lost may repeat at once a part of all that it sent
-// lately, and gets it back within a window.
+// A host whose server fails may at once retry a fraction of all that it sent lately, and gets
+// the budget back within a window.
 func TestBurst(t *testing.T) {
 	o := Options{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
 	at := time.Unix(0, 0)
@@ -74,19 +74,19 @@
 		most  int
 	}{
 		{"at once", 0, 60, 100},
-		{"nothing is left", time.Second, 0, 0},
-		{"nor is there when the first sends are long ago", 9900 * time.Millisecond, 5, 5},
+		{"no budget is left", time.Second, 0, 0},
+		{"the slack is back, the first sends are out of the window", 9900 * time.Millisecond, 5, 5},
 	}
 	for _, s := range steps {
 		at = at.Add(s.after)
 		if got := spend(); got < s.least || got > s.most {
-			t.Errorf("%s: %d repeats, want %d to %d", s.name, got, s.least, s.most)
+			t.Errorf("%s: %d retries, want %d to %d", s.name, got, s.least, s.most)
 		}
 	}
 }
 
-// In every window that slides over bursts of first sends and of failures, all
-// hosts together stay within the bound.
+// In every sliding window over bursts of first sends and of failures, all hosts together stay
+// within the bound.
 func TestSlidingWindows(t *testing.T) {
 	o := Options{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
 	const hosts, ticks, inWindow = 6, 600, 100
@@ -98,27 +98,27 @@
 			budgets[i] = New(o, func() time.Time { return at })
 			budgets[i].SetHosts(hosts)
 		}
-		var firsts, repeats [ticks]int
-		load, trouble := 0, false
+		var firsts, retries [ticks]int
+		load, failing := 0, false
 		for i := range ticks {
 			at = at.Add(100 * time.Millisecond)
 			if i%20 == 0 {
-				load, trouble = rnd.IntN(30), rnd.IntN(3) == 0
+				load, failing = rnd.IntN(30), rnd.IntN(3) == 0
 			}
 			for range load {
 				budgets[rnd.IntN(hosts)].First("s")
 				firsts[i]++
 			}
 			for _, b := range budgets {
-				for trouble && b.Repeat("s") {
-					repeats[i]++
+				for failing && b.Repeat("s") {
+					retries[i]++
 				}
 			}
 		}
 		for end := 2 * inWindow; end <= ticks; end++ {
 			n, sent := 0, 0
 			for i := end - inWindow; i < end; i++ {
-				n += repeats[i]
+				n += retries[i]
 			}
 			for _, shift := range []int{0, inWindow / 2, inWindow} {
 				sum := 0
@@ -128,15 +128,15 @@
 				sent = max(sent, sum)
 			}
 			if most := o.Ratio*float64(sent) + o.Slack; float64(n) > most {
-				t.Fatalf("seed %d, window to %d: %d repeats for %d first sends, want %.0f at most", seed, end, n, sent, most)
+				t.Fatalf("seed %d, window to %d: %d retries for %d first sends, want %.0f at most", seed, end, n, sent, most)
 			}
 		}
 	}
 }
 
-// Regions that are cut from one another hear of their own hosts only. The hosts
-// of all together must not spend more than the allowance meanwhile, and a host
-// that really has fewer beside it gets its larger part after a while.
+// During a partition each region knows only its own hosts. All hosts together must not spend
+// more than the allowance meanwhile, and the remaining hosts get larger shares when the others
+// stay away.
 func TestSlackDuringPartition(t *testing.T) {
 	o := Options{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}
 	const hosts, regions = 12, 3
@@ -163,11 +163,11 @@
 		least int
 		most  int
 	}{
-		{"all in touch", 0, hosts, 1, int(o.Slack)},
-		{"cut apart", 11 * time.Second, hosts / regions, 1, int(o.Slack)},
-		{"still cut apart", 11 * time.Second, hosts / regions, 1, int(o.Slack)},
-		{"in touch again", 11 * time.Second, hosts, 1, int(o.Slack)},
-		{"the others are gone", 11 * time.Second, hosts / regions, 1, int(o.Slack)},
+		{"all connected", 0, hosts, 1, int(o.Slack)},
+		{"regions partitioned", 11 * time.Second, hosts / regions, 1, int(o.Slack)},
+		{"still partitioned", 11 * time.Second, hosts / regions, 1, int(o.Slack)},
+		{"connected again", 11 * time.Second, hosts, 1, int(o.Slack)},
+		{"the other regions have left", 11 * time.Second, hosts / regions, 1, int(o.Slack)},
 		{"and stay away", 2 * shrinkDelay, hosts / regions, int(o.Slack) + 1, regions * int(o.Slack)},
 	}
 	for _, s := range steps {
@@ -176,7 +176,7 @@
 			b.SetHosts(s.hosts)
 		}
 		if got := spend(); got < s.least || got > s.most {
-			t.Errorf("%s: %d repeats, want %d to %d", s.name, got, s.least, s.most)
+			t.Errorf("%s: %d retries, want %d to %d", s.name, got, s.least, s.most)
 		}
 	}
 }
--- a/serverlimit/table.go
+++ b/serverlimit/table.go
@@ -1,5 +1,5 @@
-// Package serverlimit knows which backend servers have named a limit: the
-// requests a second that they take from all hosts together.
+// Package serverlimit records the limits that backend servers have announced: the requests a
+// second that each accepts from all hosts together.
 package serverlimit
 
 import (
@@ -15,33 +15,33 @@
 )
 
 const (
-	// entryTTL is how long a word is kept that nobody heard again: a server with a limit is
-	// asked for something much sooner, if anything is asked of its service.
+	// entryTTL is how long an entry is kept that no host observed again. A limited server gets
+	// a request much sooner if there is any demand for its service.
 	entryTTL = time.Hour
-	// maxPerReport bounds what is told at once: 256 words are 15 kB, a heartbeat's part of a
-	// narrow link. The next heartbeat goes on.
+	// maxPerReport bounds the entries of one report: 256 entries are 15 kB, the share of a
+	// heartbeat on a slow link. The next heartbeat continues.
 	maxPerReport = 256
 )
 
-// entry is what a server last said of its limit.
+// entry is the latest limit of a server.
 type entry struct {
-	// rate is in requests a second; named is false once the server no longer has one.
-	rate  float64
+	// rate is in requests a second; limited is false once the server no longer has a limit.
+	rate    float64
 	limited bool
-	// at is when it was last heard.
+	// observed is when it was last observed.
 	observed time.Time
-	// change numbers the last change of what was said, own is set for one that was heard
-	// here.
+	// change numbers the last change of the entry; local is set if it was observed by this
+	// process.
 	change uint64
-	local    bool
+	local  bool
 }
 
-func (w entry) sameLimit(as entry) bool { return w.limited == as.limited && w.rate == as.rate }
+func (e entry) sameLimit(other entry) bool { return e.limited == other.limited && e.rate == other.rate }
 
-// Table is safe for concurrent use.
+// Table holds the limits of servers. It is safe for concurrent use.
 type Table struct {
 	mu      sync.Mutex
-	entries   map[string]entry
+	entries map[string]entry
 	changes uint64
 	now     func() time.Time
 }
@@ -49,7 +49,7 @@
 // New returns an empty table that reads time from now.
 func New(now func() time.Time) *Table { return &Table{entries: map[string]entry{}, now: now} }
 
-// Parse reads a limit in requests a second; ok is false for anything that is none.
+// Parse parses a limit in requests a second; ok is false if text is not a valid limit.
 func Parse(text string) (rate float64, ok bool) {
 	rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || rate < 0 || math.IsNaN(rate) || math.IsInf(rate, 0) {
@@ -58,101 +58,101 @@
 	return rate, true
 }
 
-// Named takes the limit that a start of a server named in an answer. It tells whether
-// that is new.
+// Named records the limit that a server instance sent with an answer, and reports whether it
+// is new.
 func (t *Table) Named(server string, rate float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.set(server, entry{rate: rate, limited: true, observed: t.now(), local: true})
 }
 
-// Absent takes an answer without a limit to a request that was sent at a moment. It
-// tells whether a limit ended by it: an answer to an earlier request may be from before
+// Absent records an answer without a limit to a request sent at the given time, and reports
+// whether that ended a limit. An answer to an earlier request does not: it may be from before
 // the limit.
 func (t *Table) Absent(server string, sent time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	was := t.entries[server]
-	if !was.limited || !sent.After(was.observed) {
+	previous := t.entries[server]
+	if !previous.limited || !sent.After(previous.observed) {
 		return false
 	}
 	return t.set(server, entry{observed: t.now(), local: true})
 }
 
-// set takes a word and tells whether it differs from the last one; the lock is held.
-func (t *Table) set(server string, w entry) bool {
-	was, known := t.entries[server]
-	changed := !known || !w.sameLimit(was)
-	w.change = was.change
+// set stores an entry and reports whether the limit changed. The lock must be held.
+func (t *Table) set(server string, e entry) bool {
+	previous, known := t.entries[server]
+	changed := !known || !e.sameLimit(previous)
+	e.change = previous.change
 	if changed {
 		t.changes++
-		w.change = t.changes
+		e.change = t.changes
 	} else {
-		w.local = was.local
+		e.local = previous.local
 	}
-	t.entries[server] = w
+	t.entries[server] = e
 	return changed
 }
 
-// Rate returns the limit of a start of a server; ok is false without one.
+// Rate returns the limit of a server instance; ok is false if it has none.
 func (t *Table) Rate(server string) (rate float64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := t.entries[server]
-	return w.rate, w.limited
+	e := t.entries[server]
+	return e.rate, e.limited
 }
 
-// Get returns what is known of a server.
+// Get returns what is known of a server, in the form sent to others.
 func (t *Table) Get(server string) wheelgauge.ServerLimit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w, known := t.entries[server]
+	e, known := t.entries[server]
 	if !known {
 		return wheelgauge.ServerLimit{Server: server, None: true, AgeMS: entryTTL.Milliseconds()}
 	}
-	return t.render(server, w)
+	return t.export(server, e)
 }
 
-func (t *Table) render(server string, w entry) wheelgauge.ServerLimit {
-	return wheelgauge.ServerLimit{Server: server, Rate: w.rate, None: !w.limited, AgeMS: t.now().Sub(w.observed).Milliseconds()}
+func (t *Table) export(server string, e entry) wheelgauge.ServerLimit {
+	return wheelgauge.ServerLimit{Server: server, Rate: e.rate, None: !e.limited, AgeMS: t.now().Sub(e.observed).Milliseconds()}
 }
 
-// Merge takes what others heard, unless something later is known here.
+// Merge applies limits observed by others, unless a later observation is known.
 func (t *Table) Merge(limits []wheelgauge.ServerLimit) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range limits {
-		w := entry{rate: l.Rate, limited: !l.None, observed: t.now().Add(-time.Duration(l.AgeMS) * time.Millisecond)}
-		was, known := t.entries[l.Server]
+		e := entry{rate: l.Rate, limited: !l.None, observed: t.now().Add(-time.Duration(l.AgeMS) * time.Millisecond)}
+		previous, known := t.entries[l.Server]
 		if !known && l.None {
-			continue // it says what is taken for granted
+			continue // no limit is the default
 		}
-		// Told to and fro, what is known already would seem later each time by the way, and
-		// no answer late enough to end it.
-		if !known || !w.sameLimit(was) && w.observed.After(was.observed) {
-			t.set(l.Server, w)
+		// The age does not include the latency of the exchange: an equal limit would seem
+		// observed later with each exchange, and no answer would be late enough to end it.
+		if !known || !e.sameLimit(previous) && e.observed.After(previous.observed) {
+			t.set(l.Server, e)
 		}
 	}
 }
 
-// Since returns what changed after a change, the first of it if it is much, and the
+// Since returns what changed after a change, the first maxPerReport entries of it, and the
 // number of the last change returned.
 func (t *Table) Since(change uint64) ([]wheelgauge.ServerLimit, uint64) {
 	return t.since(change, false)
 }
 
-// Heard returns the same of what was heard here.
+// Heard is like Since for limits observed by this process.
 func (t *Table) Heard(change uint64) ([]wheelgauge.ServerLimit, uint64) { return t.since(change, true) }
 
-func (t *Table) since(change uint64, own bool) ([]wheelgauge.ServerLimit, uint64) {
+func (t *Table) since(change uint64, localOnly bool) ([]wheelgauge.ServerLimit, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if change >= t.changes {
 		return nil, change
 	}
 	var servers []string
-	for server, w := range t.entries {
-		if w.change > change && (w.local || !own) {
+	for server, e := range t.entries {
+		if e.change > change && (e.local || !localOnly) {
 			servers = append(servers, server)
 		}
 	}
@@ -167,30 +167,30 @@
 	}
 	out := make([]wheelgauge.ServerLimit, 0, len(servers))
 	for _, server := range servers {
-		out = append(out, t.render(server, t.entries[server]))
+		out = append(out, t.export(server, t.entries[server]))
 	}
 	return out, last
 }
 
-// Limited returns the starts of servers that have a limit.
+// Limited returns the server instances that have a limit.
 func (t *Table) Limited() map[string]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[string]bool{}
-	for server, w := range t.entries {
-		if w.limited {
+	for server, e := range t.entries {
+		if e.limited {
 			out[server] = true
 		}
 	}
 	return out
 }
 
-// Prune forgets what nobody heard for long.
+// Prune drops entries that have not been observed within entryTTL.
 func (t *Table) Prune() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for server, w := range t.entries {
-		if t.now().Sub(w.observed) > entryTTL {
+	for server, e := range t.entries {
+		if t.now().Sub(e.observed) > entryTTL {
 			delete(t.entries, server)
 		}
 	}
--- a/serverlimit/table_test.go
+++ b/serverlimit/table_test.go
@@ -30,78 +30,78 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		if rate, ok := Parse(text); ok && (rate < 0 || rate > math.MaxFloat64 || rate != rate) {
-			t.Errorf("%q is read as %v", text, rate)
+			t.Errorf("%q is parsed as %v", text, rate)
 		}
 	})
 }
 
-// A limit holds from the first answer that names it until an answer to a request sent
-// after that lacks it.
+// A limit holds from the first answer that names it until an answer to a later request lacks
+// it.
 func TestLimitStartAndEnd(t *testing.T) {
 	c := manualclock.New()
 	tb := New(c.Now)
 	before := c.Now()
 	c.Pass(time.Second)
 	if !tb.Named("s", 2) || tb.Named("s", 2) || !tb.Named("s", 0.5) {
-		t.Error("a limit is new when it is named first or changes")
+		t.Error("a limit must be new when it is named first or changes, and only then")
 	}
 	if tb.Absent("s", before) {
-		t.Error("an answer to a request of before the limit ended it")
+		t.Error("an answer to a request from before the limit ended it")
 	}
 	if rate, ok := tb.Rate("s"); !ok || rate != 0.5 {
-		t.Errorf("the limit is %v, %v", rate, ok)
+		t.Errorf("limit is %v, %v, want 0.5, true", rate, ok)
 	}
 	c.Pass(time.Second)
 	if !tb.Absent("s", c.Now()) || tb.Absent("s", c.Now()) {
-		t.Error("a limit ends once")
+		t.Error("a limit must end exactly once")
 	}
 	if _, ok := tb.Rate("s"); ok {
 		t.Error("the limit has not ended")
 	}
 }
 
-// The latest word holds, whoever heard it; what is told on is what changed.
+// The latest observation holds, whoever made it; only changes are sent on.
 func TestMerge(t *testing.T) {
-	type told = wheelgauge.ServerLimit
+	type limit = wheelgauge.ServerLimit
 	tests := []struct {
 		name string
-		// own is a limit heard here a second ago; none below 0.
-		own   float64
-		news  told
-		rate  float64
-		named bool
+		// own is a limit observed here a second ago; none below 0.
+		local  float64
+		report limit
+		rate   float64
+		named  bool
 	}{
-		{"nothing is known here", -1, told{Server: "s", Rate: 3, AgeMS: 500}, 3, true},
-		{"nothing is known here, and no limit there", -1, told{Server: "s", None: true}, 0, false},
-		{"later", 2, told{Server: "s", Rate: 3, AgeMS: 500}, 3, true},
-		{"earlier", 2, told{Server: "s", Rate: 3, AgeMS: 1500}, 2, true},
-		{"it ended later", 2, told{Server: "s", None: true, AgeMS: 500}, 0, false},
-		{"it ended earlier", 2, told{Server: "s", None: true, AgeMS: 1500}, 2, true},
+		{"no entry here", -1, limit{Server: "s", Rate: 3, AgeMS: 500}, 3, true},
+		{"no entry here, and no limit there", -1, limit{Server: "s", None: true}, 0, false},
+		{"later", 2, limit{Server: "s", Rate: 3, AgeMS: 500}, 3, true},
+		{"earlier", 2, limit{Server: "s", Rate: 3, AgeMS: 1500}, 2, true},
+		{"the limit ended later", 2, limit{Server: "s", None: true, AgeMS: 500}, 0, false},
+		{"the limit ended earlier", 2, limit{Server: "s", None: true, AgeMS: 1500}, 2, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := manualclock.New()
 			tb := New(c.Now)
-			if tt.own >= 0 {
-				tb.Named("s", tt.own)
+			if tt.local >= 0 {
+				tb.Named("s", tt.local)
 			}
-			heard, last := tb.Heard(0)
+			local, last := tb.Heard(0)
 			c.Pass(time.Second)
-			tb.Merge([]told{tt.news})
+			tb.Merge([]limit{tt.report})
 			if rate, ok := tb.Rate("s"); rate != tt.rate || ok != tt.named || tb.Limited()["s"] != tt.named {
-				t.Errorf("the limit is %v, %v, want %v, %v", rate, ok, tt.rate, tt.named)
+				t.Errorf("limit is %v, %v, want %v, %v", rate, ok, tt.rate, tt.named)
 			}
-			if (len(heard) > 0) != (tt.own >= 0) {
-				t.Errorf("heard here: %v", heard)
+			if (len(local) > 0) != (tt.local >= 0) {
+				t.Errorf("local entries: %v", local)
 			}
 			if again, _ := tb.Heard(last); len(again) > 0 {
-				t.Errorf("what others heard is told as heard here: %v", again)
+				t.Errorf("entries from others are reported as local: %v", again)
 			}
 		})
 	}
 }
 
-// Much is told in parts, each word once, and again when it changes.
+// A large report is split, with each entry sent once, and again when it changes.
 func TestSince(t *testing.T) {
 	c := manualclock.New()
 	tb := New(c.Now)
@@ -111,37 +111,37 @@
 	first, at := tb.Since(0)
 	second, last := tb.Since(at)
 	if len(first) != maxPerReport || len(second) != 10 {
-		t.Errorf("told %d, then %d", len(first), len(second))
+		t.Errorf("reported %d entries, then %d", len(first), len(second))
 	}
 	tb.Named("s3", 1)
 	tb.Named("s4", 2)
 	if third, _ := tb.Since(last); len(third) != 1 || third[0].Server != "s4" || third[0].Rate != 2 {
-		t.Errorf("told %v of one that changed", third)
+		t.Errorf("reported %v after one change", third)
 	}
 	c.Pass(2 * entryTTL)
 	tb.Prune()
 	if len(tb.entries) != 0 {
-		t.Error("words are kept that nobody heard for long")
+		t.Error("expired entries are kept")
 	}
 }
 
-// A limit that hosts and stores tell each other again and again ends with the first answer
-// that lacks it. Each telling made it later by the way, up to now, so that answers to
-// requests sent before now ended nothing: found by reading, seen here.
+// A limit that hosts and stores exchange again and again ends with the first answer that lacks
+// it. If each exchange moved the time of observation forward by its latency, that time would
+// follow the present, and an answer to an earlier request would not end the limit.
 func TestRepeatedExchange(t *testing.T) {
-	const way = 3 * time.Millisecond
+	const latency = 3 * time.Millisecond
 	c := manualclock.New()
 	host, store := New(c.Now), New(c.Now)
 	host.Named("s", 2)
 	c.Pass(time.Second)
 	sent := c.Now()
 	for range 500 {
-		word := host.Get("s")
-		c.Pass(way)
-		store.Merge([]wheelgauge.ServerLimit{word})
-		word = store.Get("s")
-		c.Pass(way)
-		host.Merge([]wheelgauge.ServerLimit{word})
+		limit := host.Get("s")
+		c.Pass(latency)
+		store.Merge([]wheelgauge.ServerLimit{limit})
+		limit = store.Get("s")
+		c.Pass(latency)
+		host.Merge([]wheelgauge.ServerLimit{limit})
 	}
 	if !host.Absent("s", sent) {
 		t.Error("an answer without the limit does not end it")
