--- a/capbank/allocator.go
+++ b/capbank/allocator.go
@@ -43,7 +43,7 @@
 	minLeasedShare = 0.002
 )
 
-// Options of a Bank.
+// Options are the options of New.
 type Options struct {
 	// Self is the store's address, Boot identifies this run of its process.
 	Self string
@@ -73,7 +73,7 @@
 	buckets     map[string]*bucket
 }
 
-// New returns a bank without caps.
+// New returns an allocator without caps.
 func New(o Options) *Bank {
 	return &Bank{options: o, started: o.Now(), peers: map[string]*peer{}, hosts: map[string]*host{}, buckets: map[string]*bucket{}}
 }
@@ -157,8 +157,8 @@
 	if !a.ready(now) || !slices.Contains(a.members, a.options.Self) {
 		return 0
 	}
-	if part := a.baseShare(b, a.options.Self, now); part < 1 || !now.Before(a.unsplitFrom) {
-		return part
+	if base := a.baseShare(b, a.options.Self, now); base < 1 || !now.Before(a.unsplitFrom) {
+		return base
 	}
 	return 0
 }
--- a/capbank/allocator_test.go
+++ b/capbank/allocator_test.go
@@ -247,15 +247,15 @@
 	for _, tt := range tests {
 		c := newClock()
 		b := c.newBank("a", 1, []string{"a"})
-		whole := shareOfCap(b)
+		before := shareOfCap(b)
 		g := draw(b, 1)
 		if g.Alone <= 0 || g.AloneMS <= 0 {
 			t.Fatalf("the grant has no standalone rate or time: %+v", g)
 		}
 		c.advance(hostSilenceTimeout + time.Millisecond)
 		tt.after(b, c)
-		if got := shareOfCap(b); (got < whole) != tt.less {
-			t.Errorf("%s: share is %.2f of %.2f", tt.name, got, whole)
+		if got := shareOfCap(b); (got < before) != tt.less {
+			t.Errorf("%s: share is %.2f of %.2f", tt.name, got, before)
 		}
 	}
 }
@@ -323,10 +323,10 @@
 				list = append(list, wheelgauge.Workspace{Name: fmt.Sprint("w", i), Cap: wheelgauge.Cap{Rate: 1e6, Burst: 1e6}})
 			}
 			store.SetCaps(list)
-			ask := wheelgauge.CapAsk{Host: "h", Boot: 1, Wants: []wheelgauge.CapWant{{Workspace: "w7", Units: 5000}}}
+			req := wheelgauge.CapAsk{Host: "h", Boot: 1, Wants: []wheelgauge.CapWant{{Workspace: "w7", Units: 5000}}}
 			b.ReportAllocs()
 			for b.Loop() {
-				store.Draw(ask)
+				store.Draw(req)
 			}
 		})
 	}
--- a/capbank/bucket.go
+++ b/capbank/bucket.go
@@ -107,9 +107,9 @@
 // marginShare is this store's share of the margin: the mean of its current and its base share.
 func (b *bucket) marginShare() float64 { return (b.share + b.baseShare) / 2 }
 
-func (b *bucket) setShare(share, even float64) {
-	reduced := share < b.share || even < b.baseShare
-	b.share, b.baseShare = share, even
+func (b *bucket) setShare(share, base float64) {
+	reduced := share < b.share || base < b.baseShare
+	b.share, b.baseShare = share, base
 	if reduced {
 		b.level = min(b.level, b.capacity())
 	}
--- a/capbank/hosts.go
+++ b/capbank/hosts.go
@@ -13,8 +13,8 @@
 	// standaloneFraction of the store's share of a cap is divided among its hosts for that
 	// time.
 	standaloneFraction = 0.7
-	// hostSilenceTimeout is how long a host may send no draw before its standalone share is
-	// subtracted from the store's share: a host whose draw fails becomes standalone at once.
+	// hostSilenceTimeout is how long a host may be out of contact before its standalone share
+	// is subtracted from the store's share: a host whose draw fails becomes standalone at once.
 	hostSilenceTimeout = 400 * time.Millisecond
 )
 
--- a/capbank/peer.go
+++ b/capbank/peer.go
@@ -51,13 +51,13 @@
 
 // maxLent is the largest share that the peer may be using under leases from this store.
 func (p *peer) maxLent(workspace string, now time.Time) float64 {
-	most := 0.0
-	for _, s := range p.granted {
-		if now.Before(s.expires) {
-			most = max(most, s.shares[workspace])
+	largest := 0.0
+	for _, l := range p.granted {
+		if now.Before(l.expires) {
+			largest = max(largest, l.shares[workspace])
 		}
 	}
-	return most
+	return largest
 }
 
 // borrowed is the share that the peer has leased to this store.
@@ -70,8 +70,8 @@
 
 // mayHoldLease reports whether the peer may still be using a lease.
 func (p *peer) mayHoldLease(now time.Time) bool {
-	for _, s := range p.granted {
-		if now.Before(s.expires) {
+	for _, l := range p.granted {
+		if now.Before(l.expires) {
 			return true
 		}
 	}
@@ -96,7 +96,7 @@
 
 // dropExpired drops the leases that have expired.
 func (p *peer) dropExpired(now time.Time) {
-	p.granted = slices.DeleteFunc(p.granted, func(s lease) bool { return !now.Before(s.expires) })
+	p.granted = slices.DeleteFunc(p.granted, func(l lease) bool { return !now.Before(l.expires) })
 }
 
 // News returns the report of this store's demand for another store.
@@ -168,7 +168,7 @@
 		p.confirmed = true
 	}
 	p.lastNumber++
-	s := lease{number: p.lastNumber, expires: now.Add(leaseTime), shares: map[string]float64{}}
+	l := lease{number: p.lastNumber, expires: now.Add(leaseTime), shares: map[string]float64{}}
 	out := wheelgauge.CapSheet{Giver: a.options.Boot, Number: p.lastNumber}
 	if now.Before(p.held.expires) {
 		out.Holds = p.held.lender
@@ -176,11 +176,11 @@
 	a.recompute(now)
 	for name, b := range a.buckets {
 		if share := a.leasableShare(from, b, now); share >= minLeasedShare {
-			s.shares[name] = share
+			l.shares[name] = share
 			out.Shares = append(out.Shares, wheelgauge.CapShare{Workspace: name, Share: share})
 		}
 	}
-	p.granted = append(p.granted, s)
+	p.granted = append(p.granted, l)
 	a.recompute(now)
 	return out
 }
@@ -195,10 +195,10 @@
 	surplus := ownShare - a.targetShare(b, a.options.Self, b.demand.At(now), now)
 	totalDeficit, peerDeficit := 0.0, 0.0
 	for address, other := range a.peers {
-		part := a.baseShare(b, address, now)
+		base := a.baseShare(b, address, now)
 		deficit := a.targetShare(b, address, other.currentDemand(b.name, now), now)
 		if other.ready {
-			deficit -= part
+			deficit -= base
 		}
 		deficit = max(0, deficit)
 		totalDeficit += deficit
@@ -221,28 +221,28 @@
 
 // targetShare is the share of a cap that a store should have at its demand.
 func (a *Bank) targetShare(b *bucket, address string, demand float64, now time.Time) float64 {
-	part := a.baseShare(b, address, now)
-	all := b.demand.At(now)
+	base := a.baseShare(b, address, now)
+	totalDemand := b.demand.At(now)
 	for _, p := range a.peers {
-		all += p.currentDemand(b.name, now)
+		totalDemand += p.currentDemand(b.name, now)
 	}
-	if all <= 0 {
-		return part
+	if totalDemand <= 0 {
+		return base
 	}
-	return evenFraction*part + (1-evenFraction)*demand/all
+	return evenFraction*base + (1-evenFraction)*demand/totalDemand
 }
 
 // Borrow applies the lease with which another store answered a report sent at the given time.
-func (a *Bank) Borrow(from string, sent time.Time, s wheelgauge.CapSheet) {
+func (a *Bank) Borrow(from string, sent time.Time, l wheelgauge.CapSheet) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.options.Now()
 	p := a.peer(from)
-	p.held = lease{lender: s.Giver, number: s.Number, expires: sent.Add(leaseTime), shares: map[string]float64{}}
-	if s.Holds == 0 || s.Holds == a.options.Boot {
+	p.held = lease{lender: l.Giver, number: l.Number, expires: sent.Add(leaseTime), shares: map[string]float64{}}
+	if l.Holds == 0 || l.Holds == a.options.Boot {
 		p.confirmed = true
 	}
-	for _, share := range s.Shares {
+	for _, share := range l.Shares {
 		p.held.shares[share.Workspace] = share.Share
 	}
 	a.recompute(now)
--- a/cappurse/baseline_test.go
+++ b/cappurse/baseline_test.go
@@ -51,17 +51,17 @@
 		delay = 350 * time.Millisecond
 		span  = 500 * time.Millisecond
 	)
-	type asked struct {
+	type demandSample struct {
 		at    time.Time
 		units float64
 	}
-	seen := map[string][]asked{}
+	seen := map[string][]demandSample{}
 	return func(s *schedule, h int, w *workspace, units float64) bool {
 		now, name := time.Now(), w.spec.Name
 		if region := s.regions[h%len(s.regions)]; s.cutRegions[region] {
 			name += region // it receives no reports from other regions
 		}
-		seen[name] = append(seen[name], asked{now, units})
+		seen[name] = append(seen[name], demandSample{now, units})
 		sum := 0.0
 		for len(seen[name]) > 0 && now.Sub(seen[name][0].at) > delay+span {
 			seen[name] = seen[name][1:]
@@ -87,7 +87,7 @@
 		make        func() decider
 		overloaded  bool
 		partitioned bool
-		// wrong is the least fraction wrongly refused of the smallest cap; over is set where
+		// refused is the least fraction wrongly refused of the smallest cap; over is set where
 		// the largest workspace must exceed its bound.
 		refused float64
 		over    bool
--- a/cappurse/client.go
+++ b/cappurse/client.go
@@ -49,7 +49,7 @@
 	noStoreRetryAfter = 300 * time.Millisecond
 )
 
-// Options of a Purse.
+// Options are the options of New.
 type Options struct {
 	Host string
 	// Boot identifies this run of the host's process.
@@ -85,31 +85,31 @@
 }
 
 // record adds a request to the means.
-func (k *unitCache) record(units float64, now time.Time) {
-	if k.meanSize == 0 {
-		k.meanSize = units
+func (c *unitCache) record(units float64, now time.Time) {
+	if c.meanSize == 0 {
+		c.meanSize = units
 	}
-	k.meanSize += meanSizeWeight * (units - k.meanSize)
-	k.drawRate.Add(units, now)
+	c.meanSize += meanSizeWeight * (units - c.meanSize)
+	c.drawRate.Add(units, now)
 }
 
 // target is how many units should be cached for future requests.
-func (k *unitCache) target() float64 {
-	return max(k.meanSize, k.drawRate.Last()*prefetchTime.Seconds())
+func (c *unitCache) target() float64 {
+	return max(c.meanSize, c.drawRate.Last()*prefetchTime.Seconds())
 }
 
 // available returns the units that have not expired.
-func (k *unitCache) available(now time.Time) float64 {
-	if !now.Before(k.expires) {
+func (c *unitCache) available(now time.Time) float64 {
+	if !now.Before(c.expires) {
 		return 0
 	}
-	return k.units
+	return c.units
 }
 
 // add adds units to those that are left, and restarts their lifetime.
-func (k *unitCache) add(units float64, now time.Time) {
+func (c *unitCache) add(units float64, now time.Time) {
 	if units > 0 {
-		k.units, k.expires = k.available(now)+units, now.Add(cachedTTL)
+		c.units, c.expires = c.available(now)+units, now.Add(cachedTTL)
 	}
 }
 
@@ -126,7 +126,7 @@
 	cancel     context.CancelFunc
 }
 
-// New returns a purse without units.
+// New returns a client without units.
 func New(o Options) *Purse {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Purse{options: o, standalone: map[string]*standaloneBucket{}, cached: map[string]*unitCache{}, silentUntil: map[string]time.Time{}, ctx: ctx, cancel: stop}
@@ -185,17 +185,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.options.Now()
-	k := p.cacheOf(workspace)
-	k.record(units, now)
-	cached := k.available(now)
+	c := p.cacheOf(workspace)
+	c.record(units, now)
+	cached := c.available(now)
 	if cached < units {
 		return false
 	}
-	k.units = cached - units
-	if k.farStore != "" && !k.prefetching && k.units < k.target()/2 && p.ctx.Err() == nil {
-		k.prefetching = true
+	c.units = cached - units
+	if c.farStore != "" && !c.prefetching && c.units < c.target()/2 && p.ctx.Err() == nil {
+		c.prefetching = true
 		p.prefetches.Add(1)
-		go p.prefetch(wheelgauge.StoreAt{Address: k.farStore}, workspace)
+		go p.prefetch(wheelgauge.StoreAt{Address: c.farStore}, workspace)
 	}
 	return true
 }
@@ -239,7 +239,7 @@
 	}
 	answer, err := p.options.Ask(ctx, s.Address, wheelgauge.CapAsk{Host: p.options.Host, Boot: p.options.Boot, Moved: moved, Wants: []wheelgauge.CapWant{want}})
 	if err != nil || len(answer.Grants) != 1 {
-		// The request's own deadline passed: that says nothing about the store.
+		// A request whose own deadline has passed says nothing about the store.
 		if parent.Err() == nil {
 			p.markSilent(s.Address)
 		}
@@ -257,20 +257,20 @@
 func (p *Purse) prefetchAmount(workspace string) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.cacheOf(workspace)
-	return max(0, k.target()-k.available(p.options.Now()))
+	c := p.cacheOf(workspace)
+	return max(0, c.target()-c.available(p.options.Now()))
 }
 
 // addPrefetched adds units that a store granted for future requests.
 func (p *Purse) addPrefetched(workspace string, s wheelgauge.StoreAt, units float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.cacheOf(workspace)
-	k.farStore = ""
+	c := p.cacheOf(workspace)
+	c.farStore = ""
 	if !s.Near {
-		k.farStore = s.Address
+		c.farStore = s.Address
 	}
-	k.add(units, p.options.Now())
+	c.add(units, p.options.Now())
 }
 
 func (p *Purse) markSilent(address string) {
@@ -284,19 +284,19 @@
 func (p *Purse) updateStandalone(workspace string, g wheelgauge.CapGrant, sent time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a := p.standalone[workspace]
-	if a == nil {
-		a = &standaloneBucket{level: standaloneBurst * g.Alone, refilled: sent}
-		p.standalone[workspace] = a
+	b := p.standalone[workspace]
+	if b == nil {
+		b = &standaloneBucket{level: standaloneBurst * g.Alone, refilled: sent}
+		p.standalone[workspace] = b
 	}
-	a.refill(p.options.Now())
-	a.rate, a.expires = g.Alone, sent.Add(time.Duration(g.AloneMS)*time.Millisecond)
+	b.refill(p.options.Now())
+	b.rate, b.expires = g.Alone, sent.Add(time.Duration(g.AloneMS)*time.Millisecond)
 }
 
 // refill adds the units of the time since the last refill.
-func (a *standaloneBucket) refill(now time.Time) {
-	a.level = min(standaloneBurst*a.rate, a.level+a.rate*now.Sub(a.refilled).Seconds())
-	a.refilled = now
+func (b *standaloneBucket) refill(now time.Time) {
+	b.level = min(standaloneBurst*b.rate, b.level+b.rate*now.Sub(b.refilled).Seconds())
+	b.refilled = now
 }
 
 // takeStandalone takes units from the host's standalone rate.
@@ -304,23 +304,23 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.options.Now()
-	a := p.standalone[workspace]
-	if a == nil || !now.Before(a.expires) {
+	b := p.standalone[workspace]
+	if b == nil || !now.Before(b.expires) {
 		return noStoreAnswers()
 	}
-	a.refill(now)
-	if a.spend(units) {
+	b.refill(now)
+	if b.spend(units) {
 		return nil
 	}
 	return capExceeded(standaloneRetryAfter)
 }
 
 // spend spends available units. If they are fewer than the request needs, the request passes
-// with the probability of their part of it: the share of a single host may be smaller than one
-// request, and so all hosts together still send what they may.
-func (a *standaloneBucket) spend(units float64) bool {
-	spent := min(max(0, a.level), units)
-	a.level -= spent
+// with the probability of the fraction they cover: the share of a single host may be smaller
+// than one request, and so all hosts together still send what they may.
+func (b *standaloneBucket) spend(units float64) bool {
+	spent := min(max(0, b.level), units)
+	b.level -= spent
 	return spent > 0 && rand.Float64()*units < spent
 }
 
--- a/cappurse/schedule_test.go
+++ b/cappurse/schedule_test.go
@@ -108,7 +108,7 @@
 
 func (s *schedule) elapsed() time.Duration { return time.Since(s.started) }
 
-// linked tells whether two regions reach each other.
+// linked reports whether two regions reach each other.
 func (s *schedule) linked(a, b string) bool {
 	return a == b || !s.cutRegions[a] && !s.cutRegions[b]
 }
--- a/meanrate/rate.go
+++ b/meanrate/rate.go
@@ -8,23 +8,23 @@
 
 // Rate is an exponential moving average of units a second. It is not safe for concurrent use.
 type Rate struct {
-	span    time.Duration
-	value   float64
-	updated time.Time
+	timeConstant time.Duration
+	value        float64
+	updated      time.Time
 }
 
-// New returns an average of zero. After span a unit counts 1/e of what it did.
-func New(span time.Duration) Rate { return Rate{span: span} }
+// New returns an average of zero. After timeConstant a unit counts 1/e of what it did.
+func New(timeConstant time.Duration) Rate { return Rate{timeConstant: timeConstant} }
 
 // Add adds units at the given time.
 func (r *Rate) Add(units float64, now time.Time) {
-	r.value = r.At(now) + units/r.span.Seconds()
+	r.value = r.At(now) + units/r.timeConstant.Seconds()
 }
 
 // At returns the average at the given time, in units a second.
 func (r *Rate) At(now time.Time) float64 {
 	if d := now.Sub(r.updated); d > 0 {
-		r.value *= math.Exp(-d.Seconds() / r.span.Seconds())
+		r.value *= math.Exp(-d.Seconds() / r.timeConstant.Seconds())
 		r.updated = now
 	}
 	return r.value
--- a/permitclient/client.go
+++ b/permitclient/client.go
@@ -33,7 +33,7 @@
 	minStandaloneRate = 0.1
 )
 
-// Options of a Client.
+// Options are the options of New.
 type Options struct {
 	Host string
 	// Limits are the limits that servers have announced.
--- a/permitclient/model_test.go
+++ b/permitclient/model_test.go
@@ -35,7 +35,7 @@
 	// second.
 	lowerLimitDelay = time.Second
 	maxWait         = 2500 * time.Millisecond
-	mostStores      = 3
+	maxStores       = 3
 )
 
 // phase is a limit that a server announces from a given time on; negative for no limit.
@@ -91,7 +91,7 @@
 	// downUntil is until when the host is down.
 	downUntil time.Duration
 	// cutUntil is until when the host does not reach each store.
-	cutUntil [mostStores]time.Duration
+	cutUntil [maxStores]time.Duration
 	// ready is set once a store has answered: a host serves nothing before.
 	ready bool
 	// sentUpTo and receivedUpTo are the last changes exchanged with each store process.
@@ -148,7 +148,7 @@
 		Stores:  func() []wheelgauge.RegionStore { return m.storesOf(h) },
 		Sharers: m.hostNames,
 		Ask: func(_ context.Context, address string, req wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error) {
-			return m.ask(h, address, req)
+			return m.answer(h, address, req)
 		},
 	})
 }
@@ -176,8 +176,8 @@
 	return m.at >= m.stores[store].unreachableUntil && m.at >= h.cutUntil[store]
 }
 
-// ask answers a permit request as a store does.
-func (m *model) ask(h *modelHost, address string, req wheelgauge.PermitAsk) (a wheelgauge.PermitAnswer, err error) {
+// answer answers a permit request as a store does.
+func (m *model) answer(h *modelHost, address string, req wheelgauge.PermitAsk) (a wheelgauge.PermitAnswer, err error) {
 	for i, s := range m.stores {
 		if s.address != address {
 			continue
--- a/permitclient/schedule_test.go
+++ b/permitclient/schedule_test.go
@@ -148,7 +148,7 @@
 func TestAlternatives(t *testing.T) {
 	t.Parallel()
 	type key struct{ host, server string }
-	perHost := func(part func(m *model) float64) func(m *model) func(h *modelHost, s *modelServer) bool {
+	perHost := func(share func(m *model) float64) func(m *model) func(h *modelHost, s *modelServer) bool {
 		return func(m *model) func(h *modelHost, s *modelServer) bool {
 			level, last := map[key]float64{}, map[key]time.Duration{}
 			return func(h *modelHost, s *modelServer) bool {
@@ -160,7 +160,7 @@
 				if _, known := last[k]; !known {
 					level[k] = 1
 				}
-				level[k] = min(max(1, rate*part(m)), level[k]+rate*part(m)*(m.at-last[k]).Seconds())
+				level[k] = min(max(1, rate*share(m)), level[k]+rate*share(m)*(m.at-last[k]).Seconds())
 				last[k] = m.at
 				if level[k] < 1 {
 					return false
