--- a/beats.go
+++ b/beats.go
@@ -2,42 +2,42 @@
 
 import "encoding/json"
 
-// FleetHost is a host of the routes mode as it tells of itself.
+// FleetHost describes a host of the routes mode, as reported by the host itself.
 type FleetHost struct {
 	Name   string `json:"n"`
 	Region string `json:"r"`
 	Hall   string `json:"h"`
-	// Caller and Peer are the addresses (IP:port) of its listeners.
+	// Addresses (IP:port) of the listeners for callers and for peers.
 	Caller string `json:"c"`
 	Peer   string `json:"p"`
-	// Boot differs between two starts of the host's process.
+	// Boot identifies one start of the host's process.
 	Boot    uint64 `json:"b"`
 	Leaving bool   `json:"l,omitempty"`
-	// Ready is false until the host knows a configuration.
+	// Ready is false until the host has a configuration.
 	Ready bool `json:"y,omitempty"`
 }
 
-// ServerUse is what one host, or several together, have in flight at a server.
+// ServerUse is what one or more hosts have in flight at a server and have observed of it.
 type ServerUse struct {
 	Instance string `json:"i"`
-	// Born tells the server's start, as in Server.
+	// Born is the start time of the server, as in the server list.
 	Born    int64 `json:"b,omitempty"`
 	Running int   `json:"u"`
-	// Tokens are those of prompts that wait for their first event.
+	// Tokens is the sum of the prompt tokens of requests that wait for their first event.
 	Tokens int `json:"t,omitempty"`
-	// Work tells both by rank.
+	// Work is both by rank.
 	Work Work `json:"w,omitempty"`
-	// Pace sums up how long work takes there by the server's reports to each of Paced hosts, in
-	// hundredths of the usual time.
+	// Pace is the sum of the slowdown factors that Paced hosts derive from the server's reports,
+	// in hundredths: 100 for a host means that work takes the usual time.
 	Pace  int `json:"p,omitempty"`
 	Paced int `json:"q,omitempty"`
-	// Lost is how many hosts could not reach the server lately, or found another one
-	// at its address.
+	// Lost is the number of hosts that recently failed to reach the server or found another
+	// one at its address.
 	Lost int `json:"x,omitempty"`
 }
 
-// Plus adds what others have in flight at the server, and know of it. Of two starts
-// of the server the later one counts alone.
+// Plus returns the combined use by several hosts. If the two are of different starts of the
+// server, only the later one counts.
 func (u ServerUse) Plus(v ServerUse) ServerUse {
 	switch {
 	case u.Born > v.Born:
@@ -51,7 +51,7 @@
 	}
 }
 
-// Told tells whether there is anything to say of the server.
+// Told reports whether there is anything worth sending.
 func (u ServerUse) Told() bool { return u.Running > 0 || u.Lost > 0 }
 
 // ServiceUse is the load of a service in a region.
@@ -59,20 +59,19 @@
 	Service string `json:"s"`
 	// Running is the number of requests in flight.
 	Running int `json:"u"`
-	// Tokens are those of prompts that wait for their first event.
+	// Tokens is the sum of the prompt tokens of requests that wait for their first event.
 	Tokens int `json:"t,omitempty"`
-	// Work tells both by rank.
+	// Work is both by rank.
 	Work Work `json:"w,omitempty"`
-	// Servers is the number of servers that take work, Slots the requests that
-	// they run at once.
+	// Servers is the number of servers that accept work, Slots the number of requests that
+	// they run concurrently.
 	Servers int `json:"k,omitempty"`
 	Slots   int `json:"n,omitempty"`
-	// Limited is the number of further servers, which have named a limit.
+	// Limited is the number of additional servers that have announced a limit.
 	Limited int `json:"l,omitempty"`
 }
 
-// Plus adds what others have in flight of the service; the servers that there are
-// stay those of u.
+// Plus adds what other hosts have in flight. The counts of servers and slots stay those of u.
 func (u ServiceUse) Plus(v ServiceUse) ServiceUse {
 	u.Service = v.Service
 	u.Running += v.Running
@@ -81,83 +80,83 @@
 	return u
 }
 
-// Beat is the heartbeat of an entry host to a store.
+// Beat is the heartbeat that an entry host sends to a store.
 type Beat struct {
 	Host FleetHost `json:"host"`
-	// Primary is set for the one store that the host takes its news from.
+	// Primary is set for the one store from which the host takes its updates.
 	Primary bool `json:"primary,omitempty"`
-	// IntervalMS is when the next beat to this store comes, in ms.
+	// IntervalMS is the time until the next heartbeat to this store, in ms.
 	IntervalMS int64 `json:"interval_ms"`
-	// Store, Hosts and Servers name the views held; see BeatAnswer.
+	// Store is the boot of the store whose tables of hosts and servers this host holds; Hosts
+	// and Servers are their versions.
 	Store   uint64 `json:"store,omitempty"`
 	Hosts   uint64 `json:"hosts,omitempty"`
 	Servers uint64 `json:"servers,omitempty"`
-	// ListAgeMS is how long ago the list of servers held was asked for, in ms; 0
-	// without one. An older list is not wanted.
+	// ListAgeMS is how long ago the server list that the host holds was requested, in ms; 0
+	// if it holds none. The store must not send an older list.
 	ListAgeMS int64        `json:"list_age_ms,omitempty"`
 	Uses      []ServerUse  `json:"uses,omitempty"`
 	Totals    []ServiceUse `json:"totals,omitempty"`
-	// Crashes are those noted since the last heartbeat that this store answered,
-	// CrashesAt names the view held of those of all hosts; see BeatAnswer.
+	// Crashes are those recorded here since the last heartbeat that this store answered.
+	// CrashesAt is the version of the list for all hosts that this host holds.
 	Crashes   []Crash `json:"crashes,omitempty"`
 	CrashesAt uint64  `json:"crashes_at,omitempty"`
-	// Limits are those that servers named in answers to this host, as far as this store
-	// does not know them, LimitsAt numbers what the store told last; see BeatAnswer.
+	// Limits are those that servers announced in responses to this host and that this store
+	// has not received yet. LimitsAt is the version of the limits last received from the store.
 	Limits   []ServerLimit `json:"limits,omitempty"`
 	LimitsAt uint64        `json:"limits_at,omitempty"`
-	// Rollouts tell what the host did and saw in those that are under way.
+	// Rollouts are the host's reports on rollouts in progress.
 	Rollouts []RolloutReport `json:"rollouts,omitempty"`
 }
 
 // FleetState is the replicated state of the routes mode.
 type FleetState struct {
-	// Generation grows with each change, of the configuration or of halls.
+	// Generation grows with each change of the configuration or of drained halls.
 	Generation uint64 `json:"generation"`
 	Version    uint64 `json:"version"`
-	// Body is the whole configuration as the operator sent it.
+	// Body is the complete configuration as sent by the operator.
 	Body json.RawMessage `json:"body,omitempty"`
-	// Drained are the halls whose servers get no new work.
+	// Drained are the halls whose servers receive no new requests.
 	Drained []string `json:"drained,omitempty"`
-	// Rollouts are the last ones of each service.
+	// Rollouts holds the last rollout of each service.
 	Rollouts []Rollout `json:"rollouts,omitempty"`
-	// Crashes are those by which requests are held back.
+	// Crashes are those because of which requests are quarantined.
 	Crashes []Crash `json:"crashes,omitempty"`
 }
 
-// PackedBody names a configuration's body as it travels, compressed.
+// PackedBody identifies the body of a configuration in its compressed form.
 type PackedBody struct {
 	Version uint64 `json:"version"`
-	// Size is its length in bytes, Sum the CRC-32 (IEEE) of these.
+	// Size is the compressed length in bytes, Sum the CRC-32 (IEEE) of the compressed bytes.
 	Size int    `json:"size"`
 	Sum  uint32 `json:"sum"`
 }
 
-// StateRequest asks a store for a part of a state that is newer than the one
-// held.
+// StateRequest asks a store for a chunk of a state that is newer than the one held by the
+// requester.
 type StateRequest struct {
-	// Generation and Version are those held. A body of the version held is not
-	// sent again.
+	// Generation and version held. A body of the version held is not sent again.
 	Generation uint64 `json:"generation"`
 	Version    uint64 `json:"version,omitempty"`
-	// Packed is the body that earlier parts were of, Offset how much of it came,
-	// Most how much may come at once, both in bytes.
+	// Packed identifies the body to which the chunks received so far belong. Offset is how
+	// much of it was received, Most how much may be sent at once, both in bytes.
 	Packed PackedBody `json:"packed"`
 	Offset int        `json:"offset,omitempty"`
 	Most   int        `json:"most"`
 }
 
-// StatePart is a part of a state, or says that there is no newer one.
+// StatePart is a chunk of a state, or reports that there is no newer state.
 type StatePart struct {
 	Generation uint64   `json:"generation"`
 	Version    uint64   `json:"version"`
 	Drained    []string `json:"drained,omitempty"`
-	// Rollouts tell how long each has run by now.
+	// Rollouts carry the time that each one has run until now.
 	Rollouts []Rollout `json:"rollouts,omitempty"`
-	// Packed is of size 0 when the body is that of the version held.
+	// Packed has size 0 if the body is the one of the version held by the requester.
 	Packed PackedBody `json:"packed"`
 	Offset int        `json:"offset,omitempty"`
 	Data   []byte     `json:"data,omitempty"`
-	// Crashes are those by which requests are held back, for a host that holds no state.
+	// Crashes are those because of which requests are quarantined, for a host without a state.
 	Crashes []Crash `json:"crashes,omitempty"`
 }
 
@@ -167,54 +166,54 @@
 	Uses   []ServiceUse `json:"u"`
 }
 
-// BeatAnswer is what a store tells an entry host.
+// BeatAnswer is a store's response to the heartbeat of an entry host.
 type BeatAnswer struct {
-	// Store is the boot of the store that numbers Hosts and Servers.
+	// Store is the boot of the store that issues the versions of the tables below.
 	Store uint64 `json:"store"`
-	// InTouch is false while the store is cut off from the other stores.
+	// InTouch is false while the store is partitioned from the other stores.
 	InTouch bool `json:"in_touch"`
-	// Generation is that of the state held by the store.
+	// Generation is that of the state that the store holds.
 	Generation uint64 `json:"generation"`
-	// Region and Hall say where the store is.
+	// Location of the store.
 	Region string `json:"region"`
 	Hall   string `json:"hall"`
 	// Stores are the peer addresses of all stores.
 	Stores []string `json:"stores,omitempty"`
-	// Partial is set while the store has not been up for long enough to have
-	// heard of every host: what it does not name may be there all the same.
+	// Partial is set while the store has not been up long enough to have received a
+	// heartbeat of every host: hosts that it does not list may exist nevertheless.
 	Partial bool `json:"partial,omitempty"`
-	// Hosts is the whole table of entry hosts when its number changed.
+	// Hosts is the whole table of entry hosts, sent when its version changed.
 	HostsAt   uint64      `json:"hosts_at,omitempty"`
 	Hosts     []FleetHost `json:"hosts,omitempty"`
 	ServersAt uint64      `json:"servers_at,omitempty"`
-	// ServersAgeMS is how long ago the list of servers was asked for.
+	// ServersAgeMS is how long ago the server list was requested, in ms.
 	ServersAgeMS int64    `json:"servers_age_ms,omitempty"`
 	Servers      []Server `json:"servers,omitempty"`
-	// Uses are what the region's other hosts have in flight.
+	// Uses is what the other hosts of the region have in flight.
 	Uses []ServerUse `json:"uses,omitempty"`
 	// Regions is the load of all regions.
 	Regions []RegionUse `json:"regions,omitempty"`
-	// Crashes are those of requests that are held back, whole when their number changed.
+	// Crashes are those of quarantined requests: the whole list, sent when its version changed.
 	CrashesAt uint64  `json:"crashes_at,omitempty"`
 	Crashes   []Crash `json:"crashes,omitempty"`
-	// Limits are those of servers that changed since the number that was asked with.
+	// Limits are those that changed since the version named in the heartbeat.
 	LimitsAt uint64        `json:"limits_at,omitempty"`
 	Limits   []ServerLimit `json:"limits,omitempty"`
 }
 
-// ServerPart is the list of backend servers of one region, as one store tells
+// ServerPart is the list of backend servers of one region, as sent by one store to
 // another.
 type ServerPart struct {
 	Region  string `json:"region"`
 	Version uint64 `json:"version"`
-	// AgeMS is how long ago the list was asked for, in ms.
+	// AgeMS is how long ago the list was requested, in ms.
 	AgeMS int64 `json:"age_ms"`
-	// Same is set when the list is that of the version sent before.
+	// Same is set if the list has not changed since the version sent before.
 	Same    bool     `json:"same,omitempty"`
 	Servers []Server `json:"servers,omitempty"`
 }
 
-// RegionLoad is the load of the hosts of a region that take their news from one
+// RegionLoad is the load of the hosts of a region that take their updates from one
 // store.
 type RegionLoad struct {
 	Region string       `json:"r"`
@@ -222,24 +221,24 @@
 	Uses   []ServiceUse `json:"u,omitempty"`
 }
 
-// StoreNews is what a store tells each other store: the part of the list of servers
-// that it has read, and the load of the hosts that take their news from it.
+// StoreNews is the update that a store sends to each other store: the part of the server
+// list that it has read, and the load of the hosts that take their updates from it.
 type StoreNews struct {
-	// Store is the boot of the store that numbers the parts, Address where it is
-	// reached, Region where it stands.
+	// Store is the boot of the sending store, which issues the versions of the parts. Address
+	// is where it is reached, Region where it is located.
 	Store   uint64       `json:"store"`
 	Address string       `json:"address"`
 	Region  string       `json:"region"`
 	Parts   []ServerPart `json:"parts,omitempty"`
 	Loads   []RegionLoad `json:"loads,omitempty"`
-	// Uses are told to stores of the same region only.
+	// Uses are sent only to stores of the same region.
 	Uses []ServerUse `json:"uses,omitempty"`
 	Caps CapNews     `json:"caps,omitzero"`
 }
 
-// StoreNewsAnswer says which parts were not understood, and lends parts of caps.
+// StoreNewsAnswer is the response to a store's update. It leases shares of caps to the sender.
 type StoreNewsAnswer struct {
 	Caps CapSheet `json:"caps,omitzero"`
-	// Missing are the regions whose parts must be sent whole.
+	// Missing lists the regions whose part must be sent in full.
 	Missing []string `json:"missing,omitempty"`
 }
--- a/caps.go
+++ b/caps.go
@@ -2,93 +2,96 @@
 
 import "context"
 
-// CapWant asks a store for units of a workspace's cap.
+// CapWant is a request for units of one workspace's cap.
 type CapWant struct {
 	Workspace string  `json:"w"`
 	Units     float64 `json:"u"`
-	// Ahead are units for requests that are about to come, if there are any to spare.
+	// Ahead is a number of further units for expected requests, granted only if there are
+	// any to spare.
 	Ahead float64 `json:"a,omitempty"`
 }
 
-// CapAsk is what an entry host asks of a store before it sends requests to backend
-// servers.
+// CapAsk is an entry host's request to a store for cap units, made before the host sends
+// requests to backend servers.
 type CapAsk struct {
 	Host string `json:"h"`
-	// Boot differs between two starts of the host's process.
+	// Boot identifies one start of the host's process.
 	Boot uint64 `json:"b"`
-	// Moved is set when another store said that this one has the units.
+	// Moved is set when another store referred the host to this one.
 	Moved bool      `json:"m,omitempty"`
 	Wants []CapWant `json:"wants"`
 }
 
-// CapGrant answers one CapWant.
+// CapGrant is the response to the request for one workspace.
 type CapGrant struct {
 	Granted bool `json:"g,omitempty"`
-	// Ahead are the units given besides.
+	// Ahead is the number of further units granted for expected requests.
 	Ahead float64 `json:"x,omitempty"`
-	// AfterMS is when the units wanted are likely to be had, in ms, if they are not now.
+	// AfterMS is how long until the units are likely to be available, in ms, if they were not
+	// granted.
 	AfterMS int64 `json:"a,omitempty"`
-	// Elsewhere is the address of a store that seems to have the units, if this one has
+	// Elsewhere is the address of another store that probably has the units, if this one does
 	// not.
 	Elsewhere string `json:"e,omitempty"`
-	// Alone is what the host may send of the workspace, in units a second, while no
-	// store answers it, for AloneMS after it asked.
+	// Alone is the rate, in units per second, at which the host may send requests of the
+	// workspace while no store responds to it. It is valid for AloneMS after the request.
 	Alone   float64 `json:"r,omitempty"`
 	AloneMS int64   `json:"t,omitempty"`
 }
 
-// CapAnswer answers a CapAsk, in its order.
+// CapAnswer is the response to a request for cap units, with the grants in the order of the
+// request.
 type CapAnswer struct {
 	Grants []CapGrant `json:"grants"`
 }
 
-// CapDemand is what a store's hosts ask of a workspace's cap, in units a second, and
-// what the store has to spare of it, in units.
+// CapDemand is a store's demand for a workspace's cap: what its hosts request, in units per
+// second, and what the store can spare, in units.
 type CapDemand struct {
 	Workspace string `json:"w"`
 	Units     int64  `json:"u,omitempty"`
 	Spare     int64  `json:"s,omitempty"`
 }
 
-// CapShare is a part of a workspace's cap, from 0 to 1.
+// CapShare is a share of a workspace's cap, from 0 to 1.
 type CapShare struct {
 	Workspace string  `json:"w"`
 	Share     float64 `json:"s"`
 }
 
-// CapSheet lends another store parts of caps. A later one replaces it.
+// CapSheet leases shares of caps to another store. A later lease replaces it.
 type CapSheet struct {
-	// Giver is the boot of the store that numbers its sheets.
+	// Giver is the boot of the store that grants the lease and issues its number.
 	Giver  uint64     `json:"g"`
 	Number uint64     `json:"n"`
 	Shares []CapShare `json:"s,omitempty"`
-	// Holds is the boot of the store asked, of whose last sheet the giver goes by; 0
-	// without one.
+	// Holds is the boot under which the receiving store issued the lease that the granting
+	// store uses itself; 0 if there is none.
 	Holds uint64 `json:"h,omitempty"`
 }
 
-// CapNews is what a store tells another one of caps.
+// CapNews is the part of a store's update that concerns caps.
 type CapNews struct {
-	// Ready is set while the store uses its own part.
+	// Ready is set while the store uses its own share.
 	Ready   bool        `json:"r,omitempty"`
 	Demands []CapDemand `json:"d,omitempty"`
-	// Giver and Number are those of the last sheet taken from the store told.
+	// Giver and Number identify the last lease accepted from the receiving store.
 	Giver  uint64 `json:"g,omitempty"`
 	Number uint64 `json:"n,omitempty"`
 }
 
-// CapLimiter holds the caps of workspaces over all hosts.
+// CapLimiter enforces the caps of workspaces over all hosts.
 type CapLimiter interface {
-	// Take draws units for a request that is to be sent now. Its error, nil when the
-	// request may be sent, says why not and when the caller should come back.
+	// Take draws units for a request that is to be sent now. It returns nil if the request
+	// may be sent; otherwise the error gives the reason and when the caller should retry.
 	Take(ctx context.Context, w *Workspace, units float64) *Error
-	// Return gives back the units of a request that was not run.
+	// Return gives back the units of a request that did not run.
 	Return(w *Workspace, units float64)
 }
 
-// StoreAt is where a store is reached.
+// StoreAt is the address of a store.
 type StoreAt struct {
 	Address string
-	// Near is set for one of the host's own region.
+	// Near is set for a store in the host's own region.
 	Near bool
 }
--- a/clock.go
+++ b/clock.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// Clock tells the time by which ages, leases and deadlines are judged. It goes on while
-// the machine is suspended, and never steps: moments of one clock may be compared with
-// each other only, not with those of time.Now, of another machine, or of another start.
+// Clock is the time source for ages, leases and deadlines. It advances while the machine is
+// suspended, and it never jumps. Times of one clock can only be compared with each other, not
+// with those of time.Now, of another machine, or of another start of the process.
 type Clock interface {
 	Now() time.Time
 }
 
-// SteadyClock is the process's steady clock, which stands still while the machine is
-// suspended.
+// SteadyClock is Go's monotonic clock, which does not advance while the machine is suspended.
 type SteadyClock struct{}
 
 // Now implements Clock.
--- a/contract.go
+++ b/contract.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Identity is what the client directory knows of a client.
+// Identity is a client's record in the client directory.
 type Identity struct {
 	Client string `json:"client"`
 	Class  string `json:"class"`
-	// Home is the region in which claims of the client are kept.
+	// Home is the region that stores the client's claims.
 	Home string `json:"home,omitempty"`
 }
 
-// Directory finds clients by credential.
+// Directory looks up clients by credential.
 type Directory interface {
 	// Lookup returns an *Error with ReasonUnauthorized for an unknown credential.
 	Lookup(ctx context.Context, credential string) (Identity, error)
 }
 
-// HostHint is a line of the platform's host list, which lags behind reality.
+// HostHint is an entry of the platform's host list, which may be out of date.
 type HostHint struct {
 	Host    string `json:"host"`
 	Leaving bool   `json:"leaving"`
 }
 
-// HostList is the platform's list of live and leaving hosts.
+// HostList reads the platform's list of live and leaving hosts.
 type HostList interface {
 	Hosts(ctx context.Context) ([]HostHint, error)
 }
 
-// Call is one request on its way to a backend server.
+// Call is one request to be sent to a backend server.
 type Call struct {
 	ID          string
 	Method      string
@@ -41,36 +41,36 @@
 	Priority    int
 	Key         string
 	Deadline    time.Time
-	// Skip is the number of tokens already relayed when a stream is resumed.
+	// Skip is the number of tokens already relayed to the caller when a stream is resumed.
 	Skip int
-	// Extra headers, for the peer listener only.
+	// Extra holds additional headers, for the peer listener only.
 	Extra [][2]string
-	// Heard takes the status and the headers of the answer as soon as they are read, also of
-	// one that becomes an error; nil if nobody listens. values holds until its
-	// next call.
+	// Heard, if not nil, is called with the status and headers of the response as soon as
+	// they are read, also for a response that is turned into an error. A result of values is
+	// valid until the next call of values.
 	Heard func(status int, values func(name string) [][]byte)
 }
 
-// Answer is a backend server's answer whose body is still to be read.
+// Answer is a backend server's response whose body has not been read yet.
 type Answer struct {
 	Status      int
 	ContentType string
 	// Header must not be called once Body is closed.
 	Header func(name string) string
 	Body   io.ReadCloser
-	// Abort makes a Read of Body that is under way fail at once. It may be
-	// called at any time before Body is closed.
+	// Abort makes a pending Read of Body fail immediately. It may be called at any
+	// time before Body is closed.
 	Abort func()
 }
 
-// BackendServer reaches a backend server of one dialect.
+// BackendServer sends requests to backend servers of one dialect.
 type BackendServer interface {
 	// Send dispatches a call once. Its *Error has OutcomeNotRun only when no
-	// byte of the call can have left, or when the server itself says so.
+	// byte of the call can have been sent, or when the server itself reports it.
 	Send(ctx context.Context, address string, call *Call) (*Answer, error)
-	// Cancel ends a call that nobody waits for; it is safe to call twice.
+	// Cancel cancels a call whose caller no longer waits. It is idempotent.
 	Cancel(ctx context.Context, address, id string) error
-	// Load asks for the server's own, lagging report.
+	// Load requests the server's own load report, which lags behind its actual load.
 	Load(ctx context.Context, address string) (LoadReport, error)
 }
 
@@ -80,24 +80,24 @@
 	ActionUnload = "unload"
 )
 
-// Order tells a model engine to load or drop a version of a model.
+// Order instructs a model engine to load or unload a version of a model.
 type Order struct {
-	// Fence grows with each new order giver; an engine that checks refuses an
-	// order whose fence is below one it has seen.
+	// Fence is a fencing token that grows with each new issuer of orders. An engine that
+	// checks fences refuses an order with a lower fence than it has seen before.
 	Fence   uint64 `json:"fence"`
 	Action  string `json:"action"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
 }
 
-// OrderTaker is a backend server that takes orders. An order to load returns
-// once it is taken; the model is ready when Load reports it.
+// OrderTaker is a backend server that accepts orders. An order to load a model returns
+// once it is accepted; the model is ready when the load report lists it.
 type OrderTaker interface {
 	BackendServer
 	Order(ctx context.Context, address string, o Order) error
 }
 
-// Candidate is a backend server that could take a call.
+// Candidate is a backend server that is eligible for a call.
 type Candidate struct {
 	Name     string
 	Address  string
@@ -105,23 +105,23 @@
 	InFlight int
 	Running  int
 	Waiting  int
-	// Pending is how many calls from here wait for their first byte: prefills
-	// share the engine, so they weigh more.
+	// Pending is the number of calls from this gateway that wait for their first byte.
+	// They weigh more than others because prefills share the engine.
 	Pending int
-	// Hash is the server's name hashed once.
+	// Hash is the precomputed hash of the server's name.
 	Hash uint64
 }
 
-// Picker chooses among candidates inside a region.
+// Picker chooses a candidate within a region.
 type Picker interface {
-	// Pick returns an index into candidates, which is not empty. prefix is the
-	// hash of the part of the prompt that caches may hold; 0 when there is none.
+	// Pick returns an index into candidates, which must not be empty. prefix is the
+	// hash of the prompt prefix that may be cached; 0 if there is none.
 	Pick(prefix uint64, candidates []Candidate) int
 }
 
-// StateMachine is what a replicated log drives.
+// StateMachine applies the commands of a replicated log.
 type StateMachine interface {
-	// Apply runs one committed command and returns its answer.
+	// Apply executes one committed command and returns its result.
 	Apply(index uint64, command []byte) []byte
 	// Snapshot returns the whole state.
 	Snapshot() ([]byte, error)
@@ -129,11 +129,12 @@
 	Restore(snapshot []byte) error
 }
 
-// Proposer puts commands through the replicated log.
+// Proposer submits commands to the replicated log.
 type Proposer interface {
-	// Propose returns the state machine's answer once the command is committed
-	// and applied here. Its *Error says not-run when it cannot have been logged.
+	// Propose returns the state machine's result once the command is committed
+	// and applied locally. Its *Error has OutcomeNotRun when the command cannot have
+	// entered the log.
 	Propose(ctx context.Context, command []byte) ([]byte, error)
-	// ReadBarrier returns once all that was committed before the call is applied.
+	// ReadBarrier returns once everything committed before the call is applied locally.
 	ReadBarrier(ctx context.Context) error
 }
--- a/crash.go
+++ b/crash.go
@@ -1,18 +1,19 @@
 package wheelgauge
 
-// Fingerprint names what a request asks: its tries, at any host, have the same one.
+// Fingerprint identifies the content of a request: all attempts of it, at any host, have
+// the same fingerprint.
 type Fingerprint string
 
-// Crash says that a backend server ended while a request was in flight at it. The
-// request may have ended it, or have stood beside the one that did.
+// Crash records that a backend server terminated while a request was in flight on it. The
+// request may have caused the crash, or it may have run beside the one that did.
 type Crash struct {
 	Request Fingerprint `json:"q"`
-	// Size is that of the request's body, in bytes: requests of other sizes need no
-	// fingerprint to be told from it.
+	// Size is the length of the request body in bytes. Requests of another size can be told
+	// apart without computing their fingerprints.
 	Size int `json:"z,omitempty"`
-	// Server names one start of the server.
+	// Server identifies one start of the server.
 	Server string `json:"i"`
-	// Cleared is set once the request ran somewhere and the server there did not end:
-	// another one ended this server. It is never taken back.
+	// Cleared is set once the request ran on a server that did not crash, which shows that
+	// another request caused this crash. It is never unset.
 	Cleared bool `json:"c,omitempty"`
 }
--- a/error.go
+++ b/error.go
@@ -10,7 +10,7 @@
 // Reason is the machine-readable cause of an Error.
 type Reason string
 
-// Reasons used across the programs.
+// Reasons used by all programs.
 const (
 	ReasonBadRequest      Reason = "bad-request"
 	ReasonTooLarge        Reason = "too-large"
@@ -32,7 +32,7 @@
 	ReasonClaimHeld       Reason = "claim-held"
 	ReasonClaimStore      Reason = "claim-store"
 	ReasonConflict        Reason = "conflict"
-	// ReasonUnderWay: the same order was taken before and is being carried out.
+	// ReasonUnderWay: the same order was accepted before and is in progress.
 	ReasonUnderWay Reason = "under-way"
 	ReasonInvalid  Reason = "invalid"
 	ReasonTooOld   Reason = "too-old"
@@ -40,7 +40,7 @@
 	ReasonInternal Reason = "internal"
 )
 
-// Error is the error answer of every program. It travels as JSON.
+// Error is the error response of every program, sent as JSON.
 type Error struct {
 	reason     Reason
 	outcome    Outcome
@@ -68,8 +68,8 @@
 	return &Error{reason: reason, outcome: outcome, status: status, detail: detail}
 }
 
-// AsError returns the *Error in the chain of err, or an internal one with
-// outcome unknown.
+// AsError returns the *Error in the chain of err, or a new one with
+// ReasonInternal and OutcomeUnknown.
 func AsError(err error) *Error {
 	if e, ok := errors.AsType[*Error](err); ok {
 		return e
@@ -77,29 +77,29 @@
 	return NewError(ReasonInternal, OutcomeUnknown, 500, err.Error())
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy that tells the caller how long to wait before a retry.
 func (e *Error) WithRetryAfter(wait time.Duration) *Error {
 	c := *e
 	c.retryAfter = wait
 	return &c
 }
 
-// WithRequestID returns a copy that names the request.
+// WithRequestID returns a copy with the ID of the request.
 func (e *Error) WithRequestID(id string) *Error {
 	c := *e
 	c.requestID = id
 	return &c
 }
 
-// WithEntries returns a copy that lists the hosts the caller may use.
+// WithEntries returns a copy that lists hosts that the caller may use instead.
 func (e *Error) WithEntries(entries []Entry) *Error {
 	c := *e
 	c.entries = entries
 	return &c
 }
 
-// WithSends returns a copy that tells a gateway how many servers the request was
-// sent to. It travels as a header.
+// WithSends returns a copy that tells the forwarding gateway how many servers the
+// request was sent to. The number is sent as a header, not in the JSON.
 func (e *Error) WithSends(sends int) *Error {
 	c := *e
 	c.sends = sends
@@ -116,22 +116,22 @@
 // Reason returns the machine-readable cause.
 func (e *Error) Reason() Reason { return e.reason }
 
-// Outcome returns what may be assumed about the execution.
+// Outcome returns what the caller may assume about the execution.
 func (e *Error) Outcome() Outcome { return e.outcome }
 
 // Status returns the HTTP status.
 func (e *Error) Status() int { return e.status }
 
-// RetryAfter returns when to come back; zero means not stated.
+// RetryAfter returns how long to wait before a retry; zero means not stated.
 func (e *Error) RetryAfter() time.Duration { return e.retryAfter }
 
-// Detail returns the text for a person.
+// Detail returns the human-readable description.
 func (e *Error) Detail() string { return e.detail }
 
-// Entries returns the hosts the caller may use instead.
+// Entries returns hosts that the caller may use instead.
 func (e *Error) Entries() []Entry { return e.entries }
 
-// Sends returns how many servers the request was sent to, as far as is told.
+// Sends returns how many servers the request was sent to; zero if not reported.
 func (e *Error) Sends() int { return e.sends }
 
 // Error implements error.
@@ -152,7 +152,7 @@
 func (e *Error) UnmarshalJSON(data []byte) error {
 	var m errorMessage
 	if err := json.Unmarshal(data, &m); err != nil {
-		return fmt.Errorf("decode error answer: %w", err)
+		return fmt.Errorf("decode error response: %w", err)
 	}
 	*e = Error{
 		reason: m.Reason, outcome: m.Outcome, status: m.Status,
--- a/limits.go
+++ b/limits.go
@@ -5,54 +5,58 @@
 	"time"
 )
 
-// MostPermitWait is how long before its time a permit is given at most. A store that starts
-// anew does not know what was given ahead, and hosts that wait use it beside what it gives.
+// MostPermitWait bounds how long before a request may be sent its permit is granted. A store
+// that restarts does not know about permits granted in advance, and hosts use those in addition
+// to the permits that it grants.
 const MostPermitWait = 300 * time.Millisecond
 
-// ServerLimit is what a start of a backend server last said of the requests that it takes
+// ServerLimit is the request rate that one start of a backend server last announced to accept
 // from all hosts together.
 type ServerLimit struct {
-	// Server names the start: the instance, and when it was born if the list tells that.
+	// Server identifies the start of the server: the instance and, if the server list gives
+	// it, the start time.
 	Server string `json:"s"`
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64 `json:"r,omitempty"`
-	// None is set when the server no longer has a limit.
+	// None is set when the server has lifted its limit.
 	None bool `json:"n,omitempty"`
-	// AgeMS is how long ago the server said so, in ms.
+	// AgeMS is how long ago the server announced this, in ms.
 	AgeMS int64 `json:"a,omitempty"`
 }
 
-// PermitAsk asks a store of the region whether one request may be sent to a server that
-// has named a limit.
+// PermitAsk is a request to a store of the region for permission to send one request to a
+// server that has announced a limit.
 type PermitAsk struct {
 	Limit ServerLimit `json:"l"`
-	// PatienceMS is how long the request may wait for its permit, in ms.
+	// PatienceMS is the longest that the request may wait before it is sent, in ms.
 	PatienceMS int64 `json:"p,omitempty"`
-	// Instead is set when the store that gives the server's permits does not answer.
+	// Instead is set when the store that normally grants this server's permits does not
+	// respond, and another one is asked.
 	Instead bool `json:"i,omitempty"`
 }
 
-// PermitAnswer answers a PermitAsk.
+// PermitAnswer is the response to a permit request.
 type PermitAnswer struct {
 	Granted bool `json:"g,omitempty"`
-	// AfterMS is from when on the request may be sent, in ms, or when to ask again if it
-	// is not granted.
+	// AfterMS is the delay after which the request may be sent or, if it was not granted,
+	// the permit may be requested again, in ms.
 	AfterMS int64 `json:"a,omitempty"`
-	// Limit is what the store knows of the server.
+	// Limit is the server's limit as known to the store.
 	Limit ServerLimit `json:"l"`
 }
 
-// Permits bounds what servers that have named a limit get from all hosts together.
+// Permits enforces the limits that servers have announced, over all hosts together.
 type Permits interface {
-	// Take tells whether a request that has so much patience may be sent to a start of a
-	// server, which may have no limit, and after which time, unless the limit has changed
-	// by then; if not, when to ask again.
+	// Take requests a permit for a request that may wait as long as patience. server is one
+	// start of a server and need not have a limit. If ok, the request may be sent after the
+	// returned delay, unless the limit has changed by then; otherwise the delay is when to
+	// try again.
 	Take(ctx context.Context, server string, patience time.Duration) (after time.Duration, ok bool)
 }
 
-// RegionStore is a store of the host's own region.
+// RegionStore is a store in the host's own region.
 type RegionStore struct {
 	Address string
-	// Answers is false for one that is silent.
+	// Answers is false while the store does not respond.
 	Answers bool
 }
--- a/message.go
+++ b/message.go
@@ -12,12 +12,12 @@
 	HeaderDeadline      = "Wheelgauge-Deadline-Ms"
 	HeaderServed        = "Wheelgauge-Served-By"
 	HeaderRegion        = "Wheelgauge-Region"
-	// HeaderLimit is the requests a second that a server in need takes from all hosts
-	// together, as it says in its answers.
+	// HeaderLimit carries, in responses of an overloaded server, the requests per second
+	// that it accepts from all hosts together.
 	HeaderLimit = "Wheelgauge-Limit"
-	// HeaderLeaving is "1" in the answers of a server that leaves.
+	// HeaderLeaving is "1" in the responses of a server that is leaving.
 	HeaderLeaving = "Wheelgauge-Leaving"
-	// The headers below exist on the peer listener only.
+	// The headers below are used on the peer listener only.
 	HeaderForwardedFrom = "Wheelgauge-Forwarded-From"
 	HeaderMust          = "Wheelgauge-Forward-Must"
 	HeaderClient        = "Wheelgauge-Client"
@@ -26,7 +26,7 @@
 	HeaderPriority      = "Wheelgauge-Priority"
 	// HeaderWorkspace names the workspace of a forwarded request.
 	HeaderWorkspace = "Wheelgauge-Workspace"
-	// HeaderSends tells a gateway that forwarded a request how many servers it
+	// HeaderSends reports to the forwarding gateway how many servers the request
 	// was sent to.
 	HeaderSends = "Wheelgauge-Sends"
 )
@@ -38,70 +38,71 @@
 	Address string `json:"address"`
 }
 
-// EntryList answers GET /v1/entry, best host first.
+// EntryList is the response to GET /v1/entry, best host first.
 type EntryList struct {
 	Entries []Entry `json:"entries"`
 	TTLMS   int64   `json:"ttl_ms"`
 }
 
-// ChangeOp is the operation of a Change.
+// ChangeOp is the operation of a change.
 type ChangeOp string
 
-// Operations of a Change.
+// Operations of a change.
 const (
 	OpPut    ChangeOp = "put"
 	OpDelete ChangeOp = "delete"
-	// OpAccept turns a pending spec into the accepted one.
+	// OpAccept makes a pending spec the accepted one.
 	OpAccept ChangeOp = "accept"
 )
 
-// Change is one operator's change of one resource.
+// Change is an operator's request to change one resource.
 type Change struct {
-	// ID names the change; the same ID gets the first answer again.
+	// ID identifies the change. Repeating an ID returns the first result again.
 	ID   string   `json:"id"`
 	Op   ChangeOp `json:"op"`
 	Kind Kind     `json:"kind"`
 	Name string   `json:"name"`
-	// Expected is the resource generation the operator saw; 0 means new; nil means any.
+	// Expected is the resource generation that the operator saw: 0 for a new resource, nil
+	// to accept any.
 	Expected *uint64         `json:"expected,omitempty"`
 	Spec     json.RawMessage `json:"spec,omitempty"`
 	Operator string          `json:"operator,omitempty"`
 }
 
-// ChangeResult answers a Change.
+// ChangeResult is the response to a change.
 type ChangeResult struct {
 	ID         string `json:"id"`
 	Generation uint64 `json:"generation"`
-	// Pending is true while a change that takes rights away is not yet accepted.
+	// Pending is true while a change that removes rights is not accepted yet.
 	Pending bool `json:"pending,omitempty"`
-	// Waiting names the hosts that have not acknowledged a pending change.
+	// Waiting lists the hosts that have not acknowledged a pending change.
 	Waiting []string `json:"waiting,omitempty"`
 	Error   *Error   `json:"error,omitempty"`
 }
 
-// Event is one change seen by a watch.
+// Event is one change reported by a watch.
 type Event struct {
 	Generation uint64   `json:"generation"`
 	Deleted    bool     `json:"deleted,omitempty"`
 	Resource   Resource `json:"resource"`
 }
 
-// WatchAnswer answers GET /v1/watch. With no events it is a bookmark: proof
-// that the store still makes progress at Generation.
+// WatchAnswer is the response to GET /v1/watch. Without events it is a bookmark: it
+// confirms that the store is still making progress at Generation.
 type WatchAnswer struct {
 	Generation uint64  `json:"generation"`
 	Events     []Event `json:"events,omitempty"`
-	// InTouch is false while the store is cut off from the other stores.
+	// InTouch is false while the store is partitioned from the other stores.
 	InTouch bool `json:"in_touch"`
 }
 
-// ListAnswer answers GET /v1/resources.
+// ListAnswer is the response to GET /v1/resources.
 type ListAnswer struct {
 	Generation uint64     `json:"generation"`
 	Resources  []Resource `json:"resources"`
 }
 
-// InForce says which generation a host obeys.
+// InForce reports the configuration generation that a host applies.
 type InForce struct {
 	Host       string `json:"host"`
 	Region     string `json:"region"`
@@ -114,19 +115,21 @@
 
 // States of a claim.
 const (
-	// ClaimNew: the asker holds the claim and may dispatch once.
+	// ClaimNew: the requester holds the claim and may dispatch once.
 	ClaimNew ClaimState = "new"
-	// ClaimRunning: another attempt holds it; its end is not known.
+	// ClaimRunning: another attempt holds the claim, and its result is not known.
 	ClaimRunning ClaimState = "running"
-	// ClaimDone: the recorded answer is given.
+	// ClaimDone: the recorded response is returned.
 	ClaimDone ClaimState = "done"
-	// ClaimReleased: the holder proved that nothing left; the next asker gets it.
+	// ClaimReleased: the holder proved that it sent nothing; the next requester gets the
+	// claim.
 	ClaimReleased ClaimState = "released"
-	// ClaimLost: the store lost its disk and cannot tell whether the key ran.
+	// ClaimLost: the store lost its disk and cannot tell whether the request with this key
+	// ran.
 	ClaimLost ClaimState = "lost"
 )
 
-// Claim asks for, or ends, the right to run a call that is not repeatable.
+// Claim requests or ends the right to run a call that is not repeatable.
 type Claim struct {
 	Client string     `json:"client"`
 	Key    string     `json:"key"`
@@ -138,7 +141,7 @@
 	Body   []byte     `json:"body,omitempty"`
 }
 
-// LoadReport is what a backend server says of itself. It lags.
+// LoadReport is a backend server's own report of its load. It lags behind the actual load.
 type LoadReport struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
@@ -146,66 +149,70 @@
 	Leaving bool `json:"leaving,omitempty"`
 	// TokensPerSecond is the generation rate over the last second.
 	TokensPerSecond float64 `json:"tokens_per_second,omitempty"`
-	// Models are those ready to serve, as "model@version".
+	// Models lists the models that are ready to serve, as "model@version".
 	Models []string `json:"models,omitempty"`
 }
 
-// ModelName joins a model and its version as load reports do.
+// ModelName joins a model and its version in the form used by load reports.
 func ModelName(model, version string) string { return model + "@" + version }
 
-// ServerEntry is what the host that polls a backend server saw last.
+// ServerEntry is the last state of a backend server seen by the host that polls it.
 type ServerEntry struct {
 	Server  string `json:"n"`
 	Alive   bool   `json:"a,omitempty"`
 	Leaving bool   `json:"v,omitempty"`
 	Running int    `json:"u,omitempty"`
 	Waiting int    `json:"w,omitempty"`
-	// Models are those ready, as in LoadReport, separated by commas.
+	// Models lists the ready models, as in a load report, separated by commas.
 	Models string `json:"m,omitempty"`
 }
 
-// Heartbeat is what a host tells its hub each interval.
+// Heartbeat is what a host sends to its hub each interval.
 type Heartbeat struct {
 	Host       string `json:"h"`
 	Boot       uint64 `json:"b"`
 	Leaving    bool   `json:"v,omitempty"`
 	Generation uint64 `json:"g"`
-	// Asks is the work that waits here and may go away, by pool, in requests.
+	// Asks is the number of requests, by pool, that wait at this host and may be forwarded to
+	// another region.
 	Asks map[string]int `json:"k,omitempty"`
-	// Servers are the backend servers this host polls.
+	// Servers are the backend servers that this host polls.
 	Servers []ServerEntry `json:"s,omitempty"`
-	// Since and Hub name the last view received, so that only news comes back.
+	// Since and Hub identify the last view received, so that the hub returns only what
+	// changed since.
 	Since uint64 `json:"i,omitempty"`
 	Hub   uint64 `json:"u,omitempty"`
-	// Crashes are those noted since the last view, CrashesAt names the list held of
-	// those of all hosts; see View.
+	// Crashes are those recorded here since the last view. CrashesAt is the version of the
+	// list for all hosts that this host holds.
 	Crashes   []Crash `json:"c,omitempty"`
 	CrashesAt uint64  `json:"ca,omitempty"`
-	// Limits are those that servers named in answers to this host since the last view,
-	// LimitsAt numbers what the hub told last; see View.
+	// Limits are those that servers announced in responses to this host since the last view.
+	// LimitsAt is the version of the limits last received from the hub.
 	Limits   []ServerLimit `json:"l,omitempty"`
 	LimitsAt uint64        `json:"la,omitempty"`
 }
 
-// HostEntry is a host as its hub sees it.
+// HostEntry is the state of a host as seen by its hub.
 type HostEntry struct {
 	Host    string `json:"h"`
 	Alive   bool   `json:"a,omitempty"`
 	Leaving bool   `json:"v,omitempty"`
 }
 
-// RegionSummary is all that one region tells the others each interval.
+// RegionSummary is what a region sends to each other region each interval.
 type RegionSummary struct {
 	Region string `json:"r"`
 	Hosts  int    `json:"h"`
-	// Down names configured hosts that are dead or leaving.
+	// Down lists configured hosts that are dead or leaving.
 	Down []string `json:"d,omitempty"`
-	// Asks is the work that waits here and may go away, by pool, in requests.
+	// Asks is the number of requests, by pool, that wait in this region and may be forwarded
+	// to another one.
 	Asks  map[string]int         `json:"k,omitempty"`
 	Pools map[string]PoolSummary `json:"p,omitempty"`
-	// Crashes are the latest that hosts of the region noted.
+	// Crashes are the latest ones recorded by hosts of the region.
 	Crashes []Crash `json:"c,omitempty"`
-	// Gone is set by who has not heard of the region for some intervals.
+	// Gone is set by the receiving side when no summary of the region has arrived for several
+	// intervals.
 	Gone bool `json:"x,omitempty"`
 }
 
@@ -214,42 +221,43 @@
 	Slots   int `json:"c"`
 	Running int `json:"u,omitempty"`
 	Waiting int `json:"w,omitempty"`
-	// Grants is the spare capacity, in requests at once, granted to each other region.
+	// Grants is the spare capacity granted to each other region, in concurrent requests.
 	Grants map[string]int `json:"g,omitempty"`
 }
 
-// View answers a Heartbeat with what changed since the view named in it.
+// View is the response to a heartbeat: what changed since the view named in the heartbeat.
 type View struct {
 	Hub     uint64      `json:"u"`
 	Version uint64      `json:"i"`
 	Full    bool        `json:"f,omitempty"`
 	Hosts   []HostEntry `json:"h,omitempty"`
-	// Names gives the backend servers that are new their numbers at this hub.
+	// Names maps the numbers that this hub assigned to new backend servers to their names.
 	Names map[int]string `json:"n,omitempty"`
-	// Models are the ready models of the servers for which they changed.
+	// Models maps server numbers to their ready models, for servers whose models changed.
 	Models map[int]string `json:"m,omitempty"`
-	// Loads are by number, as load reports are most of the traffic.
+	// Loads identify servers by number, because load reports make up most of the traffic.
 	Loads   []ServerLoad    `json:"s,omitempty"`
 	Regions []RegionSummary `json:"r,omitempty"`
-	// Crashes are those of requests to hold back, all of them when their number changed.
+	// Crashes are those of the requests to quarantine: the whole list, sent when its version
+	// changed.
 	CrashesAt uint64  `json:"ca,omitempty"`
 	Crashes   []Crash `json:"c,omitempty"`
-	// Limits are those of servers that changed since the number that was asked with.
+	// Limits are those that changed since the version named in the heartbeat.
 	LimitsAt uint64        `json:"la,omitempty"`
 	Limits   []ServerLimit `json:"l,omitempty"`
 }
 
-// ServerLoad is the state of a backend server in four numbers: its number, its
-// flags, running and waiting.
+// ServerLoad is the packed state of a backend server: its number at the hub, its flags,
+// and its running and waiting requests.
 type ServerLoad [4]int
 
-// Flags of a ServerLoad.
+// Flags of a packed server state.
 const (
 	LoadAlive   = 1
 	LoadLeaving = 2
 )
 
-// NewServerLoad packs an entry.
+// NewServerLoad packs the state of the server with the given number.
 func NewServerLoad(number int, e ServerEntry) ServerLoad {
 	flags := 0
 	if e.Alive {
@@ -261,10 +269,10 @@
 	return ServerLoad{number, flags, e.Running, e.Waiting}
 }
 
-// Number returns the server's number at the hub.
+// Number returns the number that the hub assigned to the server.
 func (l ServerLoad) Number() int { return l[0] }
 
-// Entry unpacks the load of the named server that has models ready.
+// Entry unpacks the state of the server with the given name and ready models.
 func (l ServerLoad) Entry(name, models string) ServerEntry {
 	return ServerEntry{Server: name, Models: models, Alive: l[1]&LoadAlive != 0, Leaving: l[1]&LoadLeaving != 0, Running: l[2], Waiting: l[3]}
 }
--- a/native/config.go
+++ b/native/config.go
@@ -8,11 +8,11 @@
 	"wheelgauge"
 )
 
-// MostBodySize is the largest configuration that is read, in bytes.
-const MostBodySize = 8 << 20
+// MaxBodyBytes is the size of the largest configuration that is accepted.
+const MaxBodyBytes = 8 << 20
 
-// Decode reads a wheelgauge.RouteSet in JSON. Unknown fields are errors: a
-// misspelt one would else be passed over in silence.
+// Decode decodes a wheelgauge.RouteSet from JSON. Unknown fields are errors, so
+// that a misspelled one is not silently ignored.
 func Decode(body []byte) (*wheelgauge.RouteSet, error) {
 	set := &wheelgauge.RouteSet{}
 	d := json.NewDecoder(bytes.NewReader(body))
--- a/native/headers.go
+++ b/native/headers.go
@@ -1,10 +1,10 @@
-// Package native is the routes mode's own dialect: the product's header names,
-// a configuration in the product's own terms, and its API for operators.
+// Package native implements the routes mode's default dialect: the product's header
+// names, a configuration in the product's own terms, and the API for operators.
 package native
 
 import "wheelgauge"
 
-// Headers are the product's own names.
+// Headers returns the product's own header names.
 func Headers() wheelgauge.HeaderNames {
 	return wheelgauge.HeaderNames{
 		RequestID: wheelgauge.HeaderRequestID,
--- a/native/operations.go
+++ b/native/operations.go
@@ -19,12 +19,13 @@
 	PathRollouts = "/v1/rollouts/"
 )
 
-// Version answers an accepted configuration with the version held.
-type Version struct {
+// PutResponse is the response to an accepted configuration, with the version that is
+// current then.
+type PutResponse struct {
 	Version uint64 `json:"version"`
 }
 
-// Control returns the handler of PUT and GET /v1/routes, and of PUT and DELETE
+// Control returns the handler of PUT and GET /v1/routes, of PUT and DELETE
 // /v1/halls/HALL/drain, and of PUT, GET and DELETE /v1/rollouts/SERVICE.
 func Control(o wheelgauge.Operations) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
@@ -33,25 +34,25 @@
 		hall, isDrain := strings.CutSuffix(hall, "/drain")
 		switch {
 		case path == pathRoutes && ctx.IsPut():
-			put(ctx, o)
+			putRoutes(ctx, o)
 		case path == pathRoutes && ctx.IsGet():
-			get(ctx, o)
+			getRoutes(ctx, o)
 		case strings.HasPrefix(path, PathRollouts):
-			rollout(ctx, o, strings.TrimPrefix(path, PathRollouts))
+			handleRollout(ctx, o, strings.TrimPrefix(path, PathRollouts))
 		case isHall && isDrain && (ctx.IsPut() || ctx.IsDelete()):
-			answer(ctx, struct{}{}, o.DrainHall(context.Background(), hall, ctx.IsPut()))
+			respond(ctx, struct{}{}, o.DrainHall(context.Background(), hall, ctx.IsPut()))
 		default:
 			peerhttp.NotFound(ctx)
 		}
 	}
 }
 
-func put(ctx *fasthttp.RequestCtx, o wheelgauge.Operations) {
+func putRoutes(ctx *fasthttp.RequestCtx, o wheelgauge.Operations) {
 	version, err := o.PutRoutes(context.Background(), append([]byte(nil), ctx.PostBody()...))
-	answer(ctx, Version{version}, err)
+	respond(ctx, PutResponse{version}, err)
 }
 
-func get(ctx *fasthttp.RequestCtx, o wheelgauge.Operations) {
+func getRoutes(ctx *fasthttp.RequestCtx, o wheelgauge.Operations) {
 	body, err := o.Routes(context.Background())
 	if err != nil {
 		peerhttp.AnswerError(ctx, err)
@@ -61,8 +62,8 @@
 	ctx.SetBody(body)
 }
 
-// rollout starts a rollout of a service, tells of its last one, or takes it back.
-func rollout(ctx *fasthttp.RequestCtx, o wheelgauge.Operations, service string) {
+// handleRollout starts a rollout of a service, returns its last one, or rolls it back.
+func handleRollout(ctx *fasthttp.RequestCtx, o wheelgauge.Operations, service string) {
 	switch {
 	case ctx.IsPut():
 		order, err := peerhttp.Decode[wheelgauge.RolloutOrder](ctx)
@@ -70,18 +71,18 @@
 			order.Service = service
 			err = o.StartRollout(context.Background(), order)
 		}
-		answer(ctx, struct{}{}, err)
+		respond(ctx, struct{}{}, err)
 	case ctx.IsGet():
 		r, err := o.Rollout(context.Background(), service)
-		answer(ctx, r, err)
+		respond(ctx, r, err)
 	case ctx.IsDelete():
-		answer(ctx, struct{}{}, o.AbortRollout(context.Background(), service))
+		respond(ctx, struct{}{}, o.AbortRollout(context.Background(), service))
 	default:
 		peerhttp.NotFound(ctx)
 	}
 }
 
-func answer(ctx *fasthttp.RequestCtx, v any, err error) {
+func respond(ctx *fasthttp.RequestCtx, v any, err error) {
 	if err != nil {
 		peerhttp.AnswerError(ctx, err)
 		return
@@ -89,8 +90,8 @@
 	peerhttp.Answer(ctx, v)
 }
 
-// Entry returns the handler of GET /v1/entry?name=HOST&region=R.
-func Entry(o wheelgauge.Operations) fasthttp.RequestHandler {
+// EntryHandler returns the handler of GET /v1/entry?name=HOST&region=R.
+func EntryHandler(o wheelgauge.Operations) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if string(ctx.Path()) != pathEntry {
 			peerhttp.NotFound(ctx)
@@ -98,11 +99,11 @@
 		}
 		args := ctx.QueryArgs()
 		region := string(args.Peek("region"))
-		addresses, hold, err := o.EntryAddresses(string(args.Peek("name")), region)
-		list := wheelgauge.EntryList{TTLMS: hold.Milliseconds()}
+		addresses, ttl, err := o.EntryAddresses(string(args.Peek("name")), region)
+		list := wheelgauge.EntryList{TTLMS: ttl.Milliseconds()}
 		for _, a := range addresses {
 			list.Entries = append(list.Entries, wheelgauge.Entry{Region: region, Address: a})
 		}
-		answer(ctx, list, err)
+		respond(ctx, list, err)
 	}
 }
--- a/native/servers.go
+++ b/native/servers.go
@@ -12,13 +12,14 @@
 	"wheelgauge/peerhttp"
 )
 
-// ServerList reads GET /v1/servers?halls=A,B, a JSON list of wheelgauge.Server.
+// ServerList reads the server list from GET /v1/servers?halls=A,B, a JSON array of
+// wheelgauge.Server.
 type ServerList struct {
 	address string
 	client  *peerhttp.Client
 }
 
-// NewServerList returns a reader of the list at an address.
+// NewServerList returns a reader of the list served at an address.
 func NewServerList(address string) *ServerList {
 	return &ServerList{address: address, client: peerhttp.NewClient(nil, "")}
 }
@@ -31,7 +32,7 @@
 	}
 	var entries []json.RawMessage
 	if err := l.client.Call(ctx, http.MethodGet, l.address, path, nil, &entries); err != nil {
-		return nil, nil, fmt.Errorf("list of servers: %w", err)
+		return nil, nil, fmt.Errorf("read server list: %w", err)
 	}
 	var out []wheelgauge.Server
 	foreign := wheelgauge.ForeignEntries{}
--- a/outcome.go
+++ b/outcome.go
@@ -1,11 +1,11 @@
 package wheelgauge
 
-// Outcome says what the caller may assume about the execution of a request
-// that was answered with an error.
+// Outcome states what the caller may assume about the execution of a request
+// that ended in an error.
 type Outcome string
 
 const (
-	// OutcomeNotRun promises that no byte of the request reached a backend server.
+	// OutcomeNotRun guarantees that no byte of the request reached a backend server.
 	OutcomeNotRun Outcome = "not-run"
 	// OutcomeUnknown means that the request may have been executed.
 	OutcomeUnknown Outcome = "unknown"
--- a/resource.go
+++ b/resource.go
@@ -5,7 +5,7 @@
 // Kind names a type of resource.
 type Kind string
 
-// Kinds of the resource API.
+// Kinds of resources in the API.
 const (
 	KindRegion        Kind = "Region"
 	KindHall          Kind = "Hall"
@@ -19,7 +19,7 @@
 	KindResidencyRule Kind = "ResidencyRule"
 )
 
-// Kinds lists every kind, in the order in which they refer to each other.
+// Kinds returns every kind, in dependency order.
 func Kinds() []Kind {
 	return []Kind{
 		KindRegion, KindHall, KindHost, KindPool, KindBackendServer,
@@ -28,8 +28,8 @@
 }
 
 // Resource is one configured object. Generation is the configuration
-// generation of its last change. Pending holds a spec that takes rights away
-// and is not accepted yet; gateways obey both specs meanwhile.
+// generation of its last change. Pending holds a spec that removes rights
+// and is not accepted yet; until then gateways enforce both specs.
 type Resource struct {
 	Kind       Kind            `json:"kind"`
 	Name       string          `json:"name"`
@@ -42,11 +42,12 @@
 
 // RegionSpec describes a region.
 type RegionSpec struct {
-	// Price is the cost of 1,000 generated tokens, in the operator's currency.
+	// Price is the cost per 1,000 generated tokens, in the operator's currency.
 	Price float64 `json:"price"`
-	// Links gives the one-way delay to other regions, in milliseconds.
+	// Links maps other regions to the one-way delay to them, in milliseconds.
 	Links map[string]float64 `json:"links_ms,omitempty"`
-	// Claims names the host whose store keeps the claims of clients at home here.
+	// Claims names the host whose store keeps the claims of clients whose home region is
+	// this one.
 	Claims string `json:"claims,omitempty"`
 }
 
@@ -59,12 +60,12 @@
 type HostSpec struct {
 	Region string `json:"region"`
 	Hall   string `json:"hall"`
-	// Caller and Peer are the addresses (IP:port) of the two listeners.
+	// Addresses (IP:port) of the listeners for callers and for peers.
 	Caller string `json:"caller"`
 	Peer   string `json:"peer"`
-	// Store is the peer address of the store on this host, if it has one.
+	// Store is the peer address of the store on this host, if there is one.
 	Store string `json:"store,omitempty"`
-	// Weight scales the share of callers; 1 when zero.
+	// Weight scales the host's share of callers; zero means 1.
 	Weight  float64 `json:"weight,omitempty"`
 	Leaving bool    `json:"leaving,omitempty"`
 }
@@ -75,7 +76,7 @@
 	PoolService = "service"
 )
 
-// PoolSpec describes a set of backend servers that serve the same thing.
+// PoolSpec describes a set of interchangeable backend servers.
 type PoolSpec struct {
 	// Type is PoolEngine or PoolService.
 	Type string `json:"type"`
@@ -87,9 +88,10 @@
 	Region  string `json:"region"`
 	Hall    string `json:"hall"`
 	Address string `json:"address"`
-	// Slots is the number of requests it runs at once.
+	// Slots is the number of requests that the server runs concurrently.
 	Slots int `json:"slots"`
-	// ChecksFences is false when unknown: a new order giver then waits out the lease.
+	// ChecksFences is set if the server is known to check the fences of orders. If not, a new
+	// issuer of orders first waits until the lease of its predecessor has expired.
 	ChecksFences bool `json:"checks_fences,omitempty"`
 	Leaving      bool `json:"leaving,omitempty"`
 }
@@ -101,14 +103,15 @@
 	Bytes    int64    `json:"bytes,omitempty"`
 }
 
-// PlacementSpec says which backend servers hold a model.
+// PlacementSpec assigns a model to backend servers.
 type PlacementSpec struct {
 	Model   string   `json:"model"`
 	Version string   `json:"version,omitempty"`
 	Servers []string `json:"servers"`
 }
 
-// OldPath sends a part of a route's requests to the path that stood before.
+// OldPath sends part of a route's requests to the system that served them before the
+// gateway.
 type OldPath struct {
 	Address string `json:"address"`
 	// Share is the fraction of requests, 0 to 1.
@@ -122,23 +125,23 @@
 	// Path is a prefix below /s/.
 	Path string `json:"path,omitempty"`
 	Pool string `json:"pool"`
-	// NotRepeatable marks every call of the route.
+	// NotRepeatable marks every call of the route as not repeatable.
 	NotRepeatable bool     `json:"not_repeatable,omitempty"`
 	OldPath       *OldPath `json:"old_path,omitempty"`
 }
 
-// ClientClassSpec gives limits and priority to the clients of a class.
+// ClientClassSpec sets the limits and the priority of the clients of a class.
 type ClientClassSpec struct {
-	// Priority: higher is shed later. 0 to 9.
+	// Priority is 0 to 9; requests with a higher priority are shed later.
 	Priority int `json:"priority"`
-	// Rate is requests a second per client and region; 0 means no limit.
+	// Rate is in requests per second, per client and region; 0 means no limit.
 	Rate  float64 `json:"rate,omitempty"`
 	Burst int     `json:"burst,omitempty"`
-	// DeadlineMS is used where the caller states none.
+	// DeadlineMS applies to requests that state no deadline.
 	DeadlineMS int64 `json:"deadline_ms,omitempty"`
 }
 
-// ResidencyRuleSpec limits where a client's data may be processed.
+// ResidencyRuleSpec restricts the regions that may process a client's data.
 type ResidencyRuleSpec struct {
 	// Client is a client name, or "class:NAME" for all clients of a class.
 	Client  string   `json:"client"`
--- a/rollouts.go
+++ b/rollouts.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// RolloutState is how far a rollout has come.
+// RolloutState is the state of a rollout.
 type RolloutState string
 
 // States of a rollout.
 const (
 	RolloutRunning RolloutState = "running"
-	// RolloutCompleted: no host sends requests to another version any more, and none is in
+	// RolloutCompleted: no host sends requests to other versions any more, and none are in
 	// flight there.
 	RolloutCompleted RolloutState = "completed"
-	// RolloutRolledBack: the target version gets no requests.
+	// RolloutRolledBack: the target version receives no requests.
 	RolloutRolledBack RolloutState = "rolled-back"
 )
 
-// RetiredAfter is how long after the time limit of a completed rollout the servers of other
-// versions are gone from the list. Those that stand there later came after it.
+// RetiredAfter is how long after the time limit of a completed rollout servers of other versions
+// are treated as leftovers of it. Those still listed after that were added since and may receive
+// requests.
 const RetiredAfter = time.Minute
 
-// RolloutOrder asks that the requests of a service move to servers of another version.
+// RolloutOrder is an order to move the requests of a service to servers of another version.
 type RolloutOrder struct {
 	Service string `json:"service"`
 	// Version is the target version.
 	Version string `json:"version"`
-	// DurationMS is the time limit of the rollout, in ms from the order on.
+	// DurationMS is the time limit of the rollout, in ms from the time of the order.
 	DurationMS int64 `json:"duration_ms"`
 }
 
 // Rollout is the last rollout of a service.
 type Rollout struct {
 	RolloutOrder
-	// Number names this rollout: the generation of the state that began it.
+	// Number identifies this rollout: it is the generation of the state that started it.
 	Number uint64       `json:"number"`
 	State  RolloutState `json:"state"`
-	// Shifting is set once the target version proved good: requests then move to it in
-	// time for its limit.
+	// Shifting is set once the target version has proved good. Requests then move to it within
+	// the time limit.
 	Shifting bool `json:"shifting,omitempty"`
-	// ElapsedMS is how long it ran, as the group of stores last noted, in ms.
+	// ElapsedMS is how long the rollout has run, as last recorded by the replicated stores, in ms.
 	ElapsedMS int64 `json:"elapsed_ms,omitempty"`
-	// Cause says why it was rolled back.
+	// Cause is the reason why the rollout was rolled back.
 	Cause string `json:"cause,omitempty"`
 }
 
-// RolloutOf returns the rollout of a service among those of all; ok is false without one.
+// RolloutOf returns the rollout of a service; ok is false if there is none.
 func RolloutOf(all []Rollout, service string) (r Rollout, ok bool) {
 	at := slices.IndexFunc(all, func(r Rollout) bool { return r.Service == service })
 	if at < 0 {
@@ -55,32 +56,32 @@
 	return all[at], true
 }
 
-// Running tells whether the rollout is under way.
+// Running reports whether the rollout is in progress.
 func (r Rollout) Running() bool { return r.State == RolloutRunning }
 
-// Left returns what is left of the time limit; negative once it has passed.
+// Left returns the time left until the limit; negative once it has passed.
 func (r Rollout) Left() time.Duration {
 	return time.Duration(r.DurationMS-r.ElapsedMS) * time.Millisecond
 }
 
-// VersionChoice says which versions of a service may get a request. The zero value allows
-// all.
+// VersionChoice selects the versions of a service that may receive a request. The zero value
+// allows all.
 type VersionChoice struct {
 	version string
 	only    bool
 	none    bool
 }
 
-// NoVersion allows none.
+// NoVersion allows no version.
 func NoVersion() VersionChoice { return VersionChoice{none: true} }
 
 // OnlyVersion allows one version.
 func OnlyVersion(version string) VersionChoice { return VersionChoice{version: version, only: true} }
 
-// ExceptVersion allows all versions but one.
+// ExceptVersion allows all versions except one.
 func ExceptVersion(version string) VersionChoice { return VersionChoice{version: version} }
 
-// Allows tells whether a server of a version may get the request.
+// Allows reports whether a server of the given version may receive the request.
 func (c VersionChoice) Allows(version string) bool {
 	return !c.none && (c.version == "" || (version == c.version) == c.only)
 }
@@ -88,64 +89,65 @@
 // Only returns the version if it is the only one allowed.
 func (c VersionChoice) Only() (version string, ok bool) { return c.version, c.only }
 
-// ServerFaults counts bad answers of one server, and all that it gave.
+// ServerFaults counts the failed or slow responses of one server, and all its responses.
 type ServerFaults struct {
 	Server  string `json:"s"`
 	Count   uint64 `json:"n"`
 	Answers uint64 `json:"a,omitempty"`
 }
 
-// VersionCount counts the answers of one side of a rollout on one route.
+// VersionCount counts the responses of one side of a rollout on one route.
 type VersionCount struct {
 	Route string `json:"r"`
-	// Target is set for servers of the target version, and not for all others.
+	// Target is set for the servers of the target version, unset for those of all other versions.
 	Target  bool   `json:"t,omitempty"`
 	Answers uint64 `json:"a"`
-	// Failed are answers that were failures, or broke off.
+	// Failed counts responses that were errors or were cut off.
 	Failed uint64 `json:"f,omitempty"`
-	// Timed are answers whose time could be compared with the usual one, Slow those that
-	// took several times as long.
+	// Timed counts responses whose latency could be compared with the usual one, Slow those of
+	// them that took several times as long.
 	Timed uint64 `json:"m,omitempty"`
 	Slow  uint64 `json:"l,omitempty"`
-	// Faults are the failed and slow answers of those servers that had most of them.
+	// Faults lists the servers with the most failed and slow responses.
 	Faults []ServerFaults `json:"x,omitempty"`
 }
 
-// RolloutReport is what one host did and saw in a rollout since it first knew of it.
+// RolloutReport is what one host did and observed in a rollout since it first knew of it.
 type RolloutReport struct {
 	Service string `json:"s"`
-	// Number is that of the rollout.
+	// Number identifies the rollout.
 	Number uint64 `json:"n"`
-	// Sent are the requests sent to servers of the service, SentTarget those of them to the
-	// target version.
+	// Sent counts the requests sent to servers of the service, SentTarget those of them that
+	// went to the target version.
 	Sent       uint64 `json:"c"`
 	SentTarget uint64 `json:"t,omitempty"`
-	// Settled is set once the host sends nothing to other versions any more and has nothing
-	// in flight there.
+	// Settled is set once the rollout is complete for this host: it sends nothing to other
+	// versions and has nothing in flight there.
 	Settled bool           `json:"e,omitempty"`
 	Counts  []VersionCount `json:"v,omitempty"`
 }
 
-// Verdict is what a VersionJudge holds of the target version.
+// Verdict is the evaluation of the target version of a rollout.
 type Verdict struct {
-	// Bad is set when it is worse than the versions that it replaces.
+	// Bad is set if the target version is worse than the versions that it replaces.
 	Bad bool
-	// Cause names the route and what is worse, with figures.
+	// Cause describes the route and what is worse there, with figures.
 	Cause string
-	// Score is the evidence against the version as a part of what would make it bad.
+	// Score is the evidence against the version, as a fraction of what would make it bad.
 	Score float64
-	// Proof is the evidence that it is as good as a part of what shows it; below 0 it rather
-	// seems worse.
+	// Proof is the evidence that the version is as good, as a fraction of what is required to
+	// show it. Below 0 the version is more likely to be worse.
 	Proof float64
-	// Detects is the smallest part of all answers that would have been found if a version failed
-	// it from the beginning, as far as it was asked; 1 if nothing was seen.
+	// Detects is the smallest fraction of failing responses that would have been detected by now
+	// if the version had failed at that rate from the beginning, given the requests that it
+	// received; 1 if it received none.
 	Detects float64
 }
 
 // VersionJudge compares the target version of a rollout with the versions that it replaces.
 type VersionJudge interface {
-	// Add takes the answers counted since the last call.
+	// Add records the responses counted since the last call.
 	Add(at time.Time, counts []VersionCount)
-	// Verdict judges all that was added, of a version that has so many servers.
+	// Verdict evaluates everything added so far, for a version with the given number of servers.
 	Verdict(servers int) Verdict
 }
--- a/routes.go
+++ b/routes.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// RouteKind says how often a request of a route may run.
+// RouteKind determines how often a request of a route may run.
 type RouteKind string
 
 // Kinds of routes.
@@ -17,72 +17,72 @@
 	RouteRepeatable RouteKind = "repeatable"
 	// RouteOnce requests run at most once.
 	RouteOnce RouteKind = "once"
-	// RouteStream requests are answered by an event stream. They run at most
+	// RouteStream requests are answered with an event stream. They run at most
 	// once unless the route is resumable.
 	RouteStream RouteKind = "stream"
 )
 
-// Share is the part of a route's requests that a service gets.
+// Share is the weight with which a route sends requests to a service.
 type Share struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
 }
 
-// PathRoute sends the requests of a host name and path prefix to services.
+// PathRoute maps requests with a host name and path prefix to services.
 type PathRoute struct {
 	Name   string    `json:"name"`
 	Host   string    `json:"host"`
 	Prefix string    `json:"prefix"`
 	Kind   RouteKind `json:"kind"`
-	// Timeout is the longest that a request may be held.
+	// Timeout bounds the time that a request may take.
 	Timeout time.Duration `json:"timeout_ns"`
-	// Objective is the latency that users want; of streams, to the first event.
+	// Objective is the target latency; for streams, the target time to the first event.
 	Objective time.Duration `json:"objective_ns"`
-	// Pause is the longest pause between events that users want.
+	// Pause is the target for the longest gap between events of a stream.
 	Pause time.Duration `json:"pause_ns"`
-	// Priority is the rank of the route, 0 the most urgent.
+	// Priority is the rank of the route; 0 is the most urgent.
 	Priority int `json:"priority"`
-	// Attempts is the most servers that may run one request.
+	// Attempts is the maximum number of servers that may run one request.
 	Attempts int     `json:"attempts"`
 	Shares   []Share `json:"shares"`
-	// Affinity asks for servers that hold a request's prompt prefix.
+	// Affinity prefers servers that have the request's prompt prefix cached.
 	Affinity  bool `json:"affinity"`
 	Resumable bool `json:"resumable"`
-	// Homes are the only regions that may run or relay a request; empty means all.
+	// Homes lists the only regions that may run or relay a request; empty means all.
 	Homes []string `json:"homes,omitempty"`
-	// Open lets callers without a key of a workspace in.
+	// Open admits callers without the key of a workspace.
 	Open bool `json:"open,omitempty"`
 }
 
-// Repeatable tells whether a request may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (r *PathRoute) Repeatable() bool {
 	return r.Kind == RouteRepeatable || r.Kind == RouteStream && r.Resumable
 }
 
-// AllowedIn tells whether the route's requests may run in a region.
+// AllowedIn reports whether the route's requests may run in a region.
 func (r *PathRoute) AllowedIn(region string) bool { return allowed(r.Homes, region) }
 
 func allowed(homes []string, region string) bool {
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-// Service is a set of backend servers that answer the same requests.
+// Service is a set of backend servers that serve the same requests.
 type Service struct {
 	Name string `json:"name"`
-	// Conns is the most connections that one server accepts from all hosts.
+	// Conns is the maximum number of connections that one server accepts from all hosts.
 	Conns int `json:"conns"`
-	// ColdRate is what a cold server of the service bears, requests a second
-	// from all hosts together; 0 means no bound.
+	// ColdRate is the rate that a cold server of the service can handle, in requests per
+	// second from all hosts together; 0 means no limit.
 	ColdRate float64 `json:"cold_rate"`
-	// CacheTokens is the KV cache of one engine, in tokens; 0 for plain services.
+	// CacheTokens is the KV cache size of one engine, in tokens; 0 for services without one.
 	CacheTokens int `json:"cache_tokens"`
 }
 
-// SlowConnBytes is what a connection holds at most whose other side reads slowly: the buffers
-// of both sides of the relay.
+// SlowConnBytes bounds the memory held by a connection whose peer reads slowly: the buffers
+// on both sides of the relay.
 const SlowConnBytes = 160 << 10
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bounds the size of a caller's request and the time that the caller may take to send it.
 type Limits struct {
 	HeaderBytes   int           `json:"header_bytes"`
 	BodyBytes     int           `json:"body_bytes"`
@@ -90,41 +90,41 @@
 	IdleTimeout   time.Duration `json:"idle_timeout_ns"`
 }
 
-// RouteSet is a whole configuration under an operator's version number.
+// RouteSet is a complete configuration with the operator's version number.
 type RouteSet struct {
 	Version  uint64      `json:"version"`
 	Routes   []PathRoute `json:"routes"`
 	Services []Service   `json:"services"`
 	Limits   Limits      `json:"limits"`
-	// Workspaces are those whose keys are let in; without any, callers need no key.
+	// Workspaces are those whose keys are accepted; if there are none, callers need no key.
 	Workspaces []Workspace `json:"workspaces,omitempty"`
 }
 
-// RouteDecoder reads a whole configuration in an operator's form. Its error
-// says what is wrong with the first field that is.
+// RouteDecoder decodes a complete configuration from an operator's format. Its error
+// describes the first invalid field.
 type RouteDecoder func(body []byte) (*RouteSet, error)
 
-// Server is a backend server as the list of servers tells of it.
+// Server is a backend server as given in the server list.
 type Server struct {
-	// Instance names the server; with Born, one start of it.
+	// Instance is the name of the server; together with the start time it identifies one start
+	// of the server.
 	Instance string `json:"i"`
-	// Born is the Unix millisecond of the start, by the server's clock; 0 where it is
-	// not told.
+	// Born is the start time by the server's clock, in Unix milliseconds; 0 if not known.
 	Born    int64  `json:"b,omitempty"`
 	Service string `json:"s"`
-	// Version is that of the server's software.
+	// Version is the version of the server's software.
 	Version string `json:"v,omitempty"`
 	Address string `json:"a"`
 	Hall    string `json:"h"`
-	// Region is that of the hall; stores fill it in.
+	// Region is the region of the hall, filled in by stores.
 	Region  string `json:"r,omitempty"`
 	Slots   int    `json:"n,omitempty"`
 	Leaving bool   `json:"l,omitempty"`
-	// ColdMS is how much longer the server bears only its cold rate, in ms.
+	// ColdMS is how much longer the server can handle only its cold rate, in ms.
 	ColdMS int64 `json:"c,omitempty"`
 }
 
-// Life names one start of the server.
+// Life returns an identifier of this start of the server.
 func (s Server) Life() string {
 	if s.Born == 0 {
 		return s.Instance
@@ -133,13 +133,14 @@
 }
 
 const (
-	// MostSlots is the most requests that a backend server is taken to run at once.
+	// MostSlots bounds the number of concurrent requests that the list may give for a server.
 	MostSlots = 100_000
-	// MostColdMS is the longest that a server is taken to stay cold, in ms: a day.
+	// MostColdMS bounds the time that the list may give for a server to stay cold, in ms: one
+	// day.
 	MostColdMS = 24 * 3600 * 1000
 )
 
-// Reachable tells whether the address is a host with a port.
+// Reachable reports whether the address is a host with a valid port.
 func (s Server) Reachable() bool {
 	host, port, err := net.SplitHostPort(s.Address)
 	if err != nil || host == "" {
@@ -149,96 +150,95 @@
 	return err == nil && n > 0
 }
 
-// Bounded returns the server with numbers that can be added up and turned into times: the
-// list says what it likes.
+// Bounded returns the server with its numbers clamped, so that they can be added up and
+// converted to times without overflow. The list may contain any numbers.
 func (s Server) Bounded() Server {
 	s.Slots = min(max(s.Slots, 0), MostSlots)
 	s.ColdMS = min(max(s.ColdMS, 0), MostColdMS)
 	return s
 }
 
-// ServerList is the list of backend servers; it lags behind reality.
+// ServerList reads the list of backend servers, which may be out of date.
 type ServerList interface {
-	// Servers returns all servers of the halls, or of all halls when none is named, and
-	// how many entries name none.
+	// Servers returns all servers of the given halls, or of all halls if none are given, and
+	// counts the entries that do not describe a server.
 	Servers(ctx context.Context, halls []string) ([]Server, ForeignEntries, error)
 }
 
-// EntryFault says why an entry of the list names no server.
+// EntryFault is the reason why an entry of the list does not describe a server.
 type EntryFault string
 
-// Faults of entries, which another writer may have put on the list.
+// Faults of entries. The list may have other writers, with entries of another form.
 const (
 	EntryMissing      EntryFault = "missing"
 	EntryOtherType    EntryFault = "other-type"
 	EntryUnknownState EntryFault = "unknown-state"
 	EntryUnreadable   EntryFault = "unreadable"
-	// EntryNoAddress: a connection cannot be opened to what the entry gives as one.
+	// EntryNoAddress: the address is not one to which a connection can be opened.
 	EntryNoAddress EntryFault = "no-address"
 )
 
-// ForeignEntries counts the entries of the list that name no server.
+// ForeignEntries counts the entries of the list that do not describe a server, by fault.
 type ForeignEntries map[EntryFault]int
 
-// HeaderNames are the headers that callers, gateways and backend servers use in
-// one dialect. An empty name means that the dialect has no such header.
+// HeaderNames holds the names of the headers that callers, gateways and backend servers
+// use in one dialect. An empty name means that the dialect has no such header.
 type HeaderNames struct {
-	// RequestID names a request; servers give it back.
+	// RequestID identifies a request; servers return it.
 	RequestID string
-	// Deadline is what is left until the caller gives up, in ms.
+	// Deadline is the time left until the caller gives up, in ms.
 	Deadline string
-	// Target names the one instance that may run the request.
+	// Target names the only instance that may run the request.
 	Target string
-	// NotRun marks a server's answer that says the request did not run.
+	// NotRun marks a server's response that states that the request did not run.
 	NotRun string
-	// Key is the caller's proof that it belongs to a workspace; no server is shown it.
+	// Key proves that a caller belongs to a workspace. It is never sent to a server.
 	Key string
 	// Workspace names the workspace to servers.
 	Workspace string
-	// Signature proves that a server made the answer; every success has one.
+	// Signature proves that a server produced the response. Every success has one.
 	Signature string
-	// Load is "running,waiting,slots" of the answering server.
+	// Load is "running,waiting,slots" of the responding server.
 	Load string
-	// Limit is the requests a second that a server in need takes from all hosts
-	// together, a decimal number; answers of servers without a limit lack it.
+	// Limit is the number of requests per second that an overloaded server accepts from all
+	// hosts together, in decimal. Responses of servers without a limit lack it.
 	Limit string
-	// Leaving is "1" in the answers of a server that leaves.
+	// Leaving is "1" in the responses of a server that is leaving.
 	Leaving string
 	// Prompt lists the parts of the prompt as ID:TOKENS, separated by commas.
 	Prompt string
-	// Tokens is "prompt tokens,most tokens to generate".
+	// Tokens is "prompt tokens,maximum tokens to generate".
 	Tokens string
-	// Hint is the caller's guess of the tokens to be generated.
+	// Hint is the caller's estimate of the number of tokens to be generated.
 	Hint string
-	// Fetch names the server (IP:port) that the prompt's kept parts are to be
-	// taken from.
+	// Fetch names the server (IP:port) from which to fetch the cached parts of the prompt.
 	Fetch string
-	// Priority orders requests in an engine, 0 first.
+	// Priority orders requests within an engine, 0 first.
 	Priority string
-	// LastEvent names the last event a resumed stream has seen.
+	// LastEvent is the ID of the last event that the caller of a resumed stream received.
 	LastEvent string
-	// Reserved are headers that only the system sets: a caller's are dropped.
+	// Reserved lists headers that only the system sets; those sent by callers are dropped.
 	Reserved []string
 }
 
-// Operations are what operators may ask of a store in the routes mode.
+// Operations is the operator API of a store in the routes mode.
 type Operations interface {
-	// PutRoutes makes a whole configuration the one in force, if its version is
-	// above the one held, and returns the version held.
+	// PutRoutes makes a complete configuration the current one if its version is
+	// higher than the current version, and returns the version that is current then.
 	PutRoutes(ctx context.Context, body []byte) (uint64, error)
-	// Routes returns the newest whole configuration as it was sent, after a
-	// read barrier; an error when there is none.
+	// Routes returns the current configuration as it was sent, after a read
+	// barrier; an error if there is none.
 	Routes(ctx context.Context) ([]byte, error)
-	// DrainHall stops or resumes sending work to the backend servers of a hall.
+	// DrainHall stops or resumes sending requests to the backend servers of a hall.
 	DrainHall(ctx context.Context, hall string, drained bool) error
-	// StartRollout begins to move a service's requests to another version. An order for a
-	// service that is in a rollout is refused.
+	// StartRollout starts to move a service's requests to another version. It fails if the
+	// service has a rollout in progress.
 	StartRollout(ctx context.Context, order RolloutOrder) error
 	// Rollout returns the last rollout of a service, after a read barrier.
 	Rollout(ctx context.Context, service string) (Rollout, error)
-	// AbortRollout takes a rollout back that is under way.
+	// AbortRollout rolls back a rollout that is in progress.
 	AbortRollout(ctx context.Context, service string) error
-	// EntryAddresses returns where callers of a region may connect to reach a
-	// host name, and how long the answer holds.
+	// EntryAddresses returns the addresses to which callers of a region may connect
+	// for a host name, and how long the result is valid.
 	EntryAddresses(name, region string) ([]string, time.Duration, error)
 }
--- a/routetable/check.go
+++ b/routetable/check.go
@@ -8,8 +8,8 @@
 	"wheelgauge"
 )
 
-// Check finds what makes a whole configuration invalid. The error names the
-// route or service and the field.
+// Check validates a complete configuration. The error names the route, service or
+// workspace, and the field.
 func Check(set *wheelgauge.RouteSet) error {
 	services := map[string]bool{}
 	for i, s := range set.Services {
@@ -21,22 +21,23 @@
 		}
 		services[s.Name] = true
 	}
-	places := map[string]string{}
+	seen := map[string]string{}
 	for i := range set.Routes {
 		r := &set.Routes[i]
 		if err := checkRoute(r, services); err != nil {
 			return fmt.Errorf("route %s: %w", r.Name, err)
 		}
-		place := strings.ToLower(r.Host) + r.Prefix
-		if other, ok := places[place]; ok {
+		key := strings.ToLower(r.Host) + r.Prefix
+		if other, ok := seen[key]; ok {
 			return fmt.Errorf("route %s: route %s has the same host and prefix", r.Name, other)
 		}
-		places[place] = r.Name
+		seen[key] = r.Name
 	}
 	return checkWorkspaces(set.Workspaces)
 }
 
-// checkWorkspaces never puts a key into its error: that is logged and answered.
+// checkWorkspaces never includes a key in its error, because the error is logged and returned
+// to the operator.
 func checkWorkspaces(list []wheelgauge.Workspace) error {
 	names, keys := map[string]bool{}, map[string]string{}
 	for i := range list {
@@ -68,11 +69,11 @@
 }
 
 func checkCap(c wheelgauge.Cap) error {
-	figures := []struct {
+	fields := []struct {
 		name  string
 		value float64
 	}{{"rate", c.Rate}, {"burst", c.Burst}, {"plain tokens", c.Plain}}
-	for _, f := range figures {
+	for _, f := range fields {
 		if f.value < 0 || math.IsNaN(f.value) || math.IsInf(f.value, 0) {
 			return fmt.Errorf("%s: expected 0 or more", f.name)
 		}
@@ -81,7 +82,7 @@
 	case "", wheelgauge.CapRequests, wheelgauge.CapTokens:
 		return nil
 	}
-	return fmt.Errorf("unit: got %q, which is not known", c.Unit)
+	return fmt.Errorf("unit: got unknown unit %q", c.Unit)
 }
 
 func checkRoute(r *wheelgauge.PathRoute, services map[string]bool) error {
@@ -89,12 +90,12 @@
 		return fmt.Errorf("host name: missing")
 	}
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		return fmt.Errorf("path prefix: got %q, expected one that begins and ends with a slash", r.Prefix)
+		return fmt.Errorf("path prefix: got %q, expected a leading and a trailing slash", r.Prefix)
 	}
 	switch r.Kind {
 	case wheelgauge.RouteRepeatable, wheelgauge.RouteOnce, wheelgauge.RouteStream:
 	default:
-		return fmt.Errorf("kind: got %q, which is not known", r.Kind)
+		return fmt.Errorf("kind: got unknown kind %q", r.Kind)
 	}
 	if r.Timeout <= 0 {
 		return fmt.Errorf("timeout: expected more than 0")
@@ -106,7 +107,7 @@
 	total := 0
 	for _, s := range shares {
 		if !services[s.Service] {
-			return fmt.Errorf("service: %q is not known", s.Service)
+			return fmt.Errorf("service: %q is not defined", s.Service)
 		}
 		if s.Weight < 0 {
 			return fmt.Errorf("weight of %s: expected 0 or more", s.Service)
@@ -114,7 +115,7 @@
 		total += s.Weight
 	}
 	if total <= 0 {
-		return fmt.Errorf("weights: expected a sum above 0")
+		return fmt.Errorf("weights: expected a sum greater than 0")
 	}
 	return nil
 }
--- a/routetable/ranks.go
+++ b/routetable/ranks.go
@@ -6,31 +6,31 @@
 	"wheelgauge"
 )
 
-// levels are how many ranks engines tell apart, 0 the most urgent.
-const levels = 10
+// maxRanks is the number of ranks that engines distinguish, 0 being the most urgent.
+const maxRanks = 10
 
-// ranks order requests by the priority of their workspace first, then by that of their
-// route.
-type ranks struct {
-	workspaces []int
-	routes     []int
-	// groups are the workspaces' priorities, and one more where callers without a key
-	// are let in.
-	groups int
+// rankOrder ranks requests by the priority of their workspace first and by that of their
+// route second.
+type rankOrder struct {
+	workspacePriorities []int
+	routePriorities     []int
+	// workspaceRanks is the number of distinct workspace priorities, plus one if callers
+	// without a key are admitted.
+	workspaceRanks int
 }
 
-func newRanks(set *wheelgauge.RouteSet) ranks {
-	var k ranks
+func newRankOrder(set *wheelgauge.RouteSet) rankOrder {
+	var k rankOrder
 	for i := range set.Workspaces {
-		k.workspaces = append(k.workspaces, set.Workspaces[i].Priority)
+		k.workspacePriorities = append(k.workspacePriorities, set.Workspaces[i].Priority)
 	}
 	for i := range set.Routes {
-		k.routes = append(k.routes, set.Routes[i].Priority)
+		k.routePriorities = append(k.routePriorities, set.Routes[i].Priority)
 	}
-	k.workspaces, k.routes = distinct(k.workspaces), distinct(k.routes)
-	k.groups = len(k.workspaces)
+	k.workspacePriorities, k.routePriorities = distinct(k.workspacePriorities), distinct(k.routePriorities)
+	k.workspaceRanks = len(k.workspacePriorities)
 	if slices.ContainsFunc(set.Routes, func(r wheelgauge.PathRoute) bool { return r.Open }) {
-		k.groups++
+		k.workspaceRanks++
 	}
 	return k
 }
@@ -40,22 +40,22 @@
 	return slices.Compact(list)
 }
 
-// Rank orders requests of a workspace and a route, 0 first. Without workspaces it is
-// the route's priority; where there are some, requests without one come after all
-// others.
+// Rank returns the rank of requests of a workspace and a route, 0 being the most urgent.
+// If there are no workspaces, it is the route's priority. Otherwise requests without a
+// workspace rank after all others.
 func (t *Table) Rank(w *wheelgauge.Workspace, r *wheelgauge.PathRoute) int {
 	if !t.KeysNeeded() {
-		return min(r.Priority, levels-1)
+		return min(r.Priority, maxRanks-1)
 	}
-	of := len(t.ranks.workspaces)
+	workspaceRank := len(t.ranks.workspacePriorities)
 	if w != nil {
-		of, _ = slices.BinarySearch(t.ranks.workspaces, w.Priority)
+		workspaceRank, _ = slices.BinarySearch(t.ranks.workspacePriorities, w.Priority)
 	}
-	route, _ := slices.BinarySearch(t.ranks.routes, r.Priority)
-	rank := of*len(t.ranks.routes) + route
-	if all := t.ranks.groups * len(t.ranks.routes); all > levels {
-		// More than engines tell apart: neighbours share a rank.
-		return min(levels-1, rank*levels/all)
+	route, _ := slices.BinarySearch(t.ranks.routePriorities, r.Priority)
+	rank := workspaceRank*len(t.ranks.routePriorities) + route
+	if total := t.ranks.workspaceRanks * len(t.ranks.routePriorities); total > maxRanks {
+		// There are more than engines distinguish, so adjacent ones share a rank.
+		return min(maxRanks-1, rank*maxRanks/total)
 	}
 	return rank
 }
--- a/routetable/table.go
+++ b/routetable/table.go
@@ -1,5 +1,5 @@
-// Package routetable finds the route of a request by host name and longest
-// path prefix.
+// Package routetable finds the route of a request by its host name and the longest
+// matching path prefix.
 package routetable
 
 import (
@@ -11,22 +11,22 @@
 	"wheelgauge"
 )
 
-// Table is an immutable view of a whole configuration.
+// Table is an immutable index of a complete configuration.
 type Table struct {
 	set      *wheelgauge.RouteSet
 	hosts    map[string][]*wheelgauge.PathRoute
 	services map[string]*wheelgauge.Service
-	// keys and workspaces lead to a workspace by key and by name.
+	// Workspaces by key and by name.
 	keys       map[string]*wheelgauge.Workspace
 	workspaces map[string]*wheelgauge.Workspace
-	ranks      ranks
+	ranks      rankOrder
 }
 
-// New arranges a checked configuration for look-ups.
+// New builds the table of a validated configuration.
 func New(set *wheelgauge.RouteSet) *Table {
 	t := &Table{
 		set: set, hosts: map[string][]*wheelgauge.PathRoute{}, services: map[string]*wheelgauge.Service{},
-		keys: map[string]*wheelgauge.Workspace{}, workspaces: map[string]*wheelgauge.Workspace{}, ranks: newRanks(set),
+		keys: map[string]*wheelgauge.Workspace{}, workspaces: map[string]*wheelgauge.Workspace{}, ranks: newRankOrder(set),
 	}
 	for i := range set.Routes {
 		r := &set.Routes[i]
@@ -49,29 +49,29 @@
 	return t
 }
 
-// KeysNeeded tells whether callers need a key: there are workspaces.
+// KeysNeeded reports whether callers need a key, which is so if there are workspaces.
 func (t *Table) KeysNeeded() bool { return len(t.workspaces) > 0 }
 
-// ByKey returns the workspace that a key belongs to; nil when there is none.
+// ByKey returns the workspace that a key belongs to; nil if there is none.
 func (t *Table) ByKey(key []byte) *wheelgauge.Workspace { return t.keys[string(key)] }
 
-// Workspace returns a workspace by name; nil when there is none.
+// Workspace returns a workspace by name; nil if there is none.
 func (t *Table) Workspace(name string) *wheelgauge.Workspace { return t.workspaces[name] }
 
-// Workspaces returns all workspaces; the list must not be changed.
+// Workspaces returns all workspaces; the slice must not be modified.
 func (t *Table) Workspaces() []wheelgauge.Workspace { return t.set.Workspaces }
 
 // Version returns the operator's version number.
 func (t *Table) Version() uint64 { return t.set.Version }
 
-// Limits returns what callers may send.
+// Limits returns the limits on callers' requests.
 func (t *Table) Limits() wheelgauge.Limits { return t.set.Limits }
 
-// Service returns a service by name; nil when there is none.
+// Service returns a service by name; nil if there is none.
 func (t *Table) Service(name string) *wheelgauge.Service { return t.services[name] }
 
-// Match returns the route of a host name and path, nil when there is none. A
-// port in the host name and a query in the path are passed over.
+// Match returns the route of a host name and path; nil if there is none. A port
+// in the host name and a query in the path are ignored.
 func (t *Table) Match(host, path string) *wheelgauge.PathRoute {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	path, _, _ = strings.Cut(path, "?")
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// Pick draws a service of a route by weight.
+// Pick chooses a service of a route at random, by weight.
 func Pick(r *wheelgauge.PathRoute) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
@@ -105,7 +105,7 @@
 	return ""
 }
 
-// RunsIn tells whether every route of a host name may run in a region.
+// RunsIn reports whether all routes of a host name may run in a region.
 func RunsIn(set *wheelgauge.RouteSet, host, region string) bool {
 	for i := range set.Routes {
 		r := &set.Routes[i]
--- a/routetable/table_test.go
+++ b/routetable/table_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestCheckRoutes(t *testing.T) {
 	change := func(f func(r *wheelgauge.PathRoute)) *wheelgauge.RouteSet {
 		r := route("r", "a.example", "/x/")
 		f(&r)
@@ -67,7 +67,7 @@
 	for _, tt := range tests {
 		err := Check(tt.set)
 		if tt.want == "" && err != nil || tt.want != "" && (err == nil || !strings.Contains(err.Error(), tt.want)) {
-			t.Errorf("%s: got %v, want an error with %q", tt.name, err, tt.want)
+			t.Errorf("%s: got error %v, want one that contains %q", tt.name, err, tt.want)
 		}
 	}
 }
@@ -80,6 +80,6 @@
 		count[Pick(&r)]++
 	}
 	if count["u"] > 0 || count["s"] < 2700 || count["s"] > 3300 {
-		t.Errorf("got %v of 4000", count)
+		t.Errorf("got %v of 4000 picks, want about 3000 of s, 1000 of t and none of u", count)
 	}
 }
--- a/routetable/workspaces_test.go
+++ b/routetable/workspaces_test.go
@@ -9,7 +9,7 @@
 	"wheelgauge"
 )
 
-const secret = "s3cret-key"
+const testKey = "s3cret-key"
 
 func withWorkspaces(list ...wheelgauge.Workspace) *wheelgauge.RouteSet {
 	return &wheelgauge.RouteSet{
@@ -27,28 +27,28 @@
 		list []wheelgauge.Workspace
 		says string
 	}{
-		{"two with one key", []wheelgauge.Workspace{{Name: "a", Keys: []string{secret}}, {Name: "b", Keys: []string{"k", secret}}}, "workspace b: key 1"},
+		{"two with one key", []wheelgauge.Workspace{{Name: "a", Keys: []string{testKey}}, {Name: "b", Keys: []string{"k", testKey}}}, "workspace b: key 1"},
 		{"the same name twice", []wheelgauge.Workspace{{Name: "a"}, {Name: "a"}}, "stands twice"},
-		{"no name", []wheelgauge.Workspace{{Keys: []string{secret}}}, "a name is missing"},
-		{"an empty key", []wheelgauge.Workspace{{Name: "a", Keys: []string{secret, ""}}}, "key 1: is empty"},
+		{"no name", []wheelgauge.Workspace{{Keys: []string{testKey}}}, "a name is missing"},
+		{"an empty key", []wheelgauge.Workspace{{Name: "a", Keys: []string{testKey, ""}}}, "key 1: is empty"},
 		{"negative rate", []wheelgauge.Workspace{{Name: "a", Cap: wheelgauge.Cap{Rate: -1}}}, "rate"},
 		{"negative burst", []wheelgauge.Workspace{{Name: "a", Cap: wheelgauge.Cap{Burst: -1}}}, "burst"},
 		{"endless rate", []wheelgauge.Workspace{{Name: "a", Cap: wheelgauge.Cap{Rate: math.Inf(1)}}}, "rate"},
 		{"negative plain tokens", []wheelgauge.Workspace{{Name: "a", Cap: wheelgauge.Cap{Plain: -1}}}, "plain tokens"},
 		{"unknown unit", []wheelgauge.Workspace{{Name: "a", Cap: wheelgauge.Cap{Unit: "bytes"}}}, "unit"},
 		{"negative priority", []wheelgauge.Workspace{{Name: "a", Priority: -1}}, "priority"},
-		{"a key twice in one workspace", []wheelgauge.Workspace{{Name: "a", Keys: []string{secret, secret}}}, ""},
+		{"a key twice in one workspace", []wheelgauge.Workspace{{Name: "a", Keys: []string{testKey, testKey}}}, ""},
 		{"without keys", []wheelgauge.Workspace{{Name: "a"}, {Name: "b"}}, ""},
 	}
 	for _, tt := range tests {
 		err := Check(withWorkspaces(tt.list...))
 		switch {
 		case tt.says == "" && err != nil:
-			t.Errorf("%s: got %v", tt.name, err)
+			t.Errorf("%s: got error %v, want none", tt.name, err)
 		case tt.says != "" && (err == nil || !strings.Contains(err.Error(), tt.says)):
-			t.Errorf("%s: got %v, expected %q", tt.name, err, tt.says)
-		case err != nil && strings.Contains(err.Error(), secret):
-			t.Errorf("%s: the error holds a key: %v", tt.name, err)
+			t.Errorf("%s: got error %v, want one that contains %q", tt.name, err, tt.says)
+		case err != nil && strings.Contains(err.Error(), testKey):
+			t.Errorf("%s: the error contains a key: %v", tt.name, err)
 		}
 	}
 }
@@ -62,11 +62,11 @@
 			name = w.Name
 		}
 		if name != tt.workspace {
-			t.Errorf("key %q: got %q, expected %q", tt.key, name, tt.workspace)
+			t.Errorf("key %q: got workspace %q, want %q", tt.key, name, tt.workspace)
 		}
 	}
 	if New(withWorkspaces()).KeysNeeded() || !table.KeysNeeded() {
-		t.Error("keys are needed where there are workspaces, and only there")
+		t.Error("want keys to be needed if and only if there are workspaces")
 	}
 }
 
@@ -91,13 +91,13 @@
 	}
 	for _, tt := range tests {
 		if rank := tt.table.Rank(tt.w, tt.r); rank != tt.rank {
-			t.Errorf("%s: got %d, expected %d", tt.name, rank, tt.rank)
+			t.Errorf("%s: got rank %d, want %d", tt.name, rank, tt.rank)
 		}
 	}
 }
 
-// Ranks stay within what engines know, and in order, however many there are.
-func TestRankOfMany(t *testing.T) {
+// With more workspaces than engines have ranks, ranks stay within the limit and in order.
+func TestRankOfManyWorkspaces(t *testing.T) {
 	var list []wheelgauge.Workspace
 	for i := range 30 {
 		list = append(list, wheelgauge.Workspace{Name: fmt.Sprint("w", i), Priority: i})
@@ -106,15 +106,15 @@
 	for i := range list {
 		for _, r := range []int{0, 1} {
 			rank := table.Rank(&list[i], &table.set.Routes[r])
-			if rank < last || rank >= levels {
-				t.Fatalf("workspace %d, route %d: rank %d after %d", i, r, rank, last)
+			if rank < last || rank >= maxRanks {
+				t.Fatalf("workspace %d, route %d: got rank %d after %d, want it in order and within the limit", i, r, rank, last)
 			}
 			last = rank
 		}
 	}
 }
 
-// BenchmarkByKey finds a workspace among 16 and 890 with four keys each.
+// BenchmarkByKey looks up one of 16 or 890 workspaces with four keys each.
 func BenchmarkByKey(b *testing.B) {
 	for _, n := range []int{16, 890} {
 		var list []wheelgauge.Workspace
--- a/work.go
+++ b/work.go
@@ -1,17 +1,18 @@
 package wheelgauge
 
-// RankWork is what is in flight of one rank; rank 0 is the most urgent.
+// RankWork counts the in-flight requests of one rank; rank 0 is the most urgent.
 type RankWork struct {
 	Rank    int `json:"r,omitempty"`
 	Running int `json:"u"`
-	// Tokens are those of prompts that wait for their first event.
+	// Tokens is the sum of the prompt tokens of requests that wait for their first event.
 	Tokens int `json:"t,omitempty"`
 }
 
-// Work is what is in flight by rank, in no order; a rank stands there once.
+// Work counts in-flight requests by rank, in no particular order. Each rank occurs at most
+// once.
 type Work []RankWork
 
-// Add adds requests and tokens of a rank; both may be negative.
+// Add adds requests and tokens to a rank and returns the result. Both may be negative.
 func (w Work) Add(rank, running, tokens int) Work {
 	for i := range w {
 		if w[i].Rank == rank {
@@ -23,7 +24,7 @@
 	return append(w, RankWork{Rank: rank, Running: running, Tokens: tokens})
 }
 
-// Plus returns the sum of two works.
+// Plus returns the sum, leaving both operands unchanged.
 func (w Work) Plus(other Work) Work {
 	sum := append(Work(nil), w...)
 	for _, r := range other {
@@ -32,7 +33,7 @@
 	return sum
 }
 
-// Minus returns what is left without another work, of no rank below nothing.
+// Minus returns the difference, with no rank below zero.
 func (w Work) Minus(other Work) Work {
 	left := append(Work(nil), w...)
 	for _, r := range other {
@@ -45,7 +46,7 @@
 	return left
 }
 
-// Total returns the requests and tokens of all ranks.
+// Total returns the number of requests and tokens over all ranks.
 func (w Work) Total() (running, tokens int) {
 	for _, r := range w {
 		running += r.Running
@@ -54,14 +55,14 @@
 	return running, tokens
 }
 
-// Ahead returns the requests and tokens that are as urgent as a rank, or more.
+// Ahead returns the number of requests and tokens at least as urgent as a rank.
 func (w Work) Ahead(rank int) (running, tokens int) {
 	running, _, tokens = w.Before(rank)
 	return running, tokens
 }
 
-// Before returns the requests and tokens that are as urgent as a rank, or more,
-// and how many of the requests are more urgent.
+// Before returns the number of requests and tokens at least as urgent as a rank, and how
+// many of the requests are more urgent than it.
 func (w Work) Before(rank int) (running, urgent, tokens int) {
 	for _, r := range w {
 		if r.Rank > rank {
@@ -76,7 +77,7 @@
 	return running, urgent, tokens
 }
 
-// Used returns the ranks that have something in flight.
+// Used returns the ranks with requests or tokens in flight.
 func (w Work) Used() Work {
 	var out Work
 	for _, r := range w {
--- a/work_test.go
+++ b/work_test.go
@@ -20,12 +20,12 @@
 	a := Work{}.Add(1, 1, 10)
 	sum := a.Plus(Work{{Rank: 1, Running: 2, Tokens: 5}, {Rank: 3, Running: 1}})
 	if running, tokens := a.Total(); running != 1 || tokens != 10 {
-		t.Errorf("a sum changed what it was made of: %v", a)
+		t.Errorf("Plus changed its receiver: %v", a)
 	}
 	if running, tokens := sum.Ahead(1); running != 3 || tokens != 15 {
-		t.Errorf("got %d, %d of rank 1, want 3, 15", running, tokens)
+		t.Errorf("got %d requests, %d tokens of rank 1, want 3, 15", running, tokens)
 	}
 	if got := sum.Minus(sum).Used(); len(got) != 0 {
-		t.Errorf("nothing is left, got %v", got)
+		t.Errorf("got %v after subtracting everything, want nothing in flight", got)
 	}
 }
