--- a/message.go
+++ b/message.go
@@ -19,11 +19,13 @@
 	HeaderLeaving = "Wheelgauge-Leaving"
 	// The headers below are used on the peer listener only.
 	HeaderForwardedFrom = "Wheelgauge-Forwarded-From"
-	HeaderMust          = "Wheelgauge-Forward-Must"
-	HeaderClient        = "Wheelgauge-Client"
-	HeaderClass         = "Wheelgauge-Class"
-	HeaderHome          = "Wheelgauge-Home"
-	HeaderPriority      = "Wheelgauge-Priority"
+	// HeaderMust marks a request that was forwarded because the forwarding region could not take
+	// it. It is admitted even if all slots are taken.
+	HeaderMust     = "Wheelgauge-Forward-Must"
+	HeaderClient   = "Wheelgauge-Client"
+	HeaderClass    = "Wheelgauge-Class"
+	HeaderHome     = "Wheelgauge-Home"
+	HeaderPriority = "Wheelgauge-Priority"
 	// HeaderWorkspace names the workspace of a forwarded request.
 	HeaderWorkspace = "Wheelgauge-Workspace"
 	// HeaderSends reports to the forwarding gateway how many servers the request
--- a/workspaces.go
+++ b/workspaces.go
@@ -27,13 +27,13 @@
 // Bounds reports whether there is a limit.
 func (c Cap) Bounds() bool { return c.Rate > 0 }
 
-// Units returns the units that a request counts for. tokens is used only if told is set,
+// Units returns the units that a request counts for. tokens is used only if stated is set,
 // that is, if the request states its tokens.
-func (c Cap) Units(tokens int, told bool) float64 {
+func (c Cap) Units(tokens int, stated bool) float64 {
 	switch {
 	case c.Unit != CapTokens:
 		return 1
-	case told:
+	case stated:
 		return float64(tokens)
 	}
 	return c.Plain
