--- a/capbank/hosts.go
+++ b/capbank/hosts.go
@@ -7,108 +7,109 @@
 )
 
 const (
-	// aloneTime is how long a host that no store answers may go on by itself: all
-	// stores may be killed at once, and are back within some seconds.
-	aloneTime = 8 * time.Second
-	// alonePart of the store's part of a cap is parted among its hosts for that.
-	alonePart = 0.7
-	// hostSilent is how long a host may ask for nothing before what it may send alone
-	// is taken off the store's part: a host whose asking fails goes on alone at once.
-	hostSilent = 400 * time.Millisecond
+	// standaloneTime is how long a host may go on by itself when no store answers: all stores
+	// may be killed at once, and are back within some seconds.
+	standaloneTime = 8 * time.Second
+	// standaloneFraction of the store's share of a cap is divided among its hosts for that
+	// time.
+	standaloneFraction = 0.7
+	// hostSilenceTimeout is how long a host may be out of contact before its standalone share
+	// is subtracted from the store's share: a host whose draw fails becomes standalone at once.
+	hostSilenceTimeout = 400 * time.Millisecond
 )
 
-// host is an entry host that draws here.
+// host is an entry host that draws units from this store.
 type host struct {
-	boot uint64
-	seen time.Time
-	// asked is when it last asked for units; until aloneTime after that it may go on
-	// alone, at the shares of caps by workspace in alone.
-	asked time.Time
-	alone map[string]float64
+	boot        uint64
+	lastContact time.Time
+	// lastDraw is when it last drew units. Until standaloneTime later it may go on standalone,
+	// with the shares of caps by workspace in standaloneShares.
+	lastDraw         time.Time
+	standaloneShares map[string]float64
 }
 
-// Seen notes that a host is in touch, in its present start.
-func (b *Bank) Seen(name string, boot uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if h := b.hosts[name]; h != nil {
+// Seen records contact with a host and the run of its process.
+func (a *Bank) Seen(name string, boot uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if h := a.hosts[name]; h != nil {
 		if h.boot != boot {
-			delete(b.hosts, name) // the process that might go on alone is gone
+			delete(a.hosts, name) // the process that might be standalone has ended
 			return
 		}
-		h.seen = b.o.Now()
+		h.lastContact = a.options.Now()
 	}
 }
 
-// silentHosts returns those that may be going on alone, and forgets those that may no
-// more; the lock is held.
-func (b *Bank) silentHosts(now time.Time) []*host {
+// silentHosts returns the hosts that may be standalone and drops those that may no longer be.
+// The lock must be held.
+func (a *Bank) silentHosts(now time.Time) []*host {
 	var out []*host
-	for name, h := range b.hosts {
+	for name, h := range a.hosts {
 		switch {
-		case now.Sub(h.asked) > aloneTime:
-			delete(b.hosts, name)
-		case now.Sub(h.seen) > hostSilent:
+		case now.Sub(h.lastDraw) > standaloneTime:
+			delete(a.hosts, name)
+		case now.Sub(h.lastContact) > hostSilenceTimeout:
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-// Draw takes units for a host, want by want.
-func (b *Bank) Draw(ask wheelgauge.CapAsk) wheelgauge.CapAnswer {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.o.Now()
-	b.fresh(now)
+// Draw takes units for a host; grants are in the order of the wants.
+func (a *Bank) Draw(req wheelgauge.CapAsk) wheelgauge.CapAnswer {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	now := a.options.Now()
+	a.recomputeIfStale(now)
 	var h *host
-	if !ask.Moved {
-		h = b.host(ask, now)
+	if !req.Moved {
+		h = a.touchHost(req, now)
 	}
 	var out wheelgauge.CapAnswer
-	for _, w := range ask.Wants {
-		out.Grants = append(out.Grants, b.draw(h, w, ask.Moved, now))
+	for _, w := range req.Wants {
+		out.Grants = append(out.Grants, a.drawOne(h, w, req.Moved, now))
 	}
 	return out
 }
 
-func (b *Bank) host(ask wheelgauge.CapAsk, now time.Time) *host {
-	h := b.hosts[ask.Host]
-	if h == nil || h.boot != ask.Boot {
-		h = &host{boot: ask.Boot, alone: map[string]float64{}}
-		b.hosts[ask.Host] = h
+func (a *Bank) touchHost(req wheelgauge.CapAsk, now time.Time) *host {
+	h := a.hosts[req.Host]
+	if h == nil || h.boot != req.Boot {
+		h = &host{boot: req.Boot, standaloneShares: map[string]float64{}}
+		a.hosts[req.Host] = h
 	}
-	h.seen, h.asked = now, now
+	h.lastContact, h.lastDraw = now, now
 	return h
 }
 
-func (b *Bank) draw(h *host, w wheelgauge.CapWant, moved bool, now time.Time) wheelgauge.CapGrant {
-	a := b.accounts[w.Workspace]
-	if a == nil {
-		// This store knows of no bound; a host that knows of one has a newer or an older
-		// configuration for some hundred ms.
+func (a *Bank) drawOne(h *host, w wheelgauge.CapWant, moved bool, now time.Time) wheelgauge.CapGrant {
+	b := a.buckets[w.Workspace]
+	if b == nil {
+		// This store has no cap for the workspace. A host that has one uses a newer or an
+		// older configuration, for a few hundred milliseconds.
 		return wheelgauge.CapGrant{Granted: true}
 	}
 	if w.Units > 0 {
-		a.sized(w.Units)
+		b.recordSize(w.Units)
 	}
 	if !moved {
-		a.demand.Add(w.Units, now)
+		b.demand.Add(w.Units, now)
 	}
-	after, ok := a.draw(w.Units, now)
+	after, ok := b.draw(w.Units, now)
 	if moved {
 		return wheelgauge.CapGrant{Granted: ok, AfterMS: after.Milliseconds()}
 	}
-	h.alone[w.Workspace] = alonePart * a.share / float64(len(b.hosts))
+	h.standaloneShares[w.Workspace] = standaloneFraction * b.share / float64(len(a.hosts))
 	g := wheelgauge.CapGrant{
 		Granted: ok, AfterMS: after.Milliseconds(),
-		Alone: h.alone[w.Workspace] * a.cap.Rate, AloneMS: aloneTime.Milliseconds(),
+		Alone: h.standaloneShares[w.Workspace] * b.cap.Rate, AloneMS: standaloneTime.Milliseconds(),
 	}
 	if ok && w.Ahead > 0 {
-		g.Ahead = a.give(w.Ahead, now)
+		g.Ahead = b.prefetch(w.Ahead, now)
 	}
 	if !ok {
-		g.Elsewhere = b.elsewhere(a, w.Units, now)
+		g.Elsewhere = a.alternative(b, w.Units, now)
 	}
 	return g
 }
--- /dev/null
+++ b/cappurse/client.go
@@ -0,0 +1,333 @@
+// Package cappurse is the entry host's client for the caps of workspaces. It draws units from
+// a store before requests are sent to backend servers, and goes on standalone for a while when
+// no store answers.
+package cappurse
+
+import (
+	"context"
+	"math/rand/v2"
+	"net/http"
+	"sync"
+	"time"
+
+	"wheelgauge"
+	"wheelgauge/meanrate"
+)
+
+// Path is the HTTP path of stores that answers draws.
+const Path = "/v1/caps"
+
+const (
+	// nearTimeout bounds a draw from a store of the own region, where an answer takes 1 to 3
+	// ms; farTimeout bounds one from another region, which connects and answers over a long
+	// link.
+	nearTimeout = 150 * time.Millisecond
+	farTimeout  = 400 * time.Millisecond
+	// maxStoresPerRequest is the number of stores tried for one request.
+	maxStoresPerRequest = 2
+	// silentStorePause is how long a store that did not answer is not tried.
+	silentStorePause = 300 * time.Millisecond
+	// cachedTTL is how long drawn and unused units may be used: the store has counted them as
+	// sent.
+	cachedTTL = time.Second
+	// prefetchTime is how much demand a host prefetches from a far store. A draw there takes
+	// two round trips at worst; without prefetching, nearly all requests of a region whose
+	// stores are unreachable would wait for them.
+	prefetchTime = 500 * time.Millisecond
+	// rateTimeConstant is the time constant of the average rate of draws.
+	rateTimeConstant = 2 * time.Second
+	// standaloneBurst is what a host may send at once when it becomes standalone, in seconds
+	// of its rate. If all hosts become standalone together, they send 0.2 s of the caps at
+	// once.
+	standaloneBurst = 0.3
+	// meanSizeWeight is the weight of a new request in the mean size.
+	meanSizeWeight = 0.05
+	// standaloneRetryAfter is the delay given to callers when a standalone host has no units
+	// left.
+	standaloneRetryAfter = 400 * time.Millisecond
+	// noStoreRetryAfter is the delay given to callers when no store answers.
+	noStoreRetryAfter = 300 * time.Millisecond
+)
+
+// Options are the options of New.
+type Options struct {
+	Host string
+	// Boot identifies this run of the host's process.
+	Boot uint64
+	// Stores returns the reachable stores in order of preference.
+	Stores func() []wheelgauge.StoreAt
+	// Ask sends a draw to a store.
+	Ask func(ctx context.Context, address string, req wheelgauge.CapAsk) (wheelgauge.CapAnswer, error)
+	Now func() time.Time
+}
+
+// standaloneBucket bounds what the host may send of a workspace while no store answers.
+type standaloneBucket struct {
+	rate     float64
+	expires  time.Time
+	level    float64
+	refilled time.Time
+}
+
+// unitCache holds units that were drawn and not used: those of requests that were not run, and
+// those prefetched from a far store.
+type unitCache struct {
+	units   float64
+	expires time.Time
+	// drawRate is the mean rate of draws in units a second, meanSize the mean units of a
+	// request.
+	drawRate meanrate.Rate
+	meanSize float64
+	// farStore is the last store that answered if it is a far one; prefetching is set during a
+	// prefetch from it.
+	farStore    string
+	prefetching bool
+}
+
+// record adds a request to the means.
+func (c *unitCache) record(units float64, now time.Time) {
+	if c.meanSize == 0 {
+		c.meanSize = units
+	}
+	c.meanSize += meanSizeWeight * (units - c.meanSize)
+	c.drawRate.Add(units, now)
+}
+
+// target is how many units should be cached for future requests.
+func (c *unitCache) target() float64 {
+	return max(c.meanSize, c.drawRate.Last()*prefetchTime.Seconds())
+}
+
+// available returns the units that have not expired.
+func (c *unitCache) available(now time.Time) float64 {
+	if !now.Before(c.expires) {
+		return 0
+	}
+	return c.units
+}
+
+// add adds units to those that are left, and restarts their lifetime.
+func (c *unitCache) add(units float64, now time.Time) {
+	if units > 0 {
+		c.units, c.expires = c.available(now)+units, now.Add(cachedTTL)
+	}
+}
+
+// Purse draws units from stores. It is safe for concurrent use.
+type Purse struct {
+	options     Options
+	mu          sync.Mutex
+	standalone  map[string]*standaloneBucket
+	cached      map[string]*unitCache
+	silentUntil map[string]time.Time
+	// prefetches counts prefetches in progress; ctx cancels them.
+	prefetches sync.WaitGroup
+	ctx        context.Context
+	cancel     context.CancelFunc
+}
+
+// New returns a client without units.
+func New(o Options) *Purse {
+	ctx, stop := context.WithCancel(context.Background())
+	return &Purse{options: o, standalone: map[string]*standaloneBucket{}, cached: map[string]*unitCache{}, silentUntil: map[string]time.Time{}, ctx: ctx, cancel: stop}
+}
+
+// Close cancels prefetches in progress and waits for them.
+func (p *Purse) Close() {
+	p.cancel()
+	p.prefetches.Wait()
+}
+
+// Take implements wheelgauge.CapLimiter.
+func (p *Purse) Take(ctx context.Context, w *wheelgauge.Workspace, units float64) *wheelgauge.Error {
+	if p.takeCached(w.Name, units) {
+		return nil
+	}
+	for _, s := range p.reachable() {
+		g, ok := p.draw(ctx, s, w.Name, units, false)
+		if ok && g.Elsewhere != "" {
+			// Shares of caps follow demand within about 0.5 s; until then another store may
+			// have the units that this one lacks.
+			if there, answered := p.draw(ctx, wheelgauge.StoreAt{Address: g.Elsewhere}, w.Name, units, true); answered {
+				g = there
+			}
+		}
+		switch {
+		case !ok && ctx.Err() != nil:
+			return noStoreAnswers()
+		case !ok:
+			continue
+		case g.Granted:
+			return nil
+		}
+		return capExceeded(time.Duration(g.AfterMS) * time.Millisecond)
+	}
+	return p.takeStandalone(w.Name, units)
+}
+
+// Return implements wheelgauge.CapLimiter.
+func (p *Purse) Return(w *wheelgauge.Workspace, units float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cacheOf(w.Name).add(units, p.options.Now())
+}
+
+// cacheOf returns the cache of a workspace. The lock must be held.
+func (p *Purse) cacheOf(workspace string) *unitCache {
+	if p.cached[workspace] == nil {
+		p.cached[workspace] = &unitCache{drawRate: meanrate.New(rateTimeConstant)}
+	}
+	return p.cached[workspace]
+}
+
+// takeCached takes cached units, and starts a prefetch in time if the store is far.
+func (p *Purse) takeCached(workspace string, units float64) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.options.Now()
+	c := p.cacheOf(workspace)
+	c.record(units, now)
+	cached := c.available(now)
+	if cached < units {
+		return false
+	}
+	c.units = cached - units
+	if c.farStore != "" && !c.prefetching && c.units < c.target()/2 && p.ctx.Err() == nil {
+		c.prefetching = true
+		p.prefetches.Add(1)
+		go p.prefetch(wheelgauge.StoreAt{Address: c.farStore}, workspace)
+	}
+	return true
+}
+
+// prefetch draws units ahead of requests.
+func (p *Purse) prefetch(s wheelgauge.StoreAt, workspace string) {
+	defer p.prefetches.Done()
+	p.draw(p.ctx, s, workspace, 0, false)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cacheOf(workspace).prefetching = false
+}
+
+// reachable returns the stores to try; none if all of them were silent lately.
+func (p *Purse) reachable() []wheelgauge.StoreAt {
+	all := p.options.Stores()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.options.Now()
+	out := make([]wheelgauge.StoreAt, 0, maxStoresPerRequest)
+	for _, s := range all {
+		if len(out) < maxStoresPerRequest && !now.Before(p.silentUntil[s.Address]) {
+			out = append(out, s)
+		}
+	}
+	return out
+}
+
+// draw draws units from one store; ok is false when the store does not answer.
+func (p *Purse) draw(parent context.Context, s wheelgauge.StoreAt, workspace string, units float64, moved bool) (g wheelgauge.CapGrant, ok bool) {
+	timeout := farTimeout
+	if s.Near {
+		timeout = nearTimeout
+	}
+	ctx, cancel := context.WithTimeout(parent, timeout)
+	defer cancel()
+	sent := p.options.Now()
+	want := wheelgauge.CapWant{Workspace: workspace, Units: units}
+	if !s.Near && !moved {
+		want.Ahead = p.prefetchAmount(workspace)
+	}
+	answer, err := p.options.Ask(ctx, s.Address, wheelgauge.CapAsk{Host: p.options.Host, Boot: p.options.Boot, Moved: moved, Wants: []wheelgauge.CapWant{want}})
+	if err != nil || len(answer.Grants) != 1 {
+		// A request whose own deadline has passed says nothing about the store.
+		if parent.Err() == nil {
+			p.markSilent(s.Address)
+		}
+		return g, false
+	}
+	g = answer.Grants[0]
+	if !moved {
+		p.updateStandalone(workspace, g, sent)
+		p.addPrefetched(workspace, s, g.Ahead)
+	}
+	return g, true
+}
+
+// prefetchAmount returns how many units are missing for future requests.
+func (p *Purse) prefetchAmount(workspace string) float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	c := p.cacheOf(workspace)
+	return max(0, c.target()-c.available(p.options.Now()))
+}
+
+// addPrefetched adds units that a store granted for future requests.
+func (p *Purse) addPrefetched(workspace string, s wheelgauge.StoreAt, units float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	c := p.cacheOf(workspace)
+	c.farStore = ""
+	if !s.Near {
+		c.farStore = s.Address
+	}
+	c.add(units, p.options.Now())
+}
+
+func (p *Purse) markSilent(address string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.silentUntil[address] = p.options.Now().Add(silentStorePause)
+}
+
+// updateStandalone applies a store's answer on what the host may send standalone. Units spent
+// while standalone earlier stay spent.
+func (p *Purse) updateStandalone(workspace string, g wheelgauge.CapGrant, sent time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	b := p.standalone[workspace]
+	if b == nil {
+		b = &standaloneBucket{level: standaloneBurst * g.Alone, refilled: sent}
+		p.standalone[workspace] = b
+	}
+	b.refill(p.options.Now())
+	b.rate, b.expires = g.Alone, sent.Add(time.Duration(g.AloneMS)*time.Millisecond)
+}
+
+// refill adds the units of the time since the last refill.
+func (b *standaloneBucket) refill(now time.Time) {
+	b.level = min(standaloneBurst*b.rate, b.level+b.rate*now.Sub(b.refilled).Seconds())
+	b.refilled = now
+}
+
+// takeStandalone takes units from the host's standalone rate.
+func (p *Purse) takeStandalone(workspace string, units float64) *wheelgauge.Error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.options.Now()
+	b := p.standalone[workspace]
+	if b == nil || !now.Before(b.expires) {
+		return noStoreAnswers()
+	}
+	b.refill(now)
+	if b.spend(units) {
+		return nil
+	}
+	return capExceeded(standaloneRetryAfter)
+}
+
+// spend spends available units. If they are fewer than the request needs, the request passes
+// with the probability of the fraction they cover: the share of a single host may be smaller
+// than one request, and so all hosts together still send what they may.
+func (b *standaloneBucket) spend(units float64) bool {
+	spent := min(max(0, b.level), units)
+	b.level -= spent
+	return spent > 0 && rand.Float64()*units < spent
+}
+
+func capExceeded(after time.Duration) *wheelgauge.Error {
+	return wheelgauge.NewError(wheelgauge.ReasonRateLimited, wheelgauge.OutcomeNotRun, http.StatusTooManyRequests, "workspace cap exceeded").WithRetryAfter(after)
+}
+
+func noStoreAnswers() *wheelgauge.Error {
+	return wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "no store answers to grant units of the workspace's cap").WithRetryAfter(noStoreRetryAfter)
+}
--- a/cappurse/schedule_test.go
+++ b/cappurse/schedule_test.go
@@ -18,45 +18,46 @@
 var (
 	seeds   = flag.Int("cap.seeds", 6, "seeded schedules to play")
 	repeats = flag.Int("cap.repeats", 1, "how often each fault is played alone")
-	figure  = flag.Bool("cap.figures", false, "print what was wrongly refused, by workspace")
+	figures = flag.Bool("cap.figures", false, "print what was wrongly refused, by workspace")
 )
 
 const (
 	window  = 8 * time.Second
 	overage = 0.1
 	slack   = 140000.0
-	// largest is the most that a request counts.
-	largest = 54000.0
-	// leadTime is how long stores are there before callers come.
-	leadTime = 11 * time.Second
-	// dayTime is how long a schedule lasts.
-	dayTime = 24 * time.Second
+	// maxUnits is the most units that a request needs.
+	maxUnits = 54000.0
+	// warmUp is how long stores run before load begins.
+	warmUp = 11 * time.Second
+	// runTime is how long a schedule lasts.
+	runTime = 24 * time.Second
 )
 
-// workspace is one of a schedule, with what its callers ask.
+// workspace is a workspace of a schedule with the load of its callers.
 type workspace struct {
 	spec wheelgauge.Workspace
-	// mean is what a request counts, asks how many come a second over all hosts.
-	mean, asks float64
-	// hot is when and how much more callers ask.
-	hotFrom, hotTo time.Duration
-	hot            float64
-	// cut is when the cap falls to a part.
-	cutAt time.Duration
-	cutTo float64
+	// meanUnits is the mean units of a request, requestRate the requests a second over all
+	// hosts.
+	meanUnits, requestRate float64
+	// overloadFactor multiplies the load between overloadFrom and overloadTo.
+	overloadFrom, overloadTo time.Duration
+	overloadFactor           float64
+	// reducedAt is when the cap falls to the fraction reducedTo.
+	reducedAt time.Duration
+	reducedTo float64
 }
 
 type arrival struct {
 	at    time.Duration
 	units float64
 	sent  bool
-	sure  bool // it was refused for good, or sent: not for want of a store
+	final bool // sent, or refused by the cap and not for lack of a store
 }
 
-// store is a store of a schedule; bank is nil while it is down.
+// store is a store of a schedule; allocator is nil while it is down.
 type store struct {
 	address, region string
-	bank            *capbank.Bank
+	allocator       *capbank.Bank
 	boots           uint64
 	frozen          bool
 }
@@ -67,28 +68,28 @@
 	mu         sync.Mutex
 	seed       uint64
 	r          *rand.Rand
-	began      time.Time
+	started    time.Time
 	stores     []*store
 	regions    []string
 	hosts      int
 	workspaces []*workspace
-	// take decides in place of the hosts' purses, if it is set.
+	// take decides in place of the hosts' clients, if it is set.
 	take     func(ctx context.Context, h int, w *workspace, units float64) *wheelgauge.Error
-	purses   []*Purse
+	clients  []*Purse
 	arrivals map[string][]arrival
-	// cutRegions are those cut off from all others, alone the hosts cut off from all
-	// stores.
+	// cutRegions are the regions that are cut off from all others. downUntil is until when a
+	// host is down.
 	cutRegions map[string]bool
-	down       map[int]time.Time
-	views      map[string]map[string]time.Time
+	downUntil  map[int]time.Time
+	storesSeen map[string]map[string]time.Time
 }
 
 var regionNames = []string{"a", "a", "b", "b", "c"}
 
 func newSchedule(t *testing.T, seed uint64, hosts int) *schedule {
 	s := &schedule{
-		t: t, seed: seed, r: rand.New(rand.NewPCG(seed, 1)), began: time.Now(), regions: []string{"a", "b", "c"}, hosts: hosts,
-		arrivals: map[string][]arrival{}, cutRegions: map[string]bool{}, down: map[int]time.Time{}, views: map[string]map[string]time.Time{},
+		t: t, seed: seed, r: rand.New(rand.NewPCG(seed, 1)), started: time.Now(), regions: []string{"a", "b", "c"}, hosts: hosts,
+		arrivals: map[string][]arrival{}, cutRegions: map[string]bool{}, downUntil: map[int]time.Time{}, storesSeen: map[string]map[string]time.Time{},
 	}
 	for i, region := range regionNames {
 		s.stores = append(s.stores, &store{address: fmt.Sprint("store-", i), region: region})
@@ -98,21 +99,21 @@
 		rate float64
 		mean float64
 	}{{"small", 36000, 5000}, {"middle", 400000, 5000}, {"large", 4000000, 5000}, {"plain", 36000, 200}} {
-		ws := &workspace{mean: w.mean, asks: w.rate / w.mean / 1.8}
+		ws := &workspace{meanUnits: w.mean, requestRate: w.rate / w.mean / 1.8}
 		ws.spec = wheelgauge.Workspace{Name: w.name, Cap: wheelgauge.Cap{Rate: w.rate, Burst: w.rate, Unit: wheelgauge.CapTokens}}
 		s.workspaces = append(s.workspaces, ws)
 	}
 	return s
 }
 
-func (s *schedule) at() time.Duration { return time.Since(s.began) }
+func (s *schedule) elapsed() time.Duration { return time.Since(s.started) }
 
-// linked tells whether two regions reach each other.
+// linked reports whether two regions reach each other.
 func (s *schedule) linked(a, b string) bool {
 	return a == b || !s.cutRegions[a] && !s.cutRegions[b]
 }
 
-func way(a, b string) time.Duration {
+func linkLatency(a, b string) time.Duration {
 	if a == b {
 		return time.Millisecond
 	}
@@ -135,77 +136,77 @@
 	return out
 }
 
-// start starts a store's process anew; it takes 0.3 s to know caps and members.
+// start starts a new process of a store.
 func (s *schedule) start(st *store) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st.boots++
-	st.bank = capbank.New(capbank.Options{Self: st.address, Boot: st.boots, Window: window, Overage: overage, Slack: slack, Now: time.Now})
-	st.bank.SetMembers(s.members())
-	st.bank.SetCaps(s.specs())
+	st.allocator = capbank.New(capbank.Options{Self: st.address, Boot: st.boots, Window: window, Overage: overage, Slack: slack, Now: time.Now})
+	st.allocator.SetMembers(s.members())
+	st.allocator.SetCaps(s.specs())
 }
 
 func (s *schedule) stop(st *store) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st.bank = nil
+	st.allocator = nil
 }
 
-// reach returns a store's bank if a call from a region gets there now.
+// reach returns a store's allocator if a call from a region gets through now.
 func (s *schedule) reach(region string, st *store) *capbank.Bank {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if st.frozen || !s.linked(region, st.region) {
 		return nil
 	}
-	return st.bank
+	return st.allocator
 }
 
-// news lets stores tell each other, one call at a time between each two.
-func (s *schedule) news(ctx context.Context, from, to *store) {
+// exchangeLeases sends reports from one store to another, one call at a time.
+func (s *schedule) exchangeLeases(ctx context.Context, from, to *store) {
 	for ctx.Err() == nil {
 		time.Sleep(200 * time.Millisecond)
 		s.mu.Lock()
-		bank, boot, frozen := from.bank, from.boots, from.frozen
+		alloc, boot, frozen := from.allocator, from.boots, from.frozen
 		s.mu.Unlock()
-		if bank == nil || frozen {
+		if alloc == nil || frozen {
 			continue
 		}
-		sent, n := time.Now(), bank.News(to.address)
-		time.Sleep(way(from.region, to.region))
+		sent, n := time.Now(), alloc.News(to.address)
+		time.Sleep(linkLatency(from.region, to.region))
 		other := s.reach(from.region, to)
 		if other == nil {
 			time.Sleep(800 * time.Millisecond)
 			continue
 		}
-		sheet := other.Lend(from.address, boot, n)
-		time.Sleep(way(from.region, to.region))
+		lease := other.Lend(from.address, boot, n)
+		time.Sleep(linkLatency(from.region, to.region))
 		s.mu.Lock()
-		lost := !s.linked(from.region, to.region) || from.bank != bank || from.frozen
+		lost := !s.linked(from.region, to.region) || from.allocator != alloc || from.frozen
 		s.mu.Unlock()
 		if !lost {
-			bank.Borrow(to.address, sent, sheet)
+			alloc.Borrow(to.address, sent, lease)
 		}
 	}
 }
 
-// watch keeps a region's view of the stores by heartbeats, and tells these of hosts.
-func (s *schedule) watch(ctx context.Context, region string) {
+// heartbeats updates a region's view of the stores and reports its hosts to them.
+func (s *schedule) heartbeats(ctx context.Context, region string) {
 	view := map[string]time.Time{}
 	s.mu.Lock()
-	s.views[region] = view
+	s.storesSeen[region] = view
 	s.mu.Unlock()
 	for ctx.Err() == nil {
 		for _, st := range s.stores {
-			bank := s.reach(region, st)
-			if bank == nil {
+			alloc := s.reach(region, st)
+			if alloc == nil {
 				continue
 			}
 			s.mu.Lock()
 			view[st.address] = time.Now()
 			for h := range s.hosts {
-				if s.regions[h%len(s.regions)] == region && !time.Now().Before(s.down[h]) {
-					bank.Seen(fmt.Sprint("host-", h), s.boot(h))
+				if s.regions[h%len(s.regions)] == region && !time.Now().Before(s.downUntil[h]) {
+					alloc.Seen(fmt.Sprint("host-", h), s.boot(h))
 				}
 			}
 			s.mu.Unlock()
@@ -214,23 +215,23 @@
 	}
 }
 
-// boot numbers a host's starts; the lock is held.
+// boot returns the number of the host's process. The lock is held.
 func (s *schedule) boot(h int) uint64 {
-	if s.down[h].IsZero() {
+	if s.downUntil[h].IsZero() {
 		return 1
 	}
-	return uint64(s.down[h].Sub(s.began))
+	return uint64(s.downUntil[h].Sub(s.started))
 }
 
-// seen returns the stores that a region's hosts know of, near ones first.
-func (s *schedule) seen(h int, region string) []wheelgauge.StoreAt {
+// storesFor returns the stores that a host knows of, near ones first.
+func (s *schedule) storesFor(h int, region string) []wheelgauge.StoreAt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []wheelgauge.StoreAt
 	for _, near := range []bool{true, false} {
 		for i := range s.stores {
 			st := s.stores[(i+h)%len(s.stores)]
-			if (st.region == region) == near && time.Since(s.views[region][st.address]) < 1400*time.Millisecond {
+			if (st.region == region) == near && time.Since(s.storesSeen[region][st.address]) < 1400*time.Millisecond {
 				out = append(out, wheelgauge.StoreAt{Address: st.address, Near: near})
 			}
 		}
@@ -238,59 +239,59 @@
 	return out
 }
 
-var errDark = errors.New("no answer")
+var errUnreachable = errors.New("no answer")
 
-// purse returns a new purse of a host.
-func (s *schedule) purse(h int, region string, boot uint64) *Purse {
+// newClient returns a new client of a host.
+func (s *schedule) newClient(h int, region string, boot uint64) *Purse {
 	return New(Options{
 		Host: fmt.Sprint("host-", h), Boot: boot, Now: time.Now,
-		Stores: func() []wheelgauge.StoreAt { return s.seen(h, region) },
-		Ask: func(ctx context.Context, address string, ask wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
+		Stores: func() []wheelgauge.StoreAt { return s.storesFor(h, region) },
+		Ask: func(ctx context.Context, address string, req wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
 			for _, st := range s.stores {
 				if st.address != address {
 					continue
 				}
-				time.Sleep(way(region, st.region))
-				bank := s.reach(region, st)
-				if bank == nil {
+				time.Sleep(linkLatency(region, st.region))
+				alloc := s.reach(region, st)
+				if alloc == nil {
 					<-ctx.Done()
-					return wheelgauge.CapAnswer{}, errDark
+					return wheelgauge.CapAnswer{}, errUnreachable
 				}
-				answer := bank.Draw(ask)
-				time.Sleep(way(region, st.region))
+				answer := alloc.Draw(req)
+				time.Sleep(linkLatency(region, st.region))
 				return answer, ctx.Err()
 			}
-			return wheelgauge.CapAnswer{}, errDark
+			return wheelgauge.CapAnswer{}, errUnreachable
 		},
 	})
 }
 
-func (s *schedule) ask(ctx context.Context, p *Purse, h int, w *workspace, spec *wheelgauge.Workspace, units float64) *wheelgauge.Error {
+func (s *schedule) takeUnits(ctx context.Context, p *Purse, h int, w *workspace, spec *wheelgauge.Workspace, units float64) *wheelgauge.Error {
 	if s.take != nil {
 		return s.take(ctx, h, w, units)
 	}
 	return p.Take(ctx, spec, units)
 }
 
-// load sends what callers of one host ask of one workspace.
-func (s *schedule) load(ctx context.Context, w *workspace, h int, purse func() *Purse, group *sync.WaitGroup, weight func(at time.Duration) float64) {
+// generateLoad sends the requests of one host's callers for one workspace.
+func (s *schedule) generateLoad(ctx context.Context, w *workspace, h int, client func() *Purse, group *sync.WaitGroup, weight func(at time.Duration) float64) {
 	r := rand.New(rand.NewPCG(s.seed, uint64(h)<<8|uint64(len(w.spec.Name))))
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		rate := w.asks / float64(s.hosts) * weight(s.at())
-		if at := s.at(); at >= w.hotFrom && at < w.hotTo {
-			rate *= w.hot
+		rate := w.requestRate / float64(s.hosts) * weight(s.elapsed())
+		if at := s.elapsed(); at >= w.overloadFrom && at < w.overloadTo {
+			rate *= w.overloadFactor
 		}
 		pause := r.ExpFloat64() / math.Max(rate, 0.001)
-		units := math.Min(w.mean*math.Exp(r.NormFloat64()-0.5), largest)
+		units := math.Min(w.meanUnits*math.Exp(r.NormFloat64()-0.5), maxUnits)
 		s.mu.Unlock()
 		time.Sleep(time.Duration(math.Min(pause, 2) * float64(time.Second)))
 		if pause > 2 || ctx.Err() != nil {
 			continue
 		}
 		s.mu.Lock()
-		up := !time.Now().Before(s.down[h])
-		spec, p := w.spec, purse()
+		up := !time.Now().Before(s.downUntil[h])
+		spec, p := w.spec, client()
 		s.mu.Unlock()
 		if !up {
 			continue
@@ -298,20 +299,20 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			fault := s.ask(ctx, p, h, w, &spec, units)
+			err := s.takeUnits(ctx, p, h, w, &spec, units)
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if fault == nil && p != purse() {
-				return // the host was killed meanwhile
+			if err == nil && p != client() {
+				return // the host was killed during the request
 			}
-			s.arrivals[w.spec.Name] = append(s.arrivals[w.spec.Name], arrival{at: s.at(), units: units, sent: fault == nil, sure: fault == nil || fault.Status() == 429})
+			s.arrivals[w.spec.Name] = append(s.arrivals[w.spec.Name], arrival{at: s.elapsed(), units: units, sent: err == nil, final: err == nil || err.Status() == 429})
 		}()
 	}
 }
 
-// run plays the schedule with faults and returns once all is over.
+// run plays the schedule with faults and returns when all requests have ended.
 func (s *schedule) run(faults func(ctx context.Context)) {
-	ctx, cancel := context.WithTimeout(context.Background(), leadTime+dayTime)
+	ctx, cancel := context.WithTimeout(context.Background(), warmUp+runTime)
 	defer cancel()
 	var group sync.WaitGroup
 	spawn := func(f func()) { group.Go(f) }
@@ -319,36 +320,37 @@
 		s.start(st)
 		for _, other := range s.stores {
 			if st != other {
-				spawn(func() { s.news(ctx, st, other) })
+				spawn(func() { s.exchangeLeases(ctx, st, other) })
 			}
 		}
 	}
 	for _, region := range s.regions {
-		spawn(func() { s.watch(ctx, region) })
+		spawn(func() { s.heartbeats(ctx, region) })
 	}
-	time.Sleep(leadTime)
-	s.set(func() { s.began = time.Now() })
+	time.Sleep(warmUp)
+	s.set(func() { s.started = time.Now() })
 	for h := range s.hosts {
 		region := s.regions[h%len(s.regions)]
 		var p *Purse
 		var boot uint64
 		// The lock is held.
-		purse := func() *Purse {
+		client := func() *Purse {
 			if b := s.boot(h); p == nil || b != boot {
-				p, boot = s.purse(h, region, b), b
-				s.purses = append(s.purses, p)
+				p, boot = s.newClient(h, region, b), b
+				s.clients = append(s.clients, p)
 			}
 			return p
 		}
 		phase := float64(h%len(s.regions)) / float64(len(s.regions))
-		// Regions have their busy hours in turn, from 0.17 to 2.8 times the mean within 3 s.
+		// Regions have their busy hours in turn: load goes from 0.17 to 2.8 times the mean
+		// within 3 s.
 		weight := func(at time.Duration) float64 {
 			up := math.Max(0, math.Min(1, 0.4+1.7*math.Sin(2*math.Pi*(at.Seconds()/24+phase))))
 			return 0.17 + 2.63*up*0.8
 		}
 		for _, w := range s.workspaces {
 			spawn(func() {
-				s.load(ctx, w, h, purse, &group, weight)
+				s.generateLoad(ctx, w, h, client, &group, weight)
 			})
 		}
 	}
@@ -357,7 +359,7 @@
 	}
 	<-ctx.Done()
 	group.Wait()
-	for _, p := range s.purses {
+	for _, p := range s.clients {
 		p.Close()
 	}
 }
--- a/routegate/gate.go
+++ b/routegate/gate.go
@@ -1,6 +1,6 @@
-// Package routegate serves the requests of the routes mode: it finds the
-// route, decides in which region and on which backend server a request runs,
-// repeats what may be repeated, and relays answers byte for byte.
+// Package routegate serves requests in the routes mode. It matches the route, chooses the
+// region and the backend server, retries what may be retried, and relays answers byte for
+// byte.
 package routegate
 
 import (
@@ -28,78 +28,82 @@
 )
 
 const (
-	// startWait is how long a request waits at a host that has just started for what is
-	// needed to place it: as long as stores that start with the hosts take to tell it.
-	// Refused at once, callers would come back as late and have one try less.
-	startWait = 500 * time.Millisecond
-	// startSpan is how long after its start a host lets requests wait at all: one that
-	// still knows nothing then is cut off, and says so at once.
-	startSpan = 1200 * time.Millisecond
-	// startRetry is when a caller of a host comes back that does not know its
-	// configuration or servers yet: stores tell it within some eager heartbeats.
-	startRetry = 400 * time.Millisecond
-	// leaveRetry is when a caller of a leaving host goes to another one.
-	leaveRetry = time.Millisecond
-	// busyRetry is when a caller comes back that was refused for load.
-	busyRetry = 500 * time.Millisecond
+	// startupWait is the longest that a request waits at a host that has just started for the
+	// data needed to place it. Stores that start together with the hosts deliver it within
+	// that time; a caller refused at once would come back no earlier and have one attempt
+	// less.
+	startupWait = 500 * time.Millisecond
+	// startupWindow is how long after its start a host lets requests wait at all. A host
+	// without configuration or servers by then is cut off from the stores, and refuses at
+	// once.
+	startupWindow = 1200 * time.Millisecond
+	// startupRetryAfter is the Retry-After of a host that has no configuration or servers yet.
+	// Stores deliver them within a few of the frequent heartbeats sent after a start.
+	startupRetryAfter = 400 * time.Millisecond
+	// leavingRetryAfter sends callers of a leaving host to another host at once.
+	leavingRetryAfter = time.Millisecond
+	// minOverloadRetryAfter is the shortest Retry-After of a request refused for load.
+	minOverloadRetryAfter = 500 * time.Millisecond
 )
 
-// Options of a Gate.
+// Options configure a Gate.
 type Options struct {
-	// Region is the host's own.
+	// Region is the region of the host.
 	Region string
 	Names  wheelgauge.HeaderNames
-	// Servers are those of the region, Peers the gateways of all regions.
+	// Servers are the backend servers of the region, Peers the gateways of all regions.
 	Servers *serverset.Table
 	Peers   *peerset.Table
 	Budget  *retrybudget.Budget
-	// Caps holds what workspaces may send; nil lets all through.
+	// Caps enforces the rate caps of workspaces; nil enforces none.
 	Caps wheelgauge.CapLimiter
-	// Clock judges ages and deadlines; the steady one when nil.
+	// Clock measures ages and deadlines; the monotonic clock, which stops while the host is
+	// suspended, when nil.
 	Clock wheelgauge.Clock
-	// Quarantine holds requests back that end servers; one of the gate's own when nil.
+	// Quarantine refuses requests that crash servers; a table private to the gate when nil.
 	Quarantine *quarantine.Table
-	// Limits are those that servers have named; a table of the gate's own when nil.
+	// Limits are the request rates announced by servers; a table private to the gate when nil.
 	Limits *serverlimit.Table
-	// Permits bounds what servers with a limit get; nil lets all through.
+	// Permits enforces the limits of servers across hosts; nil enforces none.
 	Permits wheelgauge.Permits
-	// Versions says which versions of a service get a request while it is in a rollout, Tally
-	// counts how they answer; those of the gate's own, which know of none, when nil.
+	// Versions chooses the service versions that may get a request during a rollout, and Tally
+	// counts how they answer. When nil, the gate uses empty ones of its own.
 	Versions *ledger.Ledger
 	Tally    *tally.Tally
 	Meter    *meter.Meter
 	Log      logr.Logger
 }
 
-// Gate is safe for concurrent use.
+// Gate routes requests to backend servers and gateways of other regions. It is safe for
+// concurrent use.
 type Gate struct {
-	options Options
-	table   atomic.Pointer[routetable.Table]
-	listed  atomic.Bool
+	options      Options
+	table        atomic.Pointer[routetable.Table]
+	serversKnown atomic.Bool
 	// ready is closed once requests can be placed.
 	ready     chan struct{}
 	readyOnce sync.Once
-	// waitUntil is until when requests wait for that, each for startWait at most.
-	waitUntil time.Time
-	startWait time.Duration
-	// starting is how many wait now.
-	starting atomic.Int64
-	// confirmed is when the configuration was last known to be the newest.
-	confirmed atomic.Pointer[time.Time]
-	reserved  map[string]bool
-	sampled   atomic.Uint64
-	// leaving is nil while the process does not leave.
+	// startupDeadline ends waiting for ready; each request waits for startupWait at most.
+	startupDeadline time.Time
+	startupWait     time.Duration
+	// startupWaiters is the number of requests that wait for ready now.
+	startupWaiters atomic.Int64
+	// confirmedAt is when the configuration was last known to be the newest.
+	confirmedAt     atomic.Pointer[time.Time]
+	reservedHeaders map[string]bool
+	successes       atomic.Uint64
+	// leaving is nil unless the process is shutting down.
 	leaving   atomic.Pointer[departure]
-	durations durations
-	active    inFlight
-	seen      waits
-	// turns are those of callers that wait for limits of servers, returns those that wait
-	// until servers take work again.
-	turns   turns
-	returns turns
+	durations routeDurations
+	active    inFlightCalls
+	waits     waitStats
+	// limitRetries spreads the return of callers refused because of server limits,
+	// backoffRetries of those refused while servers back off.
+	limitRetries   retrySchedules
+	backoffRetries retrySchedules
 }
 
-// New returns a gate without a configuration: it refuses everything as not run.
+// New returns a gate without a configuration. It refuses every request as not run.
 func New(o Options) *Gate {
 	if o.Quarantine == nil {
 		o.Quarantine = quarantine.New(time.Now)
@@ -117,32 +121,32 @@
 		o.Clock = wheelgauge.SteadyClock{}
 	}
 	return &Gate{
-		options: o, reserved: reservedNames(o.Names), ready: make(chan struct{}),
-		waitUntil: time.Now().Add(startSpan), startWait: startWait,
+		options: o, reservedHeaders: reservedNames(o.Names), ready: make(chan struct{}),
+		startupDeadline: time.Now().Add(startupWindow), startupWait: startupWait,
 	}
 }
 
-// SetTable puts a configuration in force.
+// SetTable applies a configuration.
 func (g *Gate) SetTable(t *routetable.Table) {
 	g.table.Store(t)
-	g.noteReady()
+	g.signalReady()
 }
 
-// noteReady lets requests go on that wait for what is needed to place them.
-func (g *Gate) noteReady() {
+// signalReady releases requests that wait at startup once they can be placed.
+func (g *Gate) signalReady() {
 	if g.Ready() {
 		g.readyOnce.Do(func() { close(g.ready) })
 	}
 }
 
-// awaitReady waits until requests can be placed, but not for long.
+// awaitReady waits until requests can be placed, for startupWait at most.
 func (g *Gate) awaitReady(ctx context.Context) {
-	wait := min(g.startWait, time.Until(g.waitUntil))
+	wait := min(g.startupWait, time.Until(g.startupDeadline))
 	if wait <= 0 || g.Ready() {
 		return
 	}
-	g.starting.Add(1)
-	defer g.starting.Add(-1)
+	g.startupWaiters.Add(1)
+	defer g.startupWaiters.Add(-1)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -152,35 +156,35 @@
 	}
 }
 
-// Confirm tells that no newer configuration is known now.
+// Confirm records that no newer configuration is known now.
 func (g *Gate) Confirm() {
 	now := g.options.Clock.Now()
-	g.confirmed.Store(&now)
+	g.confirmedAt.Store(&now)
 }
 
-// stateAge is how long ago the configuration was last known to be the newest;
-// -1 if it never was.
-func (g *Gate) stateAge() time.Duration {
-	at := g.confirmed.Load()
+// configAge returns how long ago the configuration was last known to be the newest; -1 if it
+// never was.
+func (g *Gate) configAge() time.Duration {
+	at := g.confirmedAt.Load()
 	if at == nil {
 		return -1
 	}
 	return g.options.Clock.Now().Sub(*at)
 }
 
-// SetListed tells that the servers are known.
+// SetListed records that the list of servers has arrived.
 func (g *Gate) SetListed() {
-	g.listed.Store(true)
-	g.noteReady()
+	g.serversKnown.Store(true)
+	g.signalReady()
 }
 
-// Ready tells whether requests can be placed.
-func (g *Gate) Ready() bool { return g.table.Load() != nil && g.listed.Load() }
+// Ready reports whether requests can be placed.
+func (g *Gate) Ready() bool { return g.table.Load() != nil && g.serversKnown.Load() }
 
-// Table returns the configuration in force; nil when there is none.
+// Table returns the active configuration; nil when there is none.
 func (g *Gate) Table() *routetable.Table { return g.table.Load() }
 
-// Limits returns what callers may send.
+// Limits returns the limits on callers' connections and requests.
 func (g *Gate) Limits() wheelgauge.Limits {
 	if t := g.table.Load(); t != nil {
 		return t.Limits()
@@ -191,46 +195,46 @@
 // Serve answers a caller's request.
 func (g *Gate) Serve(ctx context.Context, r *callerhttp.Request) { g.serve(ctx, r, false) }
 
-// ServePeer answers a request that a gateway of another region forwarded. It
-// is never forwarded again.
+// ServePeer answers a request forwarded by a gateway of another region. It is never forwarded
+// again.
 func (g *Gate) ServePeer(ctx context.Context, r *callerhttp.Request) { g.serve(ctx, r, true) }
 
 func (g *Gate) serve(ctx context.Context, r *callerhttp.Request, forwarded bool) {
-	c := g.open(r, forwarded)
+	c := g.newCall(r, forwarded)
 	g.awaitReady(ctx)
-	if fault := g.admit(c); fault != nil {
-		c.refuse(fault)
+	if apiErr := g.admit(c); apiErr != nil {
+		c.refuse(apiErr)
 	} else {
-		g.work(ctx, c)
+		g.runTracked(ctx, c)
 	}
 	c.close()
 }
 
-// work runs a request, which may be ended from outside.
-func (g *Gate) work(ctx context.Context, c *call) {
+// runTracked runs a request and registers it, so that Wake can end it.
+func (g *Gate) runTracked(ctx context.Context, c *call) {
 	g.active.add(c)
 	defer g.active.remove(c)
 	c.run(ctx)
 }
 
-// open gathers what decides about a request.
-func (g *Gate) open(r *callerhttp.Request, forwarded bool) *call {
+// newCall parses the headers that routing depends on.
+func (g *Gate) newCall(r *callerhttp.Request, forwarded bool) *call {
 	h, n := r.Header(), g.options.Names
 	c := &call{gate: g, request: r, forwarded: forwarded, id: string(httpfield.Value(h, n.RequestID)), started: r.Arrived()}
-	c.asleep = g.asleep()
+	c.suspendedBefore = g.suspendedFor()
 	c.prompt = prompt.Parse(string(httpfield.Value(h, n.Prompt)), string(httpfield.Value(h, n.Tokens)), string(httpfield.Value(h, n.Hint)))
-	c.lastEvent = string(httpfield.Value(h, n.LastEvent))
-	if limit, ok := limitOf(string(httpfield.Value(h, n.Deadline))); ok {
-		c.deadline = r.Arrived().Add(limit)
+	c.lastEventID = string(httpfield.Value(h, n.LastEvent))
+	if timeout, ok := parseTimeout(string(httpfield.Value(h, n.Deadline))); ok {
+		c.deadline = r.Arrived().Add(timeout)
 	}
 	return c
 }
 
-// admit finds the route, or says why the request is refused.
+// admit matches the route and identifies the workspace, or returns why the request is refused.
 func (g *Gate) admit(c *call) *wheelgauge.Error {
 	t := g.table.Load()
 	if t == nil {
-		return refusal(wheelgauge.ReasonNoConfiguration, http.StatusServiceUnavailable, "no configuration is known yet").WithRetryAfter(startRetry)
+		return refusal(wheelgauge.ReasonNoConfiguration, http.StatusServiceUnavailable, "no configuration is known yet").WithRetryAfter(startupRetryAfter)
 	}
 	c.version = t.Version()
 	h := c.request.Header()
@@ -238,29 +242,29 @@
 	if c.route == nil {
 		return refusal(wheelgauge.ReasonNotFound, http.StatusNotFound, "no route for this host and path")
 	}
-	if fault := g.identify(c, t); fault != nil {
-		return fault
+	if apiErr := g.identify(c, t); apiErr != nil {
+		return apiErr
 	}
 	c.rank = t.Rank(c.workspace, c.route)
-	if c.homeless() {
+	if c.noCommonHome() {
 		return refusal(wheelgauge.ReasonResidency, http.StatusMisdirectedRequest, "route and workspace have no home in common")
 	}
-	if g.tooLong(c.route.Name, c.route.Timeout, 0) {
+	if g.mayOutlastProcess(c.route.Name, c.route.Timeout, 0) {
 		return leavingRefusal()
 	}
-	limit := c.started.Add(c.route.Timeout)
-	if c.deadline.IsZero() || limit.Before(c.deadline) {
-		c.deadline = limit
+	routeDeadline := c.started.Add(c.route.Timeout)
+	if c.deadline.IsZero() || routeDeadline.Before(c.deadline) {
+		c.deadline = routeDeadline
 	}
-	if !g.listed.Load() {
-		return refusal(wheelgauge.ReasonNoServer, http.StatusServiceUnavailable, "no servers are known yet").WithRetryAfter(startRetry)
+	if !g.serversKnown.Load() {
+		return refusal(wheelgauge.ReasonNoServer, http.StatusServiceUnavailable, "no servers are known yet").WithRetryAfter(startupRetryAfter)
 	}
 	c.service = routetable.Pick(c.route)
 	return nil
 }
 
 func leavingRefusal() *wheelgauge.Error {
-	return refusal(wheelgauge.ReasonDraining, http.StatusServiceUnavailable, "this host is leaving").WithRetryAfter(leaveRetry)
+	return refusal(wheelgauge.ReasonDraining, http.StatusServiceUnavailable, "this host is leaving").WithRetryAfter(leavingRetryAfter)
 }
 
 func refusal(reason wheelgauge.Reason, status int, detail string) *wheelgauge.Error {
--- a/routegate/waking.go
+++ b/routegate/inflight.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// inFlight are the requests that the gate works on.
-type inFlight struct {
+// inFlightCalls are the requests in progress.
+type inFlightCalls struct {
 	mu    sync.Mutex
 	calls map[*call]struct{}
 }
 
-func (f *inFlight) add(c *call) {
+func (f *inFlightCalls) add(c *call) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.calls == nil {
@@ -17,21 +17,21 @@
 	f.calls[c] = struct{}{}
 }
 
-func (f *inFlight) remove(c *call) {
+func (f *inFlightCalls) remove(c *call) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.calls, c)
 }
 
-// Wake ends the requests whose time has gone by, and returns how many. Connections go by
-// the steady clock: after the host was suspended they would wait for an answer that
-// nobody waits for any more, as long as it was.
+// Wake ends the requests that have expired, and returns how many. Connection deadlines use the
+// monotonic clock, which stops during suspension, so without Wake these requests would wait on
+// for answers that no caller expects any more.
 func (g *Gate) Wake() int {
 	g.active.mu.Lock()
 	defer g.active.mu.Unlock()
 	ended := 0
 	for c := range g.active.calls {
-		if !c.over() {
+		if !c.expired() {
 			continue
 		}
 		c.request.Interrupt()
--- a/routegate/turns_test.go
+++ b/routegate/retryschedule_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Callers that are refused come back as fast as permits come, and none later than it can
-// wait.
-func TestTurns(t *testing.T) {
+// Refused callers return at the rate at which permits are granted, and none after the latest
+// time.
+func TestRetrySchedule(t *testing.T) {
 	const latest = 2500 * time.Millisecond
 	tests := []struct {
 		name string
-		// permits come a second, refused callers are told at once when to come back.
+		// permits are granted per second; the refused callers get their retry times at once.
 		permits int
 		refused int
-		// within counts those who come back within a second.
-		within int
+		// wantWithin is how many return within a second.
+		wantWithin int
 	}{
 		{"few callers", 8, 4, 4},
 		{"many callers", 8, 100, 8},
@@ -25,7 +25,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			var ts turns
+			var ts retrySchedules
 			for range 10 * tt.permits {
 				now = now.Add(time.Second / time.Duration(tt.permits))
 				ts.served("s", now)
@@ -34,14 +34,14 @@
 			for range tt.refused {
 				after := ts.next("s", now, 100*time.Millisecond, latest)
 				if after > latest {
-					t.Errorf("told to come back after %v", after)
+					t.Errorf("retry after %v, later than the latest time", after)
 				}
 				if after < time.Second {
 					within++
 				}
 			}
-			if within < tt.within || within > tt.within+1 {
-				t.Errorf("%d come back within a second, want %d", within, tt.within)
+			if within < tt.wantWithin || within > tt.wantWithin+1 {
+				t.Errorf("%d return within a second, want %d", within, tt.wantWithin)
 			}
 		})
 	}
