--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -15,11 +15,11 @@
 
 func (c *clock) now() time.Time { return c.at }
 
-func (t *Table) isQuarantined(c wheelgauge.Crash) bool {
+func (t *Table) quarantines(c wheelgauge.Crash) bool {
 	return t.Holds(c.Size, func() wheelgauge.Fingerprint { return c.Request })
 }
 
-func (t *Table) recordSuccess(c wheelgauge.Crash) {
+func (t *Table) recordRun(c wheelgauge.Crash) {
 	t.Ran(c.Size, func() wheelgauge.Fingerprint { return c.Request })
 }
 
@@ -60,11 +60,11 @@
 	table.Keep(crashes)
 	c.at = c.at.Add(crashTTL + time.Second)
 	table.Prune()
-	if !table.isQuarantined(crashes[0]) {
+	if !table.quarantines(crashes[0]) {
 		t.Error("a request with persisted crashes is not quarantined after Prune")
 	}
 	table.Keep(nil)
-	if table.isQuarantined(crashes[0]) {
+	if table.quarantines(crashes[0]) {
 		t.Error("a request is quarantined by crashes that are no longer persisted")
 	}
 }
@@ -80,7 +80,7 @@
 	if len(first) != maxReported || len(second) != 10 || len(third) != 0 {
 		t.Errorf("got batches of %d, %d and %d crashes", len(first), len(second), len(third))
 	}
-	table.recordSuccess(wheelgauge.Crash{Request: "p"})
+	table.recordRun(wheelgauge.Crash{Request: "p"})
 	if cleared, _ := table.Since(change); len(cleared) == 0 || !cleared[0].Cleared {
 		t.Errorf("got %v after a good run, want cleared crashes", cleared)
 	}
@@ -178,7 +178,7 @@
 		for round := range rounds {
 			stable := round > 20
 			for h, host := range c.hosts {
-				if host.isQuarantined(poison) || c.rng.Float64() < 0.5 {
+				if host.quarantines(poison) || c.rng.Float64() < 0.5 {
 					continue
 				}
 				if stable && round > 22 && crashes >= crashThreshold {
@@ -219,7 +219,7 @@
 			}
 		}
 		for h, host := range c.hosts {
-			if !host.isQuarantined(poison) {
+			if !host.quarantines(poison) {
 				t.Errorf("seed %d: host %d has not quarantined the request after %d crashes", seed, h, crashes)
 			}
 			if quarantined := host.Condemned(); len(quarantined) != 1 {
@@ -241,7 +241,7 @@
 	store.Merge(crashesAt("p", "abc"))
 	kept, _ := Join(nil, store.ToKeep())
 	store.Keep(kept)
-	if !store.isQuarantined(kept[0]) {
+	if !store.quarantines(kept[0]) {
 		t.Fatal("request with three crashes is not quarantined")
 	}
 	store.Merge(markCleared(crashesAt("p", "abc")))
@@ -252,7 +252,7 @@
 	store.Keep(kept)
 	c.at = c.at.Add(2 * crashTTL)
 	store.Prune()
-	if store.isQuarantined(kept[0]) {
+	if store.quarantines(kept[0]) {
 		t.Error("request is quarantined again after its crashes were cleared")
 	}
 }
@@ -270,12 +270,12 @@
 		crashes := map[wheelgauge.Fingerprint]int{}
 		for server := range 60 {
 			by := pair[r.IntN(2)]
-			if table.isQuarantined(wheelgauge.Crash{Request: by}) {
+			if table.quarantines(wheelgauge.Crash{Request: by}) {
 				continue
 			}
 			inFlight := []wheelgauge.Fingerprint{by}
 			for _, other := range pair {
-				if other != by && !table.isQuarantined(wheelgauge.Crash{Request: other}) && r.Float64() < 0.9 {
+				if other != by && !table.quarantines(wheelgauge.Crash{Request: other}) && r.Float64() < 0.9 {
 					inFlight = append(inFlight, other)
 				}
 			}
@@ -309,7 +309,7 @@
 func TestPopularRequestIsNotQuarantined(t *testing.T) {
 	c := newCluster(1, 4, 3)
 	popular := wheelgauge.Crash{Request: "popular"}
-	c.hosts[3].recordSuccess(popular)
+	c.hosts[3].recordRun(popular)
 	for n := range 3 {
 		crash := popular
 		crash.Server = fmt.Sprint(n)
@@ -319,7 +319,7 @@
 		c.round(1, true)
 	}
 	for h, host := range c.hosts {
-		if host.isQuarantined(popular) {
+		if host.quarantines(popular) {
 			t.Errorf("host %d has quarantined the popular request", h)
 		}
 	}
@@ -327,7 +327,7 @@
 	crash.Server = "3"
 	c.hosts[0].Ended(crash)
 	c.round(1, true)
-	if c.hosts[1].isQuarantined(popular) {
+	if c.hosts[1].quarantines(popular) {
 		t.Error("popular request is quarantined after another crash")
 	}
 }
