--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestFloodDoesNotTouchOthers(t *testing.T) {
+func TestFloodingClientDoesNotLimitOthers(t *testing.T) {
 	l, now := NewLimiter(), time.Unix(0, 0)
 	class := wheelgauge.ClientClassSpec{Rate: 5, Burst: 5}
 	for range 1000 {
@@ -48,8 +48,8 @@
 	}
 }
 
-func TestShedAndLate(t *testing.T) {
-	const longest = 10 * time.Second
+func TestShouldShedAndMissesDeadline(t *testing.T) {
+	const maxWait = 10 * time.Second
 	tests := []struct {
 		name     string
 		priority int
@@ -65,28 +65,28 @@
 		{"cannot make it", 9, 5 * time.Second, 5 * time.Second, false, true},
 	}
 	for _, tt := range tests {
-		if got := Shed(tt.priority, tt.wait, longest); got != tt.shed {
+		if got := ShouldShed(tt.priority, tt.wait, maxWait); got != tt.shed {
 			t.Errorf("%s: shed %t", tt.name, got)
 		}
-		if got := Late(tt.wait, 10*time.Millisecond, tt.left); got != tt.late {
+		if got := MissesDeadline(tt.wait, 10*time.Millisecond, tt.left); got != tt.late {
 			t.Errorf("%s: late %t", tt.name, got)
 		}
 	}
 }
 
-// TestBudget bounds attempts when everything fails.
-func TestBudget(t *testing.T) {
-	b, retries := NewBudget(), 0
+// TestRetryBudget bounds attempts when everything fails.
+func TestRetryBudget(t *testing.T) {
+	b, retries := NewRetryBudget(), 0
 	for range 1000 {
-		b.First()
+		b.FirstAttempt()
 		for range 2 {
-			if b.Retry() {
+			if b.TakeRetry() {
 				retries++
 			}
 		}
 	}
-	if most := 1000*retryPart + mostRetries; float64(retries) > most {
-		t.Fatalf("%d retries for 1000 requests, at most %g", retries, most)
+	if limit := 1000*retriesPerRequest + maxRetries; float64(retries) > limit {
+		t.Fatalf("%d retries for 1000 requests, at most %g", retries, limit)
 	}
 }
 
--- a/admission/budget.go
+++ b/admission/budget.go
@@ -3,36 +3,36 @@
 import "sync"
 
 const (
-	// retryPart is the number of retries earned by a first attempt.
-	retryPart = 0.1
-	// mostRetries lets a gateway resume all its streams of one lost server at once.
-	mostRetries = 100
+	// retriesPerRequest is the number of retries earned by a first attempt.
+	retriesPerRequest = 0.1
+	// maxRetries lets a gateway resume all its streams of one lost server at once.
+	maxRetries = 100
 )
 
-// Budget bounds retries to a part of the first attempts, so that a failure
+// RetryBudget bounds retries to a part of the first attempts, so that a failure
 // does not multiply load.
-type Budget struct {
+type RetryBudget struct {
 	mu   sync.Mutex
-	left float64
+	remaining float64
 }
 
-// NewBudget returns a full budget.
-func NewBudget() *Budget { return &Budget{left: mostRetries} }
+// NewRetryBudget returns a full budget.
+func NewRetryBudget() *RetryBudget { return &RetryBudget{remaining: maxRetries} }
 
-// First counts a first attempt.
-func (b *Budget) First() {
+// FirstAttempt counts a first attempt.
+func (b *RetryBudget) FirstAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(mostRetries, b.left+retryPart)
+	b.remaining = min(maxRetries, b.remaining+retriesPerRequest)
 }
 
-// Retry takes one retry; false means that there is none left.
-func (b *Budget) Retry() bool {
+// TakeRetry takes one retry; false means that there is none left.
+func (b *RetryBudget) TakeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 1 {
+	if b.remaining < 1 {
 		return false
 	}
-	b.left--
+	b.remaining--
 	return true
 }
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -12,17 +12,17 @@
 
 const (
 	shardCount   = 32
-	idleBuckets  = 10 * time.Minute
-	sweepEvery   = 4096
-	priorities   = 10
-	retrySpread  = 0.5
-	leastRetry   = 200 * time.Millisecond
-	deadlinePart = 0.9
+	bucketIdleTTL  = 10 * time.Minute
+	callsPerSweep   = 4096
+	priorityLevels   = 10
+	retryJitter  = 0.5
+	minRetryAfter   = 200 * time.Millisecond
+	deadlineFraction = 0.9
 )
 
 type bucket struct {
 	tokens float64
-	at     time.Time
+	updatedAt     time.Time
 }
 
 type shard struct {
@@ -59,11 +59,11 @@
 	s.sweep(now)
 	b := s.buckets[client]
 	if b == nil {
-		b = &bucket{tokens: burst, at: now}
+		b = &bucket{tokens: burst, updatedAt: now}
 		s.buckets[client] = b
 	}
-	b.tokens = math.Min(burst, b.tokens+rate*now.Sub(b.at).Seconds())
-	b.at = now
+	b.tokens = math.Min(burst, b.tokens+rate*now.Sub(b.updatedAt).Seconds())
+	b.updatedAt = now
 	if b.tokens >= 1 {
 		b.tokens--
 		return 0
@@ -73,31 +73,31 @@
 
 func (s *shard) sweep(now time.Time) {
 	s.calls++
-	if s.calls%sweepEvery != 0 {
+	if s.calls%callsPerSweep != 0 {
 		return
 	}
 	for client, b := range s.buckets {
-		if now.Sub(b.at) > idleBuckets {
+		if now.Sub(b.updatedAt) > bucketIdleTTL {
 			delete(s.buckets, client)
 		}
 	}
 }
 
-// Shed tells whether work of a priority (0 to 9) is turned away when the wait
+// ShouldShed tells whether work of a priority (0 to 9) is turned away when the wait
 // is expected to be wait; at the highest priority work waits up to longest.
-func Shed(priority int, wait, longest time.Duration) bool {
-	allowed := longest * time.Duration(priority+1) / priorities
+func ShouldShed(priority int, wait, maxWait time.Duration) bool {
+	allowed := maxWait * time.Duration(priority+1) / priorityLevels
 	return wait > allowed
 }
 
-// Late tells whether work that waits and then takes least cannot end in left.
-func Late(wait, least, left time.Duration) bool {
-	return float64(wait+least) > deadlinePart*float64(left)
+// MissesDeadline tells whether work that waits and then takes least cannot end in left.
+func MissesDeadline(wait, minService, remaining time.Duration) bool {
+	return float64(wait+minService) > deadlineFraction*float64(remaining)
 }
 
 // RetryAfter spreads the time to come back around wait, so that callers turned
 // away together do not return together.
 func RetryAfter(wait time.Duration) time.Duration {
-	wait = max(wait, leastRetry)
-	return wait + time.Duration(rand.Float64()*retrySpread*2*float64(wait))
+	wait = max(wait, minRetryAfter)
+	return wait + time.Duration(rand.Float64()*retryJitter*2*float64(wait))
 }
--- a/away/decider.go
+++ b/away/decider.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// leaveMargin and stayMargin make the hysteresis: work starts to leave when
+	// forwardStartMargin and stayMargin make the hysteresis: work starts to leave when
 	// it gains leaveMargin and goes on to leave until it gains less than stayMargin.
-	leaveMargin = 80 * time.Millisecond
-	stayMargin  = 20 * time.Millisecond
+	forwardStartMargin = 80 * time.Millisecond
+	forwardStopMargin  = 20 * time.Millisecond
 )
 
-// perUnit is the unit of prices in tokens and of cold prefill in bytes.
-const perUnit = 1000
+// unitSize is the unit of prices in tokens and of cold prefill in bytes.
+const unitSize = 1000
 
 // Weights turn time, price and distance into one cost.
 type Weights struct {
@@ -53,12 +53,12 @@
 	policy  string
 	weights Weights
 	mu      sync.Mutex
-	leaving map[string]bool
+	forwarding map[string]bool
 }
 
 // New returns a decider of a policy.
 func New(policy string, weights Weights) *Decider {
-	return &Decider{policy: policy, weights: weights, leaving: map[string]bool{}}
+	return &Decider{policy: policy, weights: weights, forwarding: map[string]bool{}}
 }
 
 // Work is the size of a request: bytes of prompt, tokens to generate.
@@ -79,18 +79,18 @@
 		if !fits {
 			gain = -d.cost(others[i], work)
 		}
-		if d.refuses(others[i], fits, gain) {
+		if d.rejects(others[i], fits, gain) {
 			continue
 		}
 		if best < 0 || gain > bestGain {
 			best, bestGain = i, gain
 		}
 	}
-	d.note(others, best)
+	d.recordChoice(others, best)
 	return best
 }
 
-func (d *Decider) refuses(p Place, fits bool, gain float64) bool {
+func (d *Decider) rejects(p Place, fits bool, gain float64) bool {
 	if d.policy == PolicyCheapest {
 		return fits && gain <= 0
 	}
@@ -103,31 +103,31 @@
 func (d *Decider) margin(region string) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.leaving[region] {
-		return stayMargin.Seconds() * d.weights.Second
+	if d.forwarding[region] {
+		return forwardStopMargin.Seconds() * d.weights.Second
 	}
-	return leaveMargin.Seconds() * d.weights.Second
+	return forwardStartMargin.Seconds() * d.weights.Second
 }
 
-func (d *Decider) note(others []Place, best int) {
+func (d *Decider) recordChoice(others []Place, best int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := range others {
-		d.leaving[others[i].Region] = i == best
+		d.forwarding[others[i].Region] = i == best
 	}
 }
 
-func (d *Decider) gain(here, there Place, work Work) float64 {
+func (d *Decider) gain(here, other Place, work Work) float64 {
 	if d.policy == PolicyCheapest {
-		return here.price(work) - there.price(work)
+		return here.price(work) - other.price(work)
 	}
-	return here.Wait.Seconds()*d.weights.Second + here.price(work) - d.cost(there, work)
+	return here.Wait.Seconds()*d.weights.Second + here.price(work) - d.cost(other, work)
 }
 
 func (d *Decider) cost(p Place, work Work) float64 {
-	cold := d.weights.ColdPrefill.Seconds() * float64(work.Bytes) / perUnit
-	late := p.Wait.Seconds() + 2*p.Link.Seconds() + cold
-	return late*d.weights.Second + p.price(work) + d.weights.Share
+	cold := d.weights.ColdPrefill.Seconds() * float64(work.Bytes) / unitSize
+	delay := p.Wait.Seconds() + 2*p.Link.Seconds() + cold
+	return delay*d.weights.Second + p.price(work) + d.weights.Share
 }
 
-func (p *Place) price(work Work) float64 { return p.Price * float64(work.Tokens) / perUnit }
+func (p *Place) price(work Work) float64 { return p.Price * float64(work.Tokens) / unitSize }
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -25,11 +25,11 @@
 )
 
 const (
-	logName      = "claims.log"
-	batchLength  = 256
+	logFile      = "claims.log"
+	maxBatch  = 256
 	uuidLength   = 36
-	rewriteEvery = 20_000
-	maxBody      = 64 << 10
+	rewriteAfterRecords = 20_000
+	maxBodyBytes      = 64 << 10
 )
 
 // Options of a Table.
@@ -64,10 +64,10 @@
 type Table struct {
 	options Options
 	log     *wal.Log
-	since   time.Time
+	diskSince   time.Time
 	mu      sync.Mutex
 	claims  map[string]wheelgauge.Claim
-	written int
+	recordsSinceRewrite int
 	queue   chan request
 	cancel  context.CancelFunc
 	done    chan error
@@ -87,11 +87,11 @@
 	if err := os.MkdirAll(options.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("create claims folder: %w", err)
 	}
-	log, records, err := wal.Open(filepath.Join(options.Dir, logName))
+	log, records, err := wal.Open(filepath.Join(options.Dir, logFile))
 	if err != nil {
 		return nil, fmt.Errorf("open claims: %w", err)
 	}
-	t := &Table{options: options, log: log, claims: map[string]wheelgauge.Claim{}, queue: make(chan request, batchLength), done: make(chan error, 1)}
+	t := &Table{options: options, log: log, claims: map[string]wheelgauge.Claim{}, queue: make(chan request, maxBatch), done: make(chan error, 1)}
 	if err := t.replay(records); err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
@@ -104,14 +104,14 @@
 }
 
 func (t *Table) replay(records [][]byte) error {
-	t.since = t.options.Now()
+	t.diskSince = t.options.Now()
 	for i, data := range records {
 		var r record
 		if err := json.Unmarshal(data, &r); err != nil {
 			return fmt.Errorf("decode claims: %w", err)
 		}
 		if i == 0 {
-			t.since = r.Since
+			t.diskSince = r.Since
 		}
 		if r.Claim != nil {
 			t.put(*r.Claim)
@@ -122,13 +122,13 @@
 
 func (t *Table) put(c wheelgauge.Claim) {
 	if c.State == wheelgauge.ClaimReleased {
-		delete(t.claims, name(c))
+		delete(t.claims, mapKey(c))
 		return
 	}
-	t.claims[name(c)] = c
+	t.claims[mapKey(c)] = c
 }
 
-func name(c wheelgauge.Claim) string { return c.Client + "\x00" + c.Key }
+func mapKey(c wheelgauge.Claim) string { return c.Client + "\x00" + c.Key }
 
 // Close stops the writer and waits.
 func (t *Table) Close() error {
@@ -165,24 +165,24 @@
 // Take asks for a claim (state new) or ends one (state done or released). It
 // returns once the answer is on disk.
 func (t *Table) Take(ctx context.Context, c wheelgauge.Claim) (wheelgauge.Claim, error) {
-	if len(c.Body) > maxBody {
+	if len(c.Body) > maxBodyBytes {
 		c.Body = nil
 	}
 	q := request{claim: c, done: make(chan outcome, 1)}
 	select {
 	case t.queue <- q:
 	case <-ctx.Done():
-		return c, stopped(wheelgauge.OutcomeNotRun)
+		return c, unavailable(wheelgauge.OutcomeNotRun)
 	}
 	select {
 	case o := <-q.done:
 		return o.claim, o.err
 	case <-ctx.Done():
-		return c, stopped(wheelgauge.OutcomeUnknown)
+		return c, unavailable(wheelgauge.OutcomeUnknown)
 	}
 }
 
-func stopped(outcome wheelgauge.Outcome) *wheelgauge.Error {
+func unavailable(outcome wheelgauge.Outcome) *wheelgauge.Error {
 	return wheelgauge.NewError(wheelgauge.ReasonClaimStore, outcome, http.StatusServiceUnavailable, "the claim store does not answer").WithRetryAfter(time.Second)
 }
 
@@ -201,7 +201,7 @@
 
 func (t *Table) batch(first request) []request {
 	out := []request{first}
-	for len(out) < batchLength {
+	for len(out) < maxBatch {
 		select {
 		case q := <-t.queue:
 			out = append(out, q)
@@ -216,17 +216,17 @@
 func (t *Table) commit(batch []request) error {
 	outcomes := make([]outcome, len(batch))
 	var records [][]byte
-	undo := map[string]wheelgauge.Claim{}
+	previous := map[string]wheelgauge.Claim{}
 	t.mu.Lock()
 	for i, q := range batch {
-		was, had := t.claims[name(q.claim)]
-		answer, write, err := t.decide(q.claim, was, had)
+		prev, exists := t.claims[mapKey(q.claim)]
+		answer, write, err := t.decide(q.claim, prev, exists)
 		outcomes[i] = outcome{answer, err}
 		if write == nil {
 			continue
 		}
-		if _, ok := undo[name(q.claim)]; !ok {
-			undo[name(q.claim)] = was
+		if _, ok := previous[mapKey(q.claim)]; !ok {
+			previous[mapKey(q.claim)] = prev
 		}
 		t.put(*write)
 		data, err := json.Marshal(record{Claim: write})
@@ -238,15 +238,15 @@
 	}
 	t.mu.Unlock()
 	if err := t.write(records); err != nil {
-		t.takeBack(undo)
+		t.rollBack(previous)
 		for i := range outcomes {
-			outcomes[i].err = stopped(wheelgauge.OutcomeNotRun)
+			outcomes[i].err = unavailable(wheelgauge.OutcomeNotRun)
 		}
 	}
 	for i, q := range batch {
 		q.done <- outcomes[i]
 	}
-	return t.compactNow(len(records))
+	return t.compactIfDue(len(records))
 }
 
 func (t *Table) write(records [][]byte) error {
@@ -256,24 +256,24 @@
 	return t.log.Append(records...)
 }
 
-func (t *Table) takeBack(undo map[string]wheelgauge.Claim) {
+func (t *Table) rollBack(previous map[string]wheelgauge.Claim) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for n, was := range undo {
+	for n, prev := range previous {
 		delete(t.claims, n)
-		if was.Key != "" {
-			t.claims[n] = was
+		if prev.Key != "" {
+			t.claims[n] = prev
 		}
 	}
 }
 
 // decide returns the answer to c and what must be written for it.
-func (t *Table) decide(c, was wheelgauge.Claim, had bool) (wheelgauge.Claim, *wheelgauge.Claim, error) {
+func (t *Table) decide(c, prev wheelgauge.Claim, exists bool) (wheelgauge.Claim, *wheelgauge.Claim, error) {
 	if c.State != wheelgauge.ClaimNew {
-		return t.end(c, was, had)
+		return t.decideEnd(c, prev, exists)
 	}
-	if had {
-		return repeat(c, was)
+	if exists {
+		return decideRepeated(c, prev)
 	}
 	made, err := KeyTime(c.Key)
 	if err != nil {
@@ -283,40 +283,40 @@
 	if made.After(now.Add(t.options.Skew)) {
 		return c, nil, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "the key was made in the future")
 	}
-	if now.Sub(made) > t.options.TTL || !made.After(t.since.Add(t.options.Skew)) && !t.founded() {
+	if now.Sub(made) > t.options.TTL || !made.After(t.diskSince.Add(t.options.Skew)) && !t.isFirstDisk() {
 		c.State = wheelgauge.ClaimLost
 		return c, nil, nil
 	}
-	held := c
-	held.State = wheelgauge.ClaimRunning
-	return c, &held, nil
+	running := c
+	running.State = wheelgauge.ClaimRunning
+	return c, &running, nil
 }
 
-// founded is true where the operator set this disk up as a region's first by
+// isFirstDisk is true where the operator set this disk up as a region's first by
 // Found: no claim can have been lost before it.
-func (t *Table) founded() bool { return t.since.IsZero() }
+func (t *Table) isFirstDisk() bool { return t.diskSince.IsZero() }
 
-func repeat(c, was wheelgauge.Claim) (wheelgauge.Claim, *wheelgauge.Claim, error) {
-	if was.State == wheelgauge.ClaimRunning && was.Holder == c.Holder {
+func decideRepeated(c, prev wheelgauge.Claim) (wheelgauge.Claim, *wheelgauge.Claim, error) {
+	if prev.State == wheelgauge.ClaimRunning && prev.Holder == c.Holder {
 		return c, nil, nil // the holder asks again: its first answer was lost
 	}
-	if c.Digest != was.Digest {
-		return was, nil, wheelgauge.NewError(wheelgauge.ReasonConflict, wheelgauge.OutcomeNotRun, http.StatusConflict, "this key was used for another request")
+	if c.Digest != prev.Digest {
+		return prev, nil, wheelgauge.NewError(wheelgauge.ReasonConflict, wheelgauge.OutcomeNotRun, http.StatusConflict, "this key was used for another request")
 	}
-	return was, nil, nil
+	return prev, nil, nil
 }
 
-// end records the outcome of a claim for its holder only.
-func (t *Table) end(c, was wheelgauge.Claim, had bool) (wheelgauge.Claim, *wheelgauge.Claim, error) {
-	if !had || was.Holder != c.Holder || was.State != wheelgauge.ClaimRunning {
-		return was, nil, nil
+// decideEnd records the outcome of a claim for its holder only.
+func (t *Table) decideEnd(c, prev wheelgauge.Claim, exists bool) (wheelgauge.Claim, *wheelgauge.Claim, error) {
+	if !exists || prev.Holder != c.Holder || prev.State != wheelgauge.ClaimRunning {
+		return prev, nil, nil
 	}
 	return c, &c, nil
 }
 
-func (t *Table) compactNow(added int) error {
-	t.written += added
-	if t.written < rewriteEvery {
+func (t *Table) compactIfDue(added int) error {
+	t.recordsSinceRewrite += added
+	if t.recordsSinceRewrite < rewriteAfterRecords {
 		return nil
 	}
 	return t.compact()
@@ -326,9 +326,9 @@
 func (t *Table) compact() error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.written = 0
+	t.recordsSinceRewrite = 0
 	oldest := t.options.Now().Add(-t.options.TTL - t.options.Skew)
-	first, err := json.Marshal(record{Since: t.since})
+	first, err := json.Marshal(record{Since: t.diskSince})
 	if err != nil {
 		return fmt.Errorf("encode claims: %w", err)
 	}
@@ -355,7 +355,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("create claims folder: %w", err)
 	}
-	log, records, err := wal.Open(filepath.Join(dir, logName))
+	log, records, err := wal.Open(filepath.Join(dir, logFile))
 	if err != nil {
 		return fmt.Errorf("open claims: %w", err)
 	}
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -21,9 +21,9 @@
 	return fmt.Sprintf("%08x-%04x-7%03x-8000-%012x", ms>>16, ms&0xffff, n&0xfff, n)
 }
 
-type clock struct{ now time.Time }
+type fakeClock struct{ now time.Time }
 
-func open(t *testing.T, dir string, c *clock) *Table {
+func mustOpen(t *testing.T, dir string, c *fakeClock) *Table {
 	t.Helper()
 	table, err := Open(context.Background(), Options{Dir: dir, Now: func() time.Time { return c.now }})
 	if err != nil {
@@ -32,7 +32,7 @@
 	return table
 }
 
-func take(t *testing.T, table *Table, c wheelgauge.Claim) wheelgauge.Claim {
+func mustTake(t *testing.T, table *Table, c wheelgauge.Claim) wheelgauge.Claim {
 	t.Helper()
 	got, err := table.Take(context.Background(), c)
 	if err != nil {
@@ -45,11 +45,11 @@
 	return wheelgauge.Claim{Client: "desk", Key: key, Digest: "d", Holder: holder, State: state}
 }
 
-// TestLife runs claims through their states, with a restart after every step.
-func TestLife(t *testing.T) {
+// TestClaimLifecycle runs claims through their states, with a restart after every step.
+func TestClaimLifecycle(t *testing.T) {
 	key := keyAt(noon, 1)
-	asked := func(holder string) wheelgauge.Claim { return claim(key, holder, wheelgauge.ClaimNew) }
-	ended := func(holder string, state wheelgauge.ClaimState) wheelgauge.Claim {
+	newClaim := func(holder string) wheelgauge.Claim { return claim(key, holder, wheelgauge.ClaimNew) }
+	endedClaim := func(holder string, state wheelgauge.ClaimState) wheelgauge.Claim {
 		c := claim(key, holder, state)
 		c.Status, c.Body = 200, []byte("receipt")
 		return c
@@ -62,12 +62,12 @@
 		name  string
 		steps []step
 	}{
-		{"the holder asks again", []step{{asked("a"), wheelgauge.ClaimNew}, {asked("a"), wheelgauge.ClaimNew}, {asked("b"), wheelgauge.ClaimRunning}}},
-		{"a resend finds it running", []step{{asked("a"), wheelgauge.ClaimNew}, {asked("b"), wheelgauge.ClaimRunning}}},
-		{"a resend gets the record", []step{{asked("a"), wheelgauge.ClaimNew}, {ended("a", wheelgauge.ClaimDone), wheelgauge.ClaimDone}, {asked("b"), wheelgauge.ClaimDone}}},
-		{"released for the next", []step{{asked("a"), wheelgauge.ClaimNew}, {ended("a", wheelgauge.ClaimReleased), wheelgauge.ClaimReleased}, {asked("b"), wheelgauge.ClaimNew}}},
-		{"only the holder releases", []step{{asked("a"), wheelgauge.ClaimNew}, {ended("b", wheelgauge.ClaimReleased), wheelgauge.ClaimRunning}, {asked("b"), wheelgauge.ClaimRunning}}},
-		{"a record is final", []step{{asked("a"), wheelgauge.ClaimNew}, {ended("a", wheelgauge.ClaimDone), wheelgauge.ClaimDone}, {ended("a", wheelgauge.ClaimReleased), wheelgauge.ClaimDone}, {asked("c"), wheelgauge.ClaimDone}}},
+		{"the holder asks again", []step{{newClaim("a"), wheelgauge.ClaimNew}, {newClaim("a"), wheelgauge.ClaimNew}, {newClaim("b"), wheelgauge.ClaimRunning}}},
+		{"a resend finds it running", []step{{newClaim("a"), wheelgauge.ClaimNew}, {newClaim("b"), wheelgauge.ClaimRunning}}},
+		{"a resend gets the record", []step{{newClaim("a"), wheelgauge.ClaimNew}, {endedClaim("a", wheelgauge.ClaimDone), wheelgauge.ClaimDone}, {newClaim("b"), wheelgauge.ClaimDone}}},
+		{"released for the next", []step{{newClaim("a"), wheelgauge.ClaimNew}, {endedClaim("a", wheelgauge.ClaimReleased), wheelgauge.ClaimReleased}, {newClaim("b"), wheelgauge.ClaimNew}}},
+		{"only the holder releases", []step{{newClaim("a"), wheelgauge.ClaimNew}, {endedClaim("b", wheelgauge.ClaimReleased), wheelgauge.ClaimRunning}, {newClaim("b"), wheelgauge.ClaimRunning}}},
+		{"a record is final", []step{{newClaim("a"), wheelgauge.ClaimNew}, {endedClaim("a", wheelgauge.ClaimDone), wheelgauge.ClaimDone}, {endedClaim("a", wheelgauge.ClaimReleased), wheelgauge.ClaimDone}, {newClaim("c"), wheelgauge.ClaimDone}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -75,10 +75,10 @@
 			if err := Found(dir); err != nil {
 				t.Fatal(err)
 			}
-			c := &clock{noon}
+			c := &fakeClock{noon}
 			for i, s := range tt.steps {
-				table := open(t, dir, c)
-				if got := take(t, table, s.in); got.State != s.want {
+				table := mustOpen(t, dir, c)
+				if got := mustTake(t, table, s.in); got.State != s.want {
 					t.Fatalf("step %d: got %s, want %s", i, got.State, s.want)
 				}
 				if err := table.Close(); err != nil {
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestTimes covers keys that are old, new, from the future, and from before
+// TestKeyAges covers keys that are old, new, from the future, and from before
 // the loss of a disk.
-func TestTimes(t *testing.T) {
+func TestKeyAges(t *testing.T) {
 	tests := []struct {
 		name    string
 		founded bool
@@ -117,8 +117,8 @@
 					t.Fatal(err)
 				}
 			}
-			c := &clock{noon}
-			table := open(t, dir, c)
+			c := &fakeClock{noon}
+			table := mustOpen(t, dir, c)
 			c.now = tt.now
 			got, err := table.Take(context.Background(), claim(tt.key, "a", wheelgauge.ClaimNew))
 			if (err != nil) != tt.fault || err == nil && got.State != tt.want {
@@ -131,23 +131,23 @@
 	}
 }
 
-// TestForgets checks that what is forgotten would be refused by its age anyway.
-func TestForgets(t *testing.T) {
+// TestCompactedKeyIsNotGrantedAgain checks that what is forgotten would be refused by its age anyway.
+func TestCompactedKeyIsNotGrantedAgain(t *testing.T) {
 	dir := t.TempDir()
 	if err := Found(dir); err != nil {
 		t.Fatal(err)
 	}
-	c := &clock{noon}
-	table := open(t, dir, c)
+	c := &fakeClock{noon}
+	table := mustOpen(t, dir, c)
 	key := keyAt(noon, 1)
-	take(t, table, claim(key, "a", wheelgauge.ClaimNew))
+	mustTake(t, table, claim(key, "a", wheelgauge.ClaimNew))
 	if err := table.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for _, after := range []time.Duration{23 * time.Hour, 24*time.Hour + time.Minute, 30 * time.Hour} {
 		c.now = noon.Add(after)
-		table = open(t, dir, c)
-		if got := take(t, table, claim(key, "b", wheelgauge.ClaimNew)); got.State == wheelgauge.ClaimNew {
+		table = mustOpen(t, dir, c)
+		if got := mustTake(t, table, claim(key, "b", wheelgauge.ClaimNew)); got.State == wheelgauge.ClaimNew {
 			t.Fatalf("granted twice after %s", after)
 		}
 		if err := table.Close(); err != nil {
@@ -156,13 +156,13 @@
 	}
 }
 
-// TestOneWinner sends the same key from many at once.
-func TestOneWinner(t *testing.T) {
+// TestConcurrentClaimsHaveOneWinner sends the same key from many at once.
+func TestConcurrentClaimsHaveOneWinner(t *testing.T) {
 	dir := t.TempDir()
 	if err := Found(dir); err != nil {
 		t.Fatal(err)
 	}
-	table := open(t, dir, &clock{noon})
+	table := mustOpen(t, dir, &fakeClock{noon})
 	key := keyAt(noon, 9)
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -191,9 +191,9 @@
 	if err := Found(dir); err != nil {
 		t.Fatal(err)
 	}
-	table := open(t, dir, &clock{noon})
+	table := mustOpen(t, dir, &fakeClock{noon})
 	c := claim(keyAt(noon, 3), "a", wheelgauge.ClaimNew)
-	take(t, table, c)
+	mustTake(t, table, c)
 	c.Digest, c.Holder = "another", "b"
 	if _, err := table.Take(context.Background(), c); wheelgauge.AsError(err).Reason() != wheelgauge.ReasonConflict {
 		t.Fatalf("got %v", err)
@@ -203,20 +203,20 @@
 	}
 }
 
-// TestCorrupt refuses a claim file with damage before its end.
-func TestCorrupt(t *testing.T) {
+// TestCorruptFileIsRefused refuses a claim file with damage before its end.
+func TestCorruptFileIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	if err := Found(dir); err != nil {
 		t.Fatal(err)
 	}
-	table := open(t, dir, &clock{noon})
+	table := mustOpen(t, dir, &fakeClock{noon})
 	for i := range 3 {
-		take(t, table, claim(keyAt(noon, i), "a", wheelgauge.ClaimNew))
+		mustTake(t, table, claim(keyAt(noon, i), "a", wheelgauge.ClaimNew))
 	}
 	if err := table.Close(); err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(dir, logName)
+	path := filepath.Join(dir, logFile)
 	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -18,53 +18,53 @@
 
 const (
 	eventStream = "text/event-stream"
-	// wholeBody is the largest answer that is taken in before it is passed on,
+	// maxBufferedBody is the largest answer that is taken in before it is passed on,
 	// so that one cut short becomes an error and not half an answer.
-	wholeBody = 1 << 20
+	maxBufferedBody = 1 << 20
 )
 
-// countedBody tells once when an answer has been read or given up.
-type countedBody struct {
+// notifyingBody tells once when an answer has been read or given up.
+type notifyingBody struct {
 	io.ReadCloser
 	once sync.Once
-	end  func()
+	onClose  func()
 }
 
 // Close implements io.Closer.
-func (b *countedBody) Close() error {
+func (b *notifyingBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.once.Do(b.end)
+	b.once.Do(b.onClose)
 	return err
 }
 
-// run carries a request out and answers it.
-func (g *Gateway) run(ctx *fasthttp.RequestCtx, rq *request) {
-	held, err := g.claim(rq)
+// execute carries a request out and answers it.
+func (g *Gateway) execute(ctx *fasthttp.RequestCtx, rq *request) {
+	claim, err := g.claim(rq)
 	if err != nil {
-		g.finish(ctx, rq, err)
+		g.finishWithError(ctx, rq, err)
 		return
 	}
-	if held != nil && held.State == wheelgauge.ClaimDone {
-		g.replay(ctx, rq, held)
+	if claim != nil && claim.State == wheelgauge.ClaimDone {
+		g.replayRecorded(ctx, rq, claim)
 		return
 	}
 	answer, err := g.open(g.ctx, rq)
 	if err != nil {
-		g.giveBack(held, err)
-		g.finish(ctx, rq, err)
+		g.releaseClaim(claim, err)
+		g.finishWithError(ctx, rq, err)
 		return
 	}
-	g.reply(ctx, rq, answer, held)
+	g.reply(ctx, rq, answer, claim)
 }
 
-// finish ends a request with an error.
-func (g *Gateway) finish(ctx *fasthttp.RequestCtx, rq *request, err error) {
+// finishWithError ends a request with an error.
+func (g *Gateway) finishWithError(ctx *fasthttp.RequestCtx, rq *request, err error) {
 	g.refuse(ctx, rq, err)
 	g.serving.Leave()
 }
 
 // reply passes an answer on to the caller.
-func (g *Gateway) reply(ctx *fasthttp.RequestCtx, rq *request, answer *wheelgauge.Answer, held *heldClaim) {
+func (g *Gateway) reply(ctx *fasthttp.RequestCtx, rq *request, answer *wheelgauge.Answer, claim *heldClaim) {
 	h := &ctx.Response.Header
 	h.Set(wheelgauge.HeaderRequestID, rq.call.ID)
 	to := rq.target.Load()
@@ -76,53 +76,53 @@
 	if after := answer.Header(fasthttp.HeaderRetryAfter); after != "" {
 		h.Set(fasthttp.HeaderRetryAfter, after)
 	}
-	if held == nil && strings.HasPrefix(answer.ContentType, eventStream) {
+	if claim == nil && strings.HasPrefix(answer.ContentType, eventStream) {
 		g.replyStream(ctx, rq, answer)
 		return
 	}
-	g.replyWhole(ctx, rq, answer, held)
+	g.replyBuffered(ctx, rq, answer, claim)
 }
 
 func (g *Gateway) replyStream(ctx *fasthttp.RequestCtx, rq *request, answer *wheelgauge.Answer) {
 	var resume relay.Resume
-	if !rq.once {
-		resume = g.resumer(rq)
+	if !rq.notRepeatable {
+		resume = g.resumeFunc(rq)
 	}
 	s := relay.New(g.ctx, answer, relay.Options{
-		Started: rq.started, Resume: resume, OnEnd: func(e relay.Ending) { g.ended(rq, e) },
-		Dead: func() bool { return g.otherSideDead(rq) },
+		Started: rq.started, Resume: resume, OnEnd: func(e relay.Ending) { g.streamEnded(rq, e) },
+		Dead: func() bool { return g.targetDead(rq) },
 	})
 	ctx.Response.ImmediateHeaderFlush = true
 	ctx.SetBodyStream(s, -1)
 }
 
-// otherSideDead tells whether who answers a request is known to be gone.
-func (g *Gateway) otherSideDead(rq *request) bool {
+// targetDead tells whether who answers a request is known to be gone.
+func (g *Gateway) targetDead(rq *request) bool {
 	to := rq.target.Load()
-	if to.region != g.o.Region {
-		return g.peerGone(to.region, to.host)
+	if to.region != g.options.Region {
+		return g.peerDead(to.region, to.host)
 	}
 	return g.serverDead(to.server)
 }
 
-// resumer opens the rest of a broken stream, within the retry budget.
-func (g *Gateway) resumer(rq *request) relay.Resume {
-	before := rq.call.Skip
+// resumeFunc opens the rest of a broken stream, within the retry budget.
+func (g *Gateway) resumeFunc(rq *request) relay.Resume {
+	initialSkip := rq.call.Skip
 	return func(ctx context.Context, skip int) (*wheelgauge.Answer, error) {
-		g.inquestHere(rq)
-		if !g.budget.Retry() {
+		g.attributeLocalCrash(rq)
+		if !g.budget.TakeRetry() {
 			g.meter.Count("retries.no_budget")
 			return nil, wheelgauge.NewError(wheelgauge.ReasonBrokenStream, wheelgauge.OutcomeRan, http.StatusBadGateway, "no retry is left")
 		}
 		g.meter.Count("streams.resumed")
-		rq.call.Skip = before + skip
-		rq.gone = nil
+		rq.call.Skip = initialSkip + skip
+		rq.callerGone = nil
 		return g.open(ctx, rq)
 	}
 }
 
-// ended records how a stream ended.
-func (g *Gateway) ended(rq *request, e relay.Ending) {
+// streamEnded records how a stream ended.
+func (g *Gateway) streamEnded(rq *request, e relay.Ending) {
 	defer g.serving.Leave()
 	g.meter.Add("tokens", int64(e.Tokens))
 	if e.Tokens > 0 {
@@ -130,13 +130,13 @@
 	}
 	switch {
 	case e.Complete:
-		g.ranWell(rq)
-		g.observe(rq)
+		g.noteSuccess(rq)
+		g.observeAnswer(rq)
 	case e.Left:
 		g.meter.Count("streams.left")
 		g.cancelStream(rq)
 	default:
-		g.inquestHere(rq)
+		g.attributeLocalCrash(rq)
 		g.meter.Count("streams.broken")
 	}
 }
@@ -144,52 +144,52 @@
 // cancelStream ends work that nobody reads any more.
 func (g *Gateway) cancelStream(rq *request) {
 	to := rq.target.Load()
-	if s := rq.catalog.Server(to.server); s != nil && to.region == g.o.Region {
+	if s := rq.catalog.Server(to.server); s != nil && to.region == g.options.Region {
 		g.cancelCall(rq, s.Address)
 	}
 }
 
-func (g *Gateway) observe(rq *request) {
+func (g *Gateway) observeAnswer(rq *request) {
 	g.meter.Count("answers")
 	g.meter.Observe("total_ms", rq.identity.Client, rq.identity.Class, time.Since(rq.started))
-	if rq.target.Load().region != g.o.Region {
+	if rq.target.Load().region != g.options.Region {
 		g.meter.Count("away.answers")
 	}
 }
 
-func (g *Gateway) replyWhole(ctx *fasthttp.RequestCtx, rq *request, answer *wheelgauge.Answer, held *heldClaim) {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, wholeBody))
+func (g *Gateway) replyBuffered(ctx *fasthttp.RequestCtx, rq *request, answer *wheelgauge.Answer, claim *heldClaim) {
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody))
 	if err != nil {
 		_ = answer.Body.Close() // its read failed already
-		g.inquestHere(rq)
-		g.finish(ctx, rq, wheelgauge.NewError(wheelgauge.ReasonServerFailed, wheelgauge.OutcomeRan, http.StatusBadGateway, "the answer was cut short: "+err.Error()))
+		g.attributeLocalCrash(rq)
+		g.finishWithError(ctx, rq, wheelgauge.NewError(wheelgauge.ReasonServerFailed, wheelgauge.OutcomeRan, http.StatusBadGateway, "the answer was cut short: "+err.Error()))
 		return
 	}
-	if len(body) == wholeBody {
-		rest := &countedBody{ReadCloser: answer.Body, end: func() { g.observe(rq); g.serving.Leave() }}
+	if len(body) == maxBufferedBody {
+		remainder := &notifyingBody{ReadCloser: answer.Body, onClose: func() { g.observeAnswer(rq); g.serving.Leave() }}
 		ctx.SetBodyStream(struct {
 			io.Reader
 			io.Closer
-		}{io.MultiReader(bytes.NewReader(body), answer.Body), rest}, -1)
+		}{io.MultiReader(bytes.NewReader(body), answer.Body), remainder}, -1)
 		return
 	}
 	_ = answer.Body.Close() // it was read to its end
 	if answer.Status < http.StatusMultipleChoices {
-		g.ranWell(rq)
+		g.noteSuccess(rq)
 	}
-	g.record(held, answer, body)
+	g.recordAnswer(claim, answer, body)
 	ctx.SetBody(body)
-	g.observe(rq)
+	g.observeAnswer(rq)
 	g.serving.Leave()
 }
 
-// peerAnswer turns a typed error answer of a peer into an error.
-func peerAnswer(answer *wheelgauge.Answer) (*wheelgauge.Answer, error) {
+// decodePeerAnswer turns a typed error answer of a peer into an error.
+func decodePeerAnswer(answer *wheelgauge.Answer) (*wheelgauge.Answer, error) {
 	outcome := answer.Header(wheelgauge.HeaderOutcome)
 	if answer.Status < http.StatusBadRequest || outcome == string(wheelgauge.OutcomeRan) && answer.Header(wheelgauge.HeaderServed) != "" {
 		return answer, nil
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, wholeBody))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody))
 	_ = answer.Body.Close() // read as far as it goes
 	fault := new(wheelgauge.Error)
 	if err != nil || json.Unmarshal(body, fault) != nil || fault.Status() == 0 {
--- a/gateway/caller.go
+++ b/gateway/caller.go
@@ -14,20 +14,20 @@
 	"wheelgauge/rendezvous"
 )
 
-const refusedBody = 1
+const refusedBodyBytes = 1
 
 // headerReceived decides residency before the body is read: a request that
 // will be refused is handed over after the first byte of its body.
 func (g *Gateway) headerReceived(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	var rq request
-	if err := g.place(h, &rq); err != nil {
-		return fasthttp.RequestConfig{MaxRequestBodySize: refusedBody}
+	if err := g.identify(h, &rq); err != nil {
+		return fasthttp.RequestConfig{MaxRequestBodySize: refusedBodyBytes}
 	}
 	return fasthttp.RequestConfig{}
 }
 
-// badRequest answers what could not be read as a request.
-func (g *Gateway) badRequest(ctx *fasthttp.RequestCtx, err error) {
+// answerReadError answers what could not be read as a request.
+func (g *Gateway) answerReadError(ctx *fasthttp.RequestCtx, err error) {
 	g.meter.Count("refused.malformed")
 	fault := badRequest("the request cannot be read: " + err.Error())
 	if _, ok := errors.AsType[*fasthttp.ErrSmallBuffer](err); ok {
@@ -37,7 +37,7 @@
 		fault = wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusRequestTimeout, "the request did not come whole in time")
 	}
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-		fault = g.tooLarge()
+		fault = g.bodyTooLarge()
 	}
 	ctx.SetConnectionClose()
 	peerhttp.AnswerError(ctx, fault)
@@ -49,7 +49,7 @@
 		g.serveEntry(ctx)
 		return
 	}
-	rq, err := g.fromCaller(ctx)
+	rq, err := g.readCallerRequest(ctx)
 	g.serve(ctx, rq, err, g.admitCaller)
 }
 
@@ -65,17 +65,17 @@
 		return
 	}
 	if err := admit(ctx, rq); err != nil {
-		g.finish(ctx, rq, err)
+		g.finishWithError(ctx, rq, err)
 		return
 	}
 	conn := ctx.Conn()
-	rq.gone = func() bool { return rq.cancelled.Load() || callerconn.Gone(conn) }
-	g.run(ctx, rq)
+	rq.callerGone = func() bool { return rq.cancelled.Load() || callerconn.Gone(conn) }
+	g.execute(ctx, rq)
 }
 
 // admitCaller checks what concerns the caller, reads the body and finds the route.
 func (g *Gateway) admitCaller(ctx *fasthttp.RequestCtx, rq *request) error {
-	if err := g.limit(rq); err != nil {
+	if err := g.applyRateLimit(rq); err != nil {
 		return err
 	}
 	if err := g.readBody(ctx, rq); err != nil {
@@ -99,21 +99,21 @@
 // serveEntry answers GET /v1/entry.
 func (g *Gateway) serveEntry(ctx *fasthttp.RequestCtx) {
 	var rq request
-	err := g.place(&ctx.Request.Header, &rq)
+	err := g.identify(&ctx.Request.Header, &rq)
 	if err != nil && wheelgauge.AsError(err).Reason() != wheelgauge.ReasonResidency {
 		peerhttp.AnswerError(ctx, err)
 		return
 	}
 	g.meter.Count("entry.lists")
-	peerhttp.Answer(ctx, wheelgauge.EntryList{Entries: g.entries(&rq), TTLMS: g.o.EntryTTL.Milliseconds()})
+	peerhttp.Answer(ctx, wheelgauge.EntryList{Entries: g.entries(&rq), TTLMS: g.options.EntryTTL.Milliseconds()})
 }
 
 func (g *Gateway) entries(rq *request) []wheelgauge.Entry {
-	return entrylist.List(rq.catalog, rq.identity, g.o.Region, g.usable)
+	return entrylist.List(rq.catalog, rq.identity, g.options.Region, g.usable)
 }
 
-// home returns the region that keeps the claims of a client.
-func (rq *request) home() string {
+// homeRegion returns the region that keeps the claims of a client.
+func (rq *request) homeRegion() string {
 	regions := rq.catalog.AllowedRegions(rq.identity)
 	for _, region := range regions {
 		if region == rq.identity.Home {
--- a/gateway/claim.go
+++ b/gateway/claim.go
@@ -18,8 +18,8 @@
 const (
 	pathClaims   = "/v1/claims"
 	claimTimeout = 2 * time.Second
-	releaseLimit = 500 * time.Millisecond
-	recordLimit  = 2 * time.Second
+	releaseTimeout = 500 * time.Millisecond
+	recordTimeout  = 2 * time.Second
 )
 
 // heldClaim is a claim and where it is kept.
@@ -32,71 +32,71 @@
 // repeatable and carries a key. It returns nil where no claim is needed, a
 // claim in state new when it was granted, or in state done with the answer.
 func (g *Gateway) claim(rq *request) (*heldClaim, error) {
-	if !rq.once || rq.call.Key == "" || rq.forwarded {
+	if !rq.notRepeatable || rq.call.Key == "" || rq.forwarded {
 		return nil, nil
 	}
-	home := rq.home()
-	address := rq.catalog.ClaimStore(home)
+	region := rq.homeRegion()
+	address := rq.catalog.ClaimStore(region)
 	if address == "" {
-		return nil, claimStore("the client's home region has no claim store")
+		return nil, claimStoreError("the client's home region has no claim store")
 	}
-	if home != g.o.Region && g.node.RegionGone(home) {
-		return nil, claimStore("the client's home region is cut off")
+	if region != g.options.Region && g.node.RegionGone(region) {
+		return nil, claimStoreError("the client's home region is cut off")
 	}
-	c := wheelgauge.Claim{Client: rq.identity.Client, Key: rq.call.Key, Digest: digest(rq), Holder: rq.call.ID, State: wheelgauge.ClaimNew}
-	got, err := g.ask(address, c)
+	c := wheelgauge.Claim{Client: rq.identity.Client, Key: rq.call.Key, Digest: requestDigest(rq), Holder: rq.call.ID, State: wheelgauge.ClaimNew}
+	got, err := g.requestClaim(address, c)
 	if err != nil {
-		return nil, g.notClaimed(address, c, err)
+		return nil, g.claimFailed(address, c, err)
 	}
 	switch got.State {
 	case wheelgauge.ClaimNew, wheelgauge.ClaimDone:
 		g.meter.Count("claims." + string(got.State))
 		return &heldClaim{got, address}, nil
 	case wheelgauge.ClaimLost:
-		return nil, held("the key is too old, or was made before the claim store's disk was replaced: whether it ran is not known")
+		return nil, claimHeldError("the key is too old, or was made before the claim store's disk was replaced: whether it ran is not known")
 	default:
-		return nil, held("an earlier request with this key was dispatched and its outcome is not recorded").WithRetryAfter(time.Second)
+		return nil, claimHeldError("an earlier request with this key was dispatched and its outcome is not recorded").WithRetryAfter(time.Second)
 	}
 }
 
-func held(detail string) *wheelgauge.Error {
+func claimHeldError(detail string) *wheelgauge.Error {
 	return wheelgauge.NewError(wheelgauge.ReasonClaimHeld, wheelgauge.OutcomeUnknown, http.StatusConflict, detail)
 }
 
-func claimStore(detail string) *wheelgauge.Error {
+func claimStoreError(detail string) *wheelgauge.Error {
 	return wheelgauge.NewError(wheelgauge.ReasonClaimStore, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, detail).WithRetryAfter(time.Second)
 }
 
-// notClaimed answers a request whose claim was not granted. This attempt was
+// claimFailed answers a request whose claim was not granted. This attempt was
 // not run; a claim that may have been taken for it is given back.
-func (g *Gateway) notClaimed(address string, c wheelgauge.Claim, err error) error {
+func (g *Gateway) claimFailed(address string, c wheelgauge.Claim, err error) error {
 	if fault, ok := errors.AsType[*wheelgauge.Error](err); ok {
 		return fault.WithOutcome(wheelgauge.OutcomeNotRun)
 	}
 	if !peerhttp.NotSent(err) {
 		c.State = wheelgauge.ClaimReleased
-		if _, err := g.tell(g.client.CallFresh, address, c, releaseLimit); err != nil {
+		if _, err := g.postClaim(g.client.CallFresh, address, c, releaseTimeout); err != nil {
 			g.meter.Count("claims.not_given_back")
 		}
 	}
-	return claimStore("the claim store of the client's home region is not reached")
+	return claimStoreError("the claim store of the client's home region is not reached")
 }
 
-// ask asks for a claim. A connection that the store closed is found out only by
+// requestClaim asks for a claim. A connection that the store closed is found out only by
 // using it, and a holder may ask again, so a second try is made at once.
-func (g *Gateway) ask(address string, c wheelgauge.Claim) (wheelgauge.Claim, error) {
+func (g *Gateway) requestClaim(address string, c wheelgauge.Claim) (wheelgauge.Claim, error) {
 	started := time.Now()
-	got, err := g.tell(g.client.Call, address, c, claimTimeout)
+	got, err := g.postClaim(g.client.Call, address, c, claimTimeout)
 	if _, refused := errors.AsType[*wheelgauge.Error](err); err == nil || refused || time.Since(started) > claimTimeout/2 {
 		return got, err
 	}
-	return g.tell(g.client.CallFresh, address, c, claimTimeout/2)
+	return g.postClaim(g.client.CallFresh, address, c, claimTimeout/2)
 }
 
-// caller is one of the ways to call a peer.
-type caller func(ctx context.Context, method, address, path string, in, out any) error
+// callFunc is one of the ways to call a peer.
+type callFunc func(ctx context.Context, method, address, path string, in, out any) error
 
-func (g *Gateway) tell(call caller, address string, c wheelgauge.Claim, limit time.Duration) (wheelgauge.Claim, error) {
+func (g *Gateway) postClaim(call callFunc, address string, c wheelgauge.Claim, limit time.Duration) (wheelgauge.Claim, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(g.ctx), limit)
 	defer cancel()
 	var got wheelgauge.Claim
@@ -106,37 +106,37 @@
 	return got, nil
 }
 
-func digest(rq *request) string {
+func requestDigest(rq *request) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s %s\n%s", rq.call.Method, rq.call.Path, rq.call.Body))
 	return hex.EncodeToString(sum[:])
 }
 
-// giveBack releases a claim when nothing can have left.
-func (g *Gateway) giveBack(c *heldClaim, cause error) {
-	if c == nil || !isOutcome(cause, wheelgauge.OutcomeNotRun) {
+// releaseClaim releases a claim when nothing can have left.
+func (g *Gateway) releaseClaim(c *heldClaim, cause error) {
+	if c == nil || !hasOutcome(cause, wheelgauge.OutcomeNotRun) {
 		return
 	}
-	g.end(c, wheelgauge.Claim{State: wheelgauge.ClaimReleased})
+	g.endClaim(c, wheelgauge.Claim{State: wheelgauge.ClaimReleased})
 }
 
-// record keeps the answer for resends of the same key.
-func (g *Gateway) record(c *heldClaim, answer *wheelgauge.Answer, body []byte) {
+// recordAnswer keeps the answer for resends of the same key.
+func (g *Gateway) recordAnswer(c *heldClaim, answer *wheelgauge.Answer, body []byte) {
 	if c == nil {
 		return
 	}
-	g.end(c, wheelgauge.Claim{State: wheelgauge.ClaimDone, Status: answer.Status, Type: answer.ContentType, Body: body})
+	g.endClaim(c, wheelgauge.Claim{State: wheelgauge.ClaimDone, Status: answer.Status, Type: answer.ContentType, Body: body})
 }
 
-func (g *Gateway) end(c *heldClaim, as wheelgauge.Claim) {
-	as.Client, as.Key, as.Digest, as.Holder = c.Client, c.Key, c.Digest, c.Holder
-	if _, err := g.tell(g.client.CallFresh, c.store, as, recordLimit); err != nil {
+func (g *Gateway) endClaim(c *heldClaim, ended wheelgauge.Claim) {
+	ended.Client, ended.Key, ended.Digest, ended.Holder = c.Client, c.Key, c.Digest, c.Holder
+	if _, err := g.postClaim(g.client.CallFresh, c.store, ended, recordTimeout); err != nil {
 		g.meter.Count("claims.not_recorded")
-		g.o.Log.Error(err, "Claim is not ended; resends get unknown.")
+		g.options.Log.Error(err, "Claim is not ended; resends get unknown.")
 	}
 }
 
-// replay answers a resend with what was recorded.
-func (g *Gateway) replay(ctx *fasthttp.RequestCtx, rq *request, c *heldClaim) {
+// replayRecorded answers a resend with what was recorded.
+func (g *Gateway) replayRecorded(ctx *fasthttp.RequestCtx, rq *request, c *heldClaim) {
 	h := &ctx.Response.Header
 	h.Set(wheelgauge.HeaderRequestID, rq.call.ID)
 	h.Set(wheelgauge.HeaderOutcome, string(wheelgauge.OutcomeRan))
@@ -144,6 +144,6 @@
 	ctx.SetStatusCode(c.Status)
 	ctx.SetContentType(c.Type)
 	ctx.SetBody(c.Body)
-	g.observe(rq)
+	g.observeAnswer(rq)
 	g.serving.Leave()
 }
--- a/gateway/decide_test.go
+++ b/gateway/decide_test.go
@@ -19,16 +19,16 @@
 	"wheelgauge/setaside"
 )
 
-// idle returns a gateway of region r0 without listeners or stores.
-func idle(t testing.TB) *Gateway {
+// newTestGateway returns a gateway of region r0 without listeners or stores.
+func newTestGateway(t testing.TB) *Gateway {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &Gateway{
-		o: Options{
+		options: Options{
 			Host: "h0", Region: "r0", Picker: affinity.New(0), LongestWait: 10 * time.Second,
 			Decider: away.New(away.PolicyCost, away.Weights{Second: 1, Share: 0.05, ColdPrefill: 60 * time.Millisecond}),
 		},
-		aside: setaside.New(), meter: meter.New(), clock: wheelgauge.SteadyClock{}, ctx: ctx, cancel: cancel,
+		setAside: setaside.New(), meter: meter.New(), clock: wheelgauge.SteadyClock{}, ctx: ctx, cancel: cancel,
 	}
 	g.node = membership.Start(ctx, membership.Options{
 		Host: "h0", Region: "r0", Interval: time.Hour, Catalog: func() *catalog.Catalog { return nil }, Log: logr.Discard(),
@@ -42,11 +42,11 @@
 	return g
 }
 
-// regions builds a configuration of five regions, with so many servers in r0.
-func regions(servers int) *catalog.Catalog { return regionsAt(servers, "127.0.0.1:1") }
+// testCatalog builds a configuration of five regions, with so many servers in r0.
+func testCatalog(servers int) *catalog.Catalog { return testCatalogAt(servers, "127.0.0.1:1") }
 
-// regionsAt is the same with the servers at an address.
-func regionsAt(servers int, address string) *catalog.Catalog {
+// testCatalogAt is the same with the servers at an address.
+func testCatalogAt(servers int, address string) *catalog.Catalog {
 	var list []wheelgauge.Resource
 	add := func(kind wheelgauge.Kind, name, spec string, args ...any) {
 		list = append(list, wheelgauge.Resource{Kind: kind, Name: name, Spec: json.RawMessage(fmt.Sprintf(spec, args...))})
@@ -63,7 +63,7 @@
 	return catalog.Build(1, list)
 }
 
-func asked(c *catalog.Catalog, client int) *request {
+func newTestRequest(c *catalog.Catalog, client int) *request {
 	rq := &request{catalog: c, route: c.RouteForModel("m"), model: "m", tokens: 100, prefix: rendezvous.Score(uint64(client), 1)}
 	rq.identity = wheelgauge.Identity{Client: fmt.Sprint("c", client), Class: "k"}
 	rq.call.Deadline = time.Now().Add(time.Hour)
@@ -73,7 +73,7 @@
 
 // TestDecideRefusals covers what is refused at once, and how.
 func TestDecideRefusals(t *testing.T) {
-	busy := func(g *Gateway, calls int) {
+	startCalls := func(g *Gateway, calls int) {
 		for range calls {
 			g.inflight.Start("e0")
 		}
@@ -93,13 +93,13 @@
 		{"highest priority last", 1, 60, func(rq *request) { rq.call.Priority = 9 }, ""},
 		{"too late", 1, 30, func(rq *request) { rq.call.Deadline = time.Now().Add(time.Second) }, wheelgauge.ReasonDeadline},
 		{"forwarded to a full place", 1, 8, func(rq *request) { rq.forwarded = true }, wheelgauge.ReasonOverloaded},
-		{"forwarded for want of any other", 1, 8, func(rq *request) { rq.forwarded, rq.must = true, true }, ""},
+		{"forwarded for want of any other", 1, 8, func(rq *request) { rq.forwarded, rq.mandatory = true, true }, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := idle(t)
-			busy(g, tt.calls)
-			rq := asked(regions(tt.servers), 1)
+			g := newTestGateway(t)
+			startCalls(g, tt.calls)
+			rq := newTestRequest(testCatalog(tt.servers), 1)
 			if tt.change != nil {
 				tt.change(rq)
 			}
@@ -123,10 +123,10 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{12, 600} {
 		b.Run(fmt.Sprint(servers, " servers, 890 clients"), func(b *testing.B) {
-			g, c := idle(b), regions(servers)
+			g, c := newTestGateway(b), testCatalog(servers)
 			requests := make([]*request, 890)
 			for i := range requests {
-				requests[i] = asked(c, i)
+				requests[i] = newTestRequest(c, i)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -134,7 +134,7 @@
 				if _, err := g.decide(rq); err != nil {
 					b.Fatal(err)
 				}
-				if _, ok := g.pick(rq, nil); !ok {
+				if _, ok := g.pickServer(rq, nil); !ok {
 					b.Fatal("no server")
 				}
 			}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -78,7 +78,7 @@
 
 // Gateway is a running gateway.
 type Gateway struct {
-	o     Options
+	options     Options
 	boot  uint64
 	meter *meter.Meter
 	// clock counts suspended time.
@@ -91,30 +91,30 @@
 	watcher *confwatch.Watcher
 	node    *membership.Node
 	limiter *admission.Limiter
-	budget  *admission.Budget
-	aside   *setaside.Table
+	budget  *admission.RetryBudget
+	setAside   *setaside.Table
 	// quarantine holds requests back that end servers.
 	quarantine *quarantine.Table
 	// limits are those that servers have named, permits bounds what these get.
 	limits    *serverlimit.Table
 	permits   wheelgauge.Permits
-	deferred  deferrals
-	pushbacks pushbacks
+	deferrals  deferrals
+	pushbacks pushbackTable
 	inflight  inflight.Table
 	hints     *hints
 
 	sequence atomic.Uint64
 	serving  *gate.Gate
-	strays   sync.WaitGroup
+	background   sync.WaitGroup
 	// forwarded holds the requests from peers that have no answer yet, by ID.
 	forwarded sync.Map
 	draining  atomic.Bool
 
 	ctx       context.Context
 	cancel    context.CancelFunc
-	callers   *httpserve.Server
-	peerSide  *httpserve.Server
-	operators *httpserve.Server
+	callerServer   *httpserve.Server
+	peerServer  *httpserve.Server
+	operatorServer *httpserve.Server
 }
 
 // Open starts a gateway. It serves as soon as a configuration is in force.
@@ -126,9 +126,9 @@
 		clock = bootclock.OrSteady(o.Log)
 	}
 	g := &Gateway{
-		o: o, boot: uint64(time.Now().UnixNano()), meter: meter.New(), clock: clock, client: peerhttp.NewClient(peerDialer, ""),
+		options: o, boot: uint64(time.Now().UnixNano()), meter: meter.New(), clock: clock, client: peerhttp.NewClient(peerDialer, ""),
 		servers: upstream.New(plainDialer), peers: upstream.New(peerDialer), limiter: admission.NewLimiter(),
-		budget: admission.NewBudget(), aside: setaside.New(), quarantine: quarantine.New(clock.Now), serving: gate.New(), ctx: ctx, cancel: cancel,
+		budget: admission.NewRetryBudget(), setAside: setaside.New(), quarantine: quarantine.New(clock.Now), serving: gate.New(), ctx: ctx, cancel: cancel,
 	}
 	g.openPermits()
 	plain := peerhttp.NewClient(plainDialer, "")
@@ -140,7 +140,7 @@
 	})
 	g.node = membership.Start(ctx, membership.Options{
 		Host: o.Host, Region: o.Region, Hall: o.Hall, Boot: g.boot, Interval: o.Heartbeat, Client: g.client,
-		Catalog: g.watcher.Current, Poll: g.poll, Asks: g.waiting, Crashes: g.quarantine, Limits: g.limits, Clock: clock, Log: o.Log.WithName("members"),
+		Catalog: g.watcher.Current, Poll: g.pollLoad, Asks: g.waitingByPool, Crashes: g.quarantine, Limits: g.limits, Clock: clock, Log: o.Log.WithName("members"),
 	})
 	g.hints = startHints(ctx, o.HostList, o.Log.WithName("hosts"))
 	if err := g.listen(); err != nil {
@@ -153,18 +153,18 @@
 // listen starts the operators' listener last: its handlers ask the other two.
 func (g *Gateway) listen() error {
 	var err error
-	g.callers, err = httpserve.Listen(g.o.Caller, g.serveCaller, httpserve.Options{
-		TLS: g.o.CallerTLS, HeaderBytes: g.o.HeaderBytes, BodyBytes: g.o.BodyBytes, Conns: g.o.Conns, ReadTimeout: g.o.ReadTimeout,
-		StreamBodies: true, HeaderReceived: g.headerReceived, OnError: g.badRequest,
+	g.callerServer, err = httpserve.Listen(g.options.Caller, g.serveCaller, httpserve.Options{
+		TLS: g.options.CallerTLS, HeaderBytes: g.options.HeaderBytes, BodyBytes: g.options.BodyBytes, Conns: g.options.Conns, ReadTimeout: g.options.ReadTimeout,
+		StreamBodies: true, HeaderReceived: g.headerReceived, OnError: g.answerReadError,
 	})
 	if err != nil {
 		return fmt.Errorf("start gateway: %w", err)
 	}
-	g.peerSide, err = httpserve.Listen(g.o.Peer, g.servePeer, httpserve.Options{TLS: g.o.PeerTLS, BodyBytes: g.o.BodyBytes, OnError: g.badRequest})
+	g.peerServer, err = httpserve.Listen(g.options.Peer, g.servePeer, httpserve.Options{TLS: g.options.PeerTLS, BodyBytes: g.options.BodyBytes, OnError: g.answerReadError})
 	if err != nil {
 		return fmt.Errorf("start gateway: %w", err)
 	}
-	g.operators, err = httpserve.Listen(g.o.Operator, g.serveOperator, httpserve.Options{})
+	g.operatorServer, err = httpserve.Listen(g.options.Operator, g.serveOperator, httpserve.Options{})
 	if err != nil {
 		return fmt.Errorf("start gateway: %w", err)
 	}
@@ -174,10 +174,10 @@
 // Drain takes the host off the entry lists, goes on serving for the notice,
 // then refuses new work and waits until what runs has ended.
 func (g *Gateway) Drain(ctx context.Context) {
-	g.o.Log.Info("Gateway drains.")
+	g.options.Log.Info("Gateway drains.")
 	g.node.Leave()
 	g.draining.Store(true)
-	timer := time.NewTimer(g.o.DrainNotice)
+	timer := time.NewTimer(g.options.DrainNotice)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -185,7 +185,7 @@
 	}
 	g.serving.Shut()
 	if err := g.serving.Wait(ctx); err != nil {
-		g.o.Log.Info("Requests are cut: the limit of the drain is over.", "open", g.serving.Count())
+		g.options.Log.Info("Requests are cut: the limit of the drain is over.", "open", g.serving.Count())
 	}
 }
 
@@ -194,13 +194,13 @@
 func (g *Gateway) Close(ctx context.Context) error {
 	g.serving.Shut()
 	var errs []error
-	for _, l := range []*httpserve.Server{g.callers, g.peerSide, g.operators} {
-		if l != nil {
-			errs = append(errs, l.Close(ctx))
+	for _, s := range []*httpserve.Server{g.callerServer, g.peerServer, g.operatorServer} {
+		if s != nil {
+			errs = append(errs, s.Close(ctx))
 		}
 	}
 	g.cancel()
-	g.strays.Wait()
+	g.background.Wait()
 	errs = append(errs, g.node.Close(), g.watcher.Close(), g.hints.close())
 	g.servers.CloseIdle()
 	g.peers.CloseIdle()
@@ -208,30 +208,30 @@
 	return errors.Join(errs...)
 }
 
-// poll asks a backend server for its load, in the dialect of its pool.
-func (g *Gateway) poll(ctx context.Context, s *catalog.Server) (wheelgauge.LoadReport, error) {
+// pollLoad asks a backend server for its load, in the dialect of its pool.
+func (g *Gateway) pollLoad(ctx context.Context, s *catalog.Server) (wheelgauge.LoadReport, error) {
 	if c := g.watcher.Current(); c != nil && c.PoolType(s.Pool) == wheelgauge.PoolService {
 		return g.service.Load(ctx, s.Address)
 	}
 	return g.engine.Load(ctx, s.Address)
 }
 
-// waiting returns the work that waits here for a first byte, by pool.
-func (g *Gateway) waiting() map[string]int {
+// waitingByPool returns the work that waits here for a first byte, by pool.
+func (g *Gateway) waitingByPool() map[string]int {
 	c := g.watcher.Current()
 	if c == nil {
 		return nil
 	}
 	out := map[string]int{}
 	for _, pool := range c.Pools() {
-		if n := g.inflight.Late(pool); n > 0 {
+		if n := g.inflight.Overdue(pool); n > 0 {
 			out[pool] = n
 		}
 	}
 	return out
 }
 
-func (g *Gateway) current() (*catalog.Catalog, error) {
+func (g *Gateway) currentCatalog() (*catalog.Catalog, error) {
 	c := g.watcher.Current()
 	if c == nil {
 		return nil, wheelgauge.NewError(wheelgauge.ReasonNoConfiguration, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable,
@@ -246,10 +246,10 @@
 	if g.hints.leaving(h.Name) {
 		return false
 	}
-	if h.Name == g.o.Host {
+	if h.Name == g.options.Host {
 		return !g.draining.Load()
 	}
-	if h.Region != g.o.Region {
+	if h.Region != g.options.Region {
 		return !g.node.RegionKnown(h.Region) || g.node.Region(h.Region).Hosts > 0 && !g.node.HostDown(h.Region, h.Name)
 	}
 	return g.node.HostAlive(h.Name)
--- a/gateway/hints.go
+++ b/gateway/hints.go
@@ -11,14 +11,14 @@
 	"wheelgauge/every"
 )
 
-const hintsEvery = 2 * time.Second
+const hintsInterval = 2 * time.Second
 
 // hints follows the platform's host list.
 type hints struct {
 	list   wheelgauge.HostList
 	log    logr.Logger
 	mu     sync.RWMutex
-	leave  map[string]bool
+	leavingHosts  map[string]bool
 	cancel context.CancelFunc
 	done   chan error
 }
@@ -26,7 +26,7 @@
 // startHints follows list; nil means that there is none.
 func startHints(ctx context.Context, list wheelgauge.HostList, log logr.Logger) *hints {
 	ctx, cancel := context.WithCancel(ctx)
-	h := &hints{list: list, log: log, leave: map[string]bool{}, cancel: cancel, done: make(chan error, 1)}
+	h := &hints{list: list, log: log, leavingHosts: map[string]bool{}, cancel: cancel, done: make(chan error, 1)}
 	go func() { h.done <- h.run(ctx) }()
 	return h
 }
@@ -41,28 +41,28 @@
 		return nil
 	}
 	h.read(ctx)
-	return every.Interval(ctx, hintsEvery, h.read)
+	return every.Interval(ctx, hintsInterval, h.read)
 }
 
 func (h *hints) read(ctx context.Context) {
-	limit, cancel := context.WithTimeout(ctx, hintsEvery)
+	readCtx, cancel := context.WithTimeout(ctx, hintsInterval)
 	defer cancel()
-	hosts, err := h.list.Hosts(limit)
+	hints, err := h.list.Hosts(readCtx)
 	if err != nil {
 		h.log.V(1).Info("Host list is not read.", "cause", err.Error())
 		return
 	}
-	leave := map[string]bool{}
-	for _, one := range hosts {
-		leave[one.Host] = one.Leaving
+	leaving := map[string]bool{}
+	for _, hint := range hints {
+		leaving[hint.Host] = hint.Leaving
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.leave = leave
+	h.leavingHosts = leaving
 }
 
 func (h *hints) leaving(host string) bool {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	return h.leave[host]
+	return h.leavingHosts[host]
 }
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -37,9 +37,9 @@
 	d.rows[server] = deferral{until: now.Add(after), rate: rate}
 }
 
-// holds tells whether a server gets nothing now; a limit that has changed or ended since
+// blocks tells whether a server gets nothing now; a limit that has changed or ended since
 // holds it back no more.
-func (d *deferrals) holds(server string, now time.Time) bool {
+func (d *deferrals) blocks(server string, now time.Time) bool {
 	d.mu.Lock()
 	row, known := d.rows[server]
 	d.mu.Unlock()
@@ -53,34 +53,34 @@
 // openPermits prepares what servers with limits need.
 func (g *Gateway) openPermits() {
 	g.limits = serverlimit.New(g.clock.Now)
-	g.deferred.limits = g.limits
+	g.deferrals.limits = g.limits
 	g.permits = permitclient.New(permitclient.Options{
-		Host: g.o.Host, Limits: g.limits, Stores: g.permitStores, Sharers: g.sharers, Ask: g.askPermit, Now: g.clock.Now,
+		Host: g.options.Host, Limits: g.limits, Stores: g.permitStores, Sharers: g.liveHosts, Ask: g.requestPermit, Now: g.clock.Now,
 	})
 }
 
-// hearLimit takes what a server's answer to a call sent at a moment says of its limit.
-func (g *Gateway) hearLimit(server string, answer *wheelgauge.Answer, sent time.Time) {
+// observeLimit takes what a server's answer to a call sent at a moment says of its limit.
+func (g *Gateway) observeLimit(server string, answer *wheelgauge.Answer, sent time.Time) {
 	text := answer.Header(wheelgauge.HeaderLimit)
 	rate, named := serverlimit.Parse(text)
 	switch {
 	case named:
 		if g.limits.Named(server, rate) {
 			g.meter.Count("servers.limited")
-			g.o.Log.Info("A server names a limit.", "server", server, "rate", rate)
+			g.options.Log.Info("A server names a limit.", "server", server, "rate", rate)
 		}
 	case text != "":
 		g.meter.Count("servers.limit.unreadable")
 	case answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices && g.limits.Absent(server, sent):
-		g.o.Log.Info("A server's limit ends.", "server", server)
+		g.options.Log.Info("A server's limit ends.", "server", server)
 	}
 }
 
 // pickPermitted picks a server that may get the call: what one takes that has named a limit
 // binds all hosts of the region together.
 func (g *Gateway) pickPermitted(ctx context.Context, rq *request, tried []string) (*catalog.Server, bool) {
-	for ctx.Err() == nil && !g.over(rq) {
-		server, ok := g.pick(rq, tried)
+	for ctx.Err() == nil && !g.expired(rq) {
+		server, ok := g.pickServer(rq, tried)
 		if !ok {
 			return nil, false
 		}
@@ -89,7 +89,7 @@
 			return server, true
 		}
 		g.meter.Count("permits.refused")
-		g.deferred.add(server.Name, after, g.clock.Now())
+		g.deferrals.add(server.Name, after, g.clock.Now())
 	}
 	return nil, false
 }
@@ -99,9 +99,9 @@
 	if _, limited := g.limits.Rate(server); !limited {
 		return 0, true
 	}
-	limit, cancel := context.WithDeadline(ctx, g.due(rq))
+	permitCtx, cancel := context.WithDeadline(ctx, g.localDeadline(rq))
 	defer cancel()
-	return g.permits.Take(limit, server, 0)
+	return g.permits.Take(permitCtx, server, 0)
 }
 
 // permitStores returns the stores of the region, whose hubs give permits; without any, the
@@ -113,28 +113,28 @@
 	}
 	var out []wheelgauge.RegionStore
 	var names []string
-	for _, h := range c.Hosts(g.o.Region) {
+	for _, h := range c.Hosts(g.options.Region) {
 		if h.Store != "" {
 			out = append(out, wheelgauge.RegionStore{Address: h.Store, Answers: true})
 		}
 		names = append(names, h.Name)
 	}
 	if len(out) == 0 && len(names) > 0 {
-		first := c.Host(rendezvous.Top(g.o.Region, names, 1)[0])
+		first := c.Host(rendezvous.Top(g.options.Region, names, 1)[0])
 		out = append(out, wheelgauge.RegionStore{Address: first.Peer, Answers: true})
 	}
 	return out
 }
 
-// sharers are the live hosts of the region.
-func (g *Gateway) sharers() []string {
+// liveHosts are the live hosts of the region.
+func (g *Gateway) liveHosts() []string {
 	c := g.watcher.Current()
 	if c == nil {
 		return nil
 	}
 	var out []string
-	for _, h := range c.Hosts(g.o.Region) {
-		if h.Name == g.o.Host || g.node.HostAlive(h.Name) {
+	for _, h := range c.Hosts(g.options.Region) {
+		if h.Name == g.options.Host || g.node.HostAlive(h.Name) {
 			out = append(out, h.Name)
 		}
 	}
@@ -142,10 +142,10 @@
 	return out
 }
 
-func (g *Gateway) askPermit(ctx context.Context, address string, ask wheelgauge.PermitAsk) (a wheelgauge.PermitAnswer, err error) {
-	if address == g.o.Peer {
-		return g.node.Hub().Permit(ask), nil
+func (g *Gateway) requestPermit(ctx context.Context, address string, req wheelgauge.PermitAsk) (a wheelgauge.PermitAnswer, err error) {
+	if address == g.options.Peer {
+		return g.node.Hub().Permit(req), nil
 	}
-	err = g.client.Call(ctx, http.MethodPost, address, permitclient.Path, ask, &a)
+	err = g.client.Call(ctx, http.MethodPost, address, permitclient.Path, req, &a)
 	return a, err
 }
--- a/gateway/peer.go
+++ b/gateway/peer.go
@@ -43,7 +43,7 @@
 // serveForward takes a request from a gateway of another region. It is never
 // forwarded again.
 func (g *Gateway) serveForward(ctx *fasthttp.RequestCtx) {
-	rq, err := g.fromPeer(ctx)
+	rq, err := g.readPeerRequest(ctx)
 	g.forwarded.Store(rq.call.ID, rq)
 	defer g.forwarded.Delete(rq.call.ID)
 	g.serve(ctx, rq, err, func(_ *fasthttp.RequestCtx, rq *request) error {
@@ -52,10 +52,10 @@
 	})
 }
 
-func (g *Gateway) fromPeer(ctx *fasthttp.RequestCtx) (*request, error) {
+func (g *Gateway) readPeerRequest(ctx *fasthttp.RequestCtx) (*request, error) {
 	h := &ctx.Request.Header
-	rq := &request{started: time.Now(), asleep: g.asleep(), forwarded: true}
-	rq.target.Store(&target{region: g.o.Region})
+	rq := &request{started: time.Now(), suspendedAtStart: g.suspended(), forwarded: true}
+	rq.target.Store(&target{region: g.options.Region})
 	rq.call.ID = string(h.Peek(wheelgauge.HeaderRequestID))
 	rq.call.Method = string(ctx.Method())
 	rq.call.Path = strings.TrimPrefix(string(ctx.RequestURI()), pathForward)
@@ -64,12 +64,12 @@
 	rq.call.Key = string(h.Peek(wheelgauge.HeaderIdempotency))
 	rq.call.Skip, _ = strconv.Atoi(string(h.Peek("X-Resume-From")))
 	rq.call.Priority, _ = strconv.Atoi(string(h.Peek("X-Priority")))
-	rq.once = len(h.Peek(wheelgauge.HeaderNotRepeatable)) > 0
-	rq.must = len(h.Peek(wheelgauge.HeaderMust)) > 0
+	rq.notRepeatable = len(h.Peek(wheelgauge.HeaderNotRepeatable)) > 0
+	rq.mandatory = len(h.Peek(wheelgauge.HeaderMust)) > 0
 	rq.identity = wheelgauge.Identity{
 		Client: string(h.Peek(wheelgauge.HeaderClient)), Class: string(h.Peek(wheelgauge.HeaderClass)), Home: string(h.Peek(wheelgauge.HeaderHome)),
 	}
-	limit, err := deadline(h, g.o.DefaultLimit)
+	limit, err := parseDeadline(h, g.options.DefaultLimit)
 	rq.call.Deadline = rq.started.Add(limit)
 	if err != nil {
 		return rq, err
@@ -77,11 +77,11 @@
 	if rq.identity.Client == "" || len(h.Peek(wheelgauge.HeaderForwardedFrom)) == 0 {
 		return rq, badRequest("a forwarded request names its client and region")
 	}
-	rq.catalog, err = g.current()
+	rq.catalog, err = g.currentCatalog()
 	if err != nil {
 		return rq, err
 	}
-	return rq, g.residency(rq)
+	return rq, g.checkResidency(rq)
 }
 
 // statusAnswer answers GET /status on the operators' port.
@@ -91,13 +91,13 @@
 	Generation uint64                     `json:"generation"`
 	Draining   bool                       `json:"draining"`
 	Hub        string                     `json:"hub"`
-	Stale      string                     `json:"since_store_progress"`
-	Open       map[string]int             `json:"open_connections"`
-	Servers    []membershipServer         `json:"servers"`
+	SinceProgress      string                     `json:"since_store_progress"`
+	OpenConnections       map[string]int             `json:"open_connections"`
+	Servers    []serverStatus         `json:"servers"`
 	Regions    []wheelgauge.RegionSummary `json:"regions"`
 }
 
-type membershipServer struct {
+type serverStatus struct {
 	wheelgauge.ServerEntry
 	InFlight int `json:"in_flight"`
 }
@@ -107,10 +107,10 @@
 	switch string(ctx.Path()) {
 	case "/metrics":
 		ctx.SetContentType("application/json")
-		g.gauges()
+		g.updateGauges()
 		g.meter.WriteJSON(ctx)
 	case "/ready":
-		if _, err := g.current(); err != nil || g.draining.Load() {
+		if _, err := g.currentCatalog(); err != nil || g.draining.Load() {
 			peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonNoConfiguration, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "not ready"))
 			return
 		}
@@ -122,32 +122,32 @@
 	}
 }
 
-func (g *Gateway) gauges() {
+func (g *Gateway) updateGauges() {
 	if c := g.watcher.Current(); c != nil {
 		g.meter.Gauge("config.generation", int64(c.Generation()))
 	}
 	g.meter.Gauge("config.since_progress_ms", time.Since(g.watcher.LastProgress()).Milliseconds())
 	g.meter.Gauge("requests.condemned", int64(len(g.quarantine.Condemned())))
-	g.meter.Gauge("connections.callers", int64(g.callers.Open()))
-	g.meter.Gauge("connections.peers", int64(g.peerSide.Open()))
+	g.meter.Gauge("connections.callers", int64(g.callerServer.Open()))
+	g.meter.Gauge("connections.peers", int64(g.peerServer.Open()))
 }
 
 func (g *Gateway) status() statusAnswer {
 	out := statusAnswer{
-		Host: g.o.Host, Region: g.o.Region, Draining: g.draining.Load(), Hub: g.node.HubAddress(),
-		Stale: time.Since(g.watcher.LastProgress()).Round(time.Millisecond).String(),
-		Open:  map[string]int{"callers": g.callers.Open(), "peers": g.peerSide.Open()},
+		Host: g.options.Host, Region: g.options.Region, Draining: g.draining.Load(), Hub: g.node.HubAddress(),
+		SinceProgress: time.Since(g.watcher.LastProgress()).Round(time.Millisecond).String(),
+		OpenConnections:  map[string]int{"callers": g.callerServer.Open(), "peers": g.peerServer.Open()},
 	}
 	c := g.watcher.Current()
 	if c == nil {
 		return out
 	}
 	out.Generation = c.Generation()
-	for _, s := range c.RegionServers(g.o.Region) {
-		out.Servers = append(out.Servers, membershipServer{g.node.Server(s.Name).ServerEntry, g.inflight.Count(s.Name)})
+	for _, s := range c.RegionServers(g.options.Region) {
+		out.Servers = append(out.Servers, serverStatus{g.node.Server(s.Name).ServerEntry, g.inflight.Count(s.Name)})
 	}
 	for _, region := range c.Regions() {
-		if region != g.o.Region {
+		if region != g.options.Region {
 			out.Regions = append(out.Regions, g.node.Region(region))
 		}
 	}
--- a/gateway/pushback.go
+++ b/gateway/pushback.go
@@ -14,54 +14,54 @@
 	"wheelgauge/pushback"
 )
 
-// pushbacks are what servers ask of this host, by name; those of old paths by address.
-type pushbacks struct {
+// pushbackTable are what servers ask of this host, by name; those of old paths by address.
+type pushbackTable struct {
 	mu   sync.Mutex
 	rows map[string]*pushbackRow
 	// some is set while there are rows.
-	some atomic.Bool
+	nonEmpty atomic.Bool
 }
 
 // pushbackRow is what one server asks.
 type pushbackRow struct {
 	pushback.State
 	// reported is set once its load reports say too that it leaves.
-	reported bool
+	reportedLeaving bool
 }
 
-// of returns the row of a server; the lock is held.
-func (a *pushbacks) of(server string) *pushbackRow {
-	if a.rows == nil {
-		a.rows = map[string]*pushbackRow{}
+// rowFor returns the row of a server; the lock is held.
+func (t *pushbackTable) rowFor(server string) *pushbackRow {
+	if t.rows == nil {
+		t.rows = map[string]*pushbackRow{}
 	}
-	if a.rows[server] == nil {
-		a.rows[server] = &pushbackRow{}
-		a.some.Store(true)
+	if t.rows[server] == nil {
+		t.rows[server] = &pushbackRow{}
+		t.nonEmpty.Store(true)
 	}
-	return a.rows[server]
+	return t.rows[server]
 }
 
-func (a *pushbacks) backOff(server string, wait time.Duration, now time.Time) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.of(server).BackOff(now, wait)
+func (t *pushbackTable) backOff(server string, wait time.Duration, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.rowFor(server).BackOff(now, wait)
 }
 
-func (a *pushbacks) leave(server string, now time.Time) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.of(server).Leave(now)
+func (t *pushbackTable) leave(server string, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.rowFor(server).Leave(now)
 }
 
-// look returns what a server asks, by what is known of it otherwise: it has no name for each
+// lookup returns what a server asks, by what is known of it otherwise: it has no name for each
 // of its starts.
-func (a *pushbacks) look(server string, state membership.ServerState, now time.Time) pushback.State {
-	if !a.some.Load() {
+func (t *pushbackTable) lookup(server string, state membership.ServerState, now time.Time) pushback.State {
+	if !t.nonEmpty.Load() {
 		return pushback.State{}
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	row := a.rows[server]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	row := t.rows[server]
 	if row == nil {
 		return pushback.State{}
 	}
@@ -70,16 +70,16 @@
 	}
 	switch {
 	case state.Leaving:
-		row.reported = true
-	case row.reported:
+		row.reportedLeaving = true
+	case row.reportedLeaving:
 		row.Returned(now)
-		row.reported = false
+		row.reportedLeaving = false
 	default:
 		row.Listed(now)
 	}
 	if row.Over(now) {
-		delete(a.rows, server)
-		a.some.Store(len(a.rows) > 0)
+		delete(t.rows, server)
+		t.nonEmpty.Store(len(t.rows) > 0)
 	}
 	return row.State
 }
@@ -92,8 +92,8 @@
 	backoff atomic.Bool
 }
 
-// hear is for wheelgauge.Call.
-func (l *pushbackListener) hear(status int, values func(name string) [][]byte) {
+// observe is for wheelgauge.Call.
+func (l *pushbackListener) observe(status int, values func(name string) [][]byte) {
 	g, now := l.gateway, l.gateway.clock.Now()
 	leaving, ok := pushback.ParseLeaving(values(wheelgauge.HeaderLeaving))
 	if !ok {
@@ -101,7 +101,7 @@
 	}
 	if leaving && g.pushbacks.leave(l.server, now) {
 		g.meter.Count("servers.leaving")
-		g.o.Log.Info("A server says that it leaves.", "server", l.server, "status", status)
+		g.options.Log.Info("A server says that it leaves.", "server", l.server, "status", status)
 	}
 	if status != http.StatusServiceUnavailable {
 		return
@@ -114,20 +114,20 @@
 	case ok && wait > 0:
 		l.backoff.Store(true)
 		g.meter.Count("servers.backoffs")
-		g.aside.Worked(l.server) // when it takes work again it has said itself
+		g.setAside.Worked(l.server) // when it takes work again it has said itself
 		if g.pushbacks.backOff(l.server, wait, now) {
-			g.o.Log.Info("A server asks to back off.", "server", l.server, "backoff_ms", wait.Milliseconds())
+			g.options.Log.Info("A server asks to back off.", "server", l.server, "backoff_ms", wait.Milliseconds())
 		}
 	}
 }
 
-// backoffEnds returns after which time the first server of this region takes a request, where
+// backoffLeft returns after which time the first server of this region takes a request, where
 // all that might take it have asked to back off; ok is false otherwise.
-func (g *Gateway) backoffEnds(rq *request) (after time.Duration, ok bool) {
-	f := fields.Get().(*field)
-	defer fields.Put(f)
-	g.survey(f, rq.catalog, rq.route, rq.model, nil)
-	return f.backoff, f.slots == 0 && f.backoff > 0 && !f.barred
+func (g *Gateway) backoffLeft(rq *request) (after time.Duration, ok bool) {
+	cs := candidateSets.Get().(*candidateSet)
+	defer candidateSets.Put(cs)
+	g.collectCandidates(cs, rq.catalog, rq.route, rq.model, nil)
+	return cs.backoff, cs.slots == 0 && cs.backoff > 0 && !cs.excluded
 }
 
 func backoffError(rq *request, region string, after time.Duration) error {
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -26,7 +26,7 @@
 	pathForward     = "/peer/forward"
 	pathCancel      = "/peer/cancel"
 
-	bearer        = "Bearer "
+	bearerPrefix        = "Bearer "
 	defaultTokens = 256
 	// discardFactor is how many times the largest body is read on past a refusal.
 	discardFactor = 4
@@ -43,19 +43,19 @@
 	stream    bool
 	tokens    int
 	prefix    uint64
-	once      bool // not repeatable
+	notRepeatable      bool // not repeatable
 	forwarded bool
-	must      bool // forwarded because its own region cannot serve it
+	mandatory      bool // forwarded because its own region cannot serve it
 	started   time.Time
 	// asleep is for how long the host had been suspended when the request came.
-	asleep time.Duration
+	suspendedAtStart time.Duration
 	// gone tells whether whoever asked has left; nil means never.
-	gone      func() bool
+	callerGone      func() bool
 	cancelled atomic.Bool
 	// mayHaveRun is set once an attempt was not proven not to have run.
 	mayHaveRun bool
 	// print is the request's fingerprint once it was asked for.
-	print wheelgauge.Fingerprint
+	cachedFingerprint wheelgauge.Fingerprint
 	// target is who answers; a resumed stream may change it while it is read.
 	target atomic.Pointer[target]
 }
@@ -67,8 +67,8 @@
 	host   string // the peer, of a forwarded request
 }
 
-// prompt is what the gateway reads of a completion request.
-type prompt struct {
+// completionRequest is what the gateway reads of a completion request.
+type completionRequest struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
 	MaxTokens int             `json:"max_tokens"`
@@ -84,68 +84,68 @@
 
 // newID returns a request ID that no other gateway gives.
 func (g *Gateway) newID() string {
-	return fmt.Sprintf("%s-%x-%x", g.o.Host, g.boot, g.sequence.Add(1))
+	return fmt.Sprintf("%s-%x-%x", g.options.Host, g.boot, g.sequence.Add(1))
 }
 
-// fromCaller reads the head of a caller's request. Marks that only peers may
+// readCallerRequest reads the head of a caller's request. Marks that only peers may
 // set are not looked at.
-func (g *Gateway) fromCaller(ctx *fasthttp.RequestCtx) (*request, error) {
-	rq := &request{started: time.Now(), asleep: g.asleep()}
-	rq.target.Store(&target{region: g.o.Region})
+func (g *Gateway) readCallerRequest(ctx *fasthttp.RequestCtx) (*request, error) {
+	rq := &request{started: time.Now(), suspendedAtStart: g.suspended()}
+	rq.target.Store(&target{region: g.options.Region})
 	rq.call.ID = g.newID()
 	rq.call.Method = string(ctx.Method())
 	rq.call.Path = string(ctx.RequestURI())
 	rq.call.ContentType = string(ctx.Request.Header.ContentType())
 	rq.call.Key = string(ctx.Request.Header.Peek(wheelgauge.HeaderIdempotency))
-	rq.once = len(ctx.Request.Header.Peek(wheelgauge.HeaderNotRepeatable)) > 0
-	if err := g.place(&ctx.Request.Header, rq); err != nil {
+	rq.notRepeatable = len(ctx.Request.Header.Peek(wheelgauge.HeaderNotRepeatable)) > 0
+	if err := g.identify(&ctx.Request.Header, rq); err != nil {
 		return rq, err
 	}
 	rq.class, _ = rq.catalog.Class(rq.identity.Class)
 	rq.call.Priority = rq.class.Priority
-	limit := g.o.DefaultLimit
+	limit := g.options.DefaultLimit
 	if rq.class.DeadlineMS > 0 {
 		limit = time.Duration(rq.class.DeadlineMS) * time.Millisecond
 	}
-	limit, err := deadline(&ctx.Request.Header, limit)
+	limit, err := parseDeadline(&ctx.Request.Header, limit)
 	rq.call.Deadline = rq.started.Add(limit)
 	return rq, err
 }
 
-func deadline(h *fasthttp.RequestHeader, otherwise time.Duration) (time.Duration, error) {
+func parseDeadline(h *fasthttp.RequestHeader, fallback time.Duration) (time.Duration, error) {
 	text := string(h.Peek(wheelgauge.HeaderDeadline))
 	if text == "" {
-		return otherwise, nil
+		return fallback, nil
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms <= 0 {
-		return otherwise, badRequest(wheelgauge.HeaderDeadline + " must be a number of milliseconds above 0")
+		return fallback, badRequest(wheelgauge.HeaderDeadline + " must be a number of milliseconds above 0")
 	}
-	return time.Duration(min(ms, longestLimit.Milliseconds())) * time.Millisecond, nil
+	return time.Duration(min(ms, maxDeadline.Milliseconds())) * time.Millisecond, nil
 }
 
-// place finds out who calls and whether this region may serve it, from the
+// identify finds out who calls and whether this region may serve it, from the
 // headers alone.
-func (g *Gateway) place(h *fasthttp.RequestHeader, rq *request) error {
-	c, err := g.current()
+func (g *Gateway) identify(h *fasthttp.RequestHeader, rq *request) error {
+	c, err := g.currentCatalog()
 	if err != nil {
 		return err
 	}
 	rq.catalog = c
-	credential := strings.TrimPrefix(string(h.Peek("Authorization")), bearer)
-	rq.identity, err = g.o.Directory.Lookup(g.ctx, credential)
+	credential := strings.TrimPrefix(string(h.Peek("Authorization")), bearerPrefix)
+	rq.identity, err = g.options.Directory.Lookup(g.ctx, credential)
 	if err != nil {
 		return err
 	}
-	return g.residency(rq)
+	return g.checkResidency(rq)
 }
 
-func (g *Gateway) residency(rq *request) error {
-	if rq.catalog.Allows(rq.identity, g.o.Region) {
+func (g *Gateway) checkResidency(rq *request) error {
+	if rq.catalog.Allows(rq.identity, g.options.Region) {
 		return nil
 	}
 	return wheelgauge.NewError(wheelgauge.ReasonResidency, wheelgauge.OutcomeNotRun, http.StatusMisdirectedRequest,
-		"this client's data may not be processed in "+g.o.Region).WithEntries(g.entries(rq))
+		"this client's data may not be processed in "+g.options.Region).WithEntries(g.entries(rq))
 }
 
 // findRoute reads the body and finds the route. Bodies are read after the
@@ -153,23 +153,23 @@
 func (g *Gateway) findRoute(rq *request) error {
 	path, _, _ := strings.Cut(rq.call.Path, "?")
 	if path == pathChat || path == pathCompletions {
-		return g.findModel(rq)
+		return g.findModelRoute(rq)
 	}
 	if !strings.HasPrefix(path, pathService) {
 		return wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound, "no such path: "+path)
 	}
-	rest := strings.TrimPrefix(path, pathService)
-	rq.route = rq.catalog.RouteForPath(rest)
+	servicePath := strings.TrimPrefix(path, pathService)
+	rq.route = rq.catalog.RouteForPath(servicePath)
 	if rq.route == nil {
-		return wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound, "no route for "+rest)
+		return wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound, "no route for "+servicePath)
 	}
 	rq.call.Path = "/" + strings.TrimPrefix(rq.call.Path, pathService)
-	rq.once = rq.once || rq.route.NotRepeatable
+	rq.notRepeatable = rq.notRepeatable || rq.route.NotRepeatable
 	return nil
 }
 
-func (g *Gateway) findModel(rq *request) error {
-	var p prompt
+func (g *Gateway) findModelRoute(rq *request) error {
+	var p completionRequest
 	if err := json.Unmarshal(rq.call.Body, &p); err != nil {
 		return badRequest("the body is not the JSON expected: " + err.Error())
 	}
@@ -182,25 +182,25 @@
 	if rq.tokens <= 0 {
 		rq.tokens = defaultTokens
 	}
-	rq.prefix = g.prefixOf(p)
-	rq.once = rq.once || rq.route.NotRepeatable
+	rq.prefix = g.prefixHash(p)
+	rq.notRepeatable = rq.notRepeatable || rq.route.NotRepeatable
 	return nil
 }
 
-// prefixOf hashes the model and the first bytes of the prompt: what caches of
+// prefixHash hashes the model and the first bytes of the prompt: what caches of
 // engines share between requests.
-func (g *Gateway) prefixOf(p prompt) uint64 {
+func (g *Gateway) prefixHash(p completionRequest) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(p.Model) // a digest takes every write
-	left := g.o.AffinityBytes
-	take := func(text []byte) {
-		n := min(left, len(text))
+	remaining := g.options.AffinityBytes
+	hashText := func(text []byte) {
+		n := min(remaining, len(text))
 		_, _ = d.Write(text[:n])
-		left -= n
+		remaining -= n
 	}
-	take(p.Prompt)
+	hashText(p.Prompt)
 	for i := range p.Messages {
-		take(p.Messages[i].Content)
+		hashText(p.Messages[i].Content)
 	}
 	return d.Sum64()
 }
@@ -212,17 +212,17 @@
 		rq.call.Body = append([]byte(nil), ctx.PostBody()...)
 		return nil
 	}
-	if ctx.Request.Header.ContentLength() > g.o.BodyBytes {
+	if ctx.Request.Header.ContentLength() > g.options.BodyBytes {
 		g.discard(stream)
-		return g.tooLarge()
+		return g.bodyTooLarge()
 	}
-	body, err := io.ReadAll(io.LimitReader(stream, int64(g.o.BodyBytes)+1))
+	body, err := io.ReadAll(io.LimitReader(stream, int64(g.options.BodyBytes)+1))
 	if err != nil {
 		return wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusRequestTimeout, "the body did not come whole: "+err.Error())
 	}
-	if len(body) > g.o.BodyBytes {
+	if len(body) > g.options.BodyBytes {
 		g.discard(stream)
-		return g.tooLarge()
+		return g.bodyTooLarge()
 	}
 	rq.call.Body = body
 	return nil
@@ -231,16 +231,16 @@
 // discard reads on for a while, as a connection closed with unread bytes is
 // reset and its answer lost.
 func (g *Gateway) discard(stream io.Reader) {
-	_, _ = io.CopyN(io.Discard, stream, int64(g.o.BodyBytes)*discardFactor) // nothing of it is used
+	_, _ = io.CopyN(io.Discard, stream, int64(g.options.BodyBytes)*discardFactor) // nothing of it is used
 }
 
-func (g *Gateway) tooLarge() *wheelgauge.Error {
+func (g *Gateway) bodyTooLarge() *wheelgauge.Error {
 	return wheelgauge.NewError(wheelgauge.ReasonTooLarge, wheelgauge.OutcomeNotRun, http.StatusRequestEntityTooLarge,
-		fmt.Sprintf("the body is larger than %d bytes", g.o.BodyBytes))
+		fmt.Sprintf("the body is larger than %d bytes", g.options.BodyBytes))
 }
 
-// isOutcome tells whether err says that nothing was run.
-func isOutcome(err error, outcome wheelgauge.Outcome) bool {
+// hasOutcome tells whether err says that nothing was run.
+func hasOutcome(err error, outcome wheelgauge.Outcome) bool {
 	fault, ok := errors.AsType[*wheelgauge.Error](err)
 	return ok && fault.Outcome() == outcome
 }
--- a/gateway/suspend_test.go
+++ b/gateway/suspend_test.go
@@ -11,11 +11,11 @@
 
 // A request that a suspended host held was sent when it woke, with the time that it had had
 // before: by the steady clock none had passed, while its caller had left long ago.
-func TestSuspendedRequestIsNotSent(t *testing.T) {
+func TestExpiredRequestIsNotSentAfterSuspend(t *testing.T) {
 	const limit = 10 * time.Second
 	tests := []struct {
 		name  string
-		sleep time.Duration
+		suspend time.Duration
 		sent  bool
 	}{
 		{"not suspended", 0, true},
@@ -25,22 +25,22 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g, clock := idle(t), &fakeclock.Clock{}
+			g, clock := newTestGateway(t), &fakeclock.Clock{}
 			g.clock = clock
 			g.openPermits()
 			clock.Suspend(time.Minute) // before the request came
-			rq := asked(regions(1), 1)
-			rq.asleep = g.asleep()
+			rq := newTestRequest(testCatalog(1), 1)
+			rq.suspendedAtStart = g.suspended()
 			rq.call.Deadline = time.Now().Add(limit)
-			clock.Suspend(tt.sleep)
+			clock.Suspend(tt.suspend)
 			if _, ok := g.pickPermitted(context.Background(), rq, nil); ok != tt.sent {
 				t.Errorf("a server is chosen: %t, want %t", ok, tt.sent)
 			}
-			if g.over(rq) == tt.sent {
-				t.Errorf("its time is over: %t", g.over(rq))
+			if g.expired(rq) == tt.sent {
+				t.Errorf("its time is over: %t", g.expired(rq))
 			}
-			if left := time.Until(g.due(rq)); tt.sent && left > limit-tt.sleep {
-				t.Errorf("%v of its time are left, want %v at most", left, limit-tt.sleep)
+			if left := time.Until(g.localDeadline(rq)); tt.sent && left > limit-tt.suspend {
+				t.Errorf("%v of its time are left, want %v at most", left, limit-tt.suspend)
 			}
 		})
 	}
@@ -48,20 +48,20 @@
 
 // A call in flight waited on by what a suspended host had not counted: its own deadline goes
 // by the steady clock.
-func TestCallInFlightEndsAfterWaking(t *testing.T) {
+func TestCallInFlightExpiresAfterSuspend(t *testing.T) {
 	const limit = time.Hour
-	g, clock := idle(t), &fakeclock.Clock{}
+	g, clock := newTestGateway(t), &fakeclock.Clock{}
 	g.clock = clock
-	rq := asked(regions(1), 1)
+	rq := newTestRequest(testCatalog(1), 1)
 	rq.call.Deadline = time.Now().Add(limit)
 	answer, cancelled, sent := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	t.Cleanup(g.strays.Wait)
+	t.Cleanup(g.background.Wait)
 	defer close(answer)
 	go func() {
 		<-sent
 		clock.Suspend(limit + time.Second)
 	}()
-	_, err := g.watched(rq,
+	_, err := g.sendWatched(rq,
 		func() (*wheelgauge.Answer, error) {
 			close(sent)
 			<-answer
--- a/inflight/table.go
+++ b/inflight/table.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// smoothing is the weight of a new duration in the running mean.
-	smoothing     = 0.1
-	firstEstimate = time.Second
+	// meanWeight is the weight of a new duration in the running mean.
+	meanWeight     = 0.1
+	initialMean = time.Second
 	// recentWeight is the weight of a new time to the first byte; recentLife
 	// how long it takes to fall to a third when none comes.
 	recentWeight = 0.3
-	recentLife   = 2 * time.Second
+	recentDecay   = 2 * time.Second
 	// ageFactor and leastPending: a mean age of fewer says little.
 	ageFactor    = 2
-	leastPending = 2
-	// lateAge is a mean age that a prefill does not explain.
-	lateAge = 100 * time.Millisecond
+	minPending = 2
+	// lateThreshold is a mean age that a prefill does not explain.
+	lateThreshold = 100 * time.Millisecond
 )
 
 // epoch keeps sums of times small.
@@ -31,16 +31,16 @@
 type row struct {
 	count atomic.Int64
 	// base is the count when the newest report came, seen the number of that report.
-	base atomic.Int64
-	seen atomic.Uint64
-	mean atomic.Int64
+	baseCount atomic.Int64
+	reportNumber atomic.Uint64
+	meanNanos atomic.Int64
 	// pending counts those without a first byte yet.
 	pending atomic.Int64
 	// began is the sum of their starts, in nanoseconds since the table's epoch.
-	began  atomic.Int64
+	startSum  atomic.Int64
 	mu     sync.Mutex
-	recent float64 // time to the first byte lately, in seconds
-	at     time.Time
+	recentSeconds float64 // time to the first byte lately, in seconds
+	recentAt     time.Time
 }
 
 // Table is safe for concurrent use.
@@ -66,66 +66,66 @@
 	if took <= 0 {
 		return
 	}
-	was := r.mean.Load()
-	if was == 0 {
-		r.mean.Store(int64(took))
+	prev := r.meanNanos.Load()
+	if prev == 0 {
+		r.meanNanos.Store(int64(took))
 		return
 	}
-	r.mean.Store(was + int64(smoothing*float64(int64(took)-was)))
+	r.meanNanos.Store(prev + int64(meanWeight*float64(int64(took)-prev)))
 }
 
-// Sent counts one more, started then, that has no first byte yet.
-func (t *Table) Sent(name string, started time.Time) {
+// StartPending counts one more, started then, that has no first byte yet.
+func (t *Table) StartPending(name string, started time.Time) {
 	r := t.row(name)
 	r.pending.Add(1)
-	r.began.Add(int64(started.Sub(epoch)))
+	r.startSum.Add(int64(started.Sub(epoch)))
 }
 
-// First counts one less without a first byte; came tells whether it came.
-func (t *Table) First(name string, started time.Time, came bool) {
+// EndPending counts one less without a first byte; came tells whether it came.
+func (t *Table) EndPending(name string, started time.Time, arrived bool) {
 	r := t.row(name)
 	r.pending.Add(-1)
-	r.began.Add(-int64(started.Sub(epoch)))
-	if came {
-		r.note(time.Since(started).Seconds(), time.Now())
+	r.startSum.Add(-int64(started.Sub(epoch)))
+	if arrived {
+		r.addFirstByte(time.Since(started).Seconds(), time.Now())
 	}
 }
 
-func (r *row) note(seconds float64, now time.Time) {
+func (r *row) addFirstByte(seconds float64, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.decayed(now)
-	r.recent, r.at = was+recentWeight*(seconds-was), now
+	prev := r.decayedFirstByte(now)
+	r.recentSeconds, r.recentAt = prev+recentWeight*(seconds-prev), now
 }
 
-func (r *row) decayed(now time.Time) float64 {
-	return r.recent * math.Exp(-float64(now.Sub(r.at))/float64(recentLife))
+func (r *row) decayedFirstByte(now time.Time) float64 {
+	return r.recentSeconds * math.Exp(-float64(now.Sub(r.recentAt))/float64(recentDecay))
 }
 
-// Recent returns how long a first byte takes now: as it was lately, which fades
+// RecentFirstByte returns how long a first byte takes now: as it was lately, which fades
 // when nothing comes, or twice the age of those that wait, whichever is more.
 // What waits has on average waited for half of its time.
-func (t *Table) Recent(name string) time.Duration {
+func (t *Table) RecentFirstByte(name string) time.Duration {
 	r := t.row(name)
 	r.mu.Lock()
-	lately := r.decayed(time.Now())
+	recent := r.decayedFirstByte(time.Now())
 	r.mu.Unlock()
-	return max(time.Duration(lately*float64(time.Second)), ageFactor*r.age())
+	return max(time.Duration(recent*float64(time.Second)), ageFactor*r.meanPendingAge())
 }
 
-// age returns the mean age of those that wait for a first byte.
-func (r *row) age() time.Duration {
+// meanPendingAge returns the mean age of those that wait for a first byte.
+func (r *row) meanPendingAge() time.Duration {
 	n := r.pending.Load()
-	if n < leastPending {
+	if n < minPending {
 		return 0
 	}
-	return time.Since(epoch) - time.Duration(r.began.Load()/n)
+	return time.Since(epoch) - time.Duration(r.startSum.Load()/n)
 }
 
-// Late returns how many wait for a first byte for longer than a prefill takes.
-func (t *Table) Late(name string) int {
+// Overdue returns how many wait for a first byte for longer than a prefill takes.
+func (t *Table) Overdue(name string) int {
 	r := t.row(name)
-	if r.age() < lateAge {
+	if r.meanPendingAge() < lateThreshold {
 		return 0
 	}
 	return int(r.pending.Load())
@@ -134,16 +134,16 @@
 // Count returns how many are on the way.
 func (t *Table) Count(name string) int { return int(t.row(name).count.Load()) }
 
-// Mean returns how long one takes.
-func (t *Table) Mean(name string) time.Duration {
-	if m := t.row(name).mean.Load(); m > 0 {
+// MeanDuration returns how long one takes.
+func (t *Table) MeanDuration(name string) time.Duration {
+	if m := t.row(name).meanNanos.Load(); m > 0 {
 		return time.Duration(m)
 	}
-	return firstEstimate
+	return initialMean
 }
 
-// Look is what is known of a name at one time.
-type Look struct {
+// Snapshot is what is known of a name at one time.
+type Snapshot struct {
 	// Count is how many are on the way, Pending how many of them have no first byte.
 	Count   int
 	Pending int
@@ -152,13 +152,13 @@
 	Load int
 }
 
-// Look returns what is known of a name; number identifies the report.
-func (t *Table) Look(name string, reported int, number uint64) Look {
+// Snapshot returns what is known of a name; number identifies the report.
+func (t *Table) Snapshot(name string, reported int, number uint64) Snapshot {
 	r := t.row(name)
 	own := r.count.Load()
-	if r.seen.Load() != number {
-		r.base.Store(own)
-		r.seen.Store(number)
+	if r.reportNumber.Load() != number {
+		r.baseCount.Store(own)
+		r.reportNumber.Store(number)
 	}
-	return Look{Count: int(own), Pending: int(r.pending.Load()), Load: max(0, reported+int(own-r.base.Load()))}
+	return Snapshot{Count: int(own), Pending: int(r.pending.Load()), Load: max(0, reported+int(own-r.baseCount.Load()))}
 }
--- a/inflight/table_test.go
+++ b/inflight/table_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestLook corrects a late report by what happened here since it came.
-func TestLook(t *testing.T) {
+// TestSnapshot corrects a late report by what happened here since it came.
+func TestSnapshot(t *testing.T) {
 	var table Table
 	table.Start("s")
 	steps := []struct {
@@ -27,7 +27,7 @@
 		for range s.end {
 			table.End("s", 0)
 		}
-		if got := table.Look("s", s.reported, s.number).Load; got != s.want {
+		if got := table.Snapshot("s", s.reported, s.number).Load; got != s.want {
 			t.Fatalf("%s: got %d, want %d", s.name, got, s.want)
 		}
 	}
--- a/routing/affinity/picker.go
+++ b/routing/affinity/picker.go
@@ -16,8 +16,8 @@
 	"wheelgauge/rendezvous"
 )
 
-// defaultBound is how far over the average load a warm server may be.
-const defaultBound = 1.25
+// defaultLoadBound is how far over the average load a warm server may be.
+const defaultLoadBound = 1.25
 
 // Picker implements wheelgauge.Picker without allocating.
 type Picker struct {
@@ -27,7 +27,7 @@
 // New returns a picker; bound 0 takes the default.
 func New(bound float64) *Picker {
 	if bound == 0 {
-		bound = defaultBound
+		bound = defaultLoadBound
 	}
 	return &Picker{bound: bound}
 }
@@ -49,22 +49,22 @@
 		}
 	}
 	if best < 0 {
-		return Least(candidates)
+		return LeastLoaded(candidates)
 	}
 	return best
 }
 
 // limit returns the load a slot that a server may have and still be taken.
 func (p *Picker) limit(candidates []wheelgauge.Candidate) float64 {
-	load, slots, free := 0.0, 0, false
+	load, slots, anyFree := 0.0, 0, false
 	for i := range candidates {
-		one := Load(&candidates[i])
-		load += one
+		candidateLoad := Load(&candidates[i])
+		load += candidateLoad
 		slots += candidates[i].Slots
-		free = free || one < float64(candidates[i].Slots)
+		anyFree = anyFree || candidateLoad < float64(candidates[i].Slots)
 	}
 	limit := p.bound * (load + 1) / float64(max(1, slots))
-	if free {
+	if anyFree {
 		return min(1, limit)
 	}
 	return limit
@@ -77,8 +77,8 @@
 	return float64(max(c.InFlight, c.Running+c.Waiting) + c.Pending)
 }
 
-// Least returns the candidate with the least load for its slots.
-func Least(candidates []wheelgauge.Candidate) int {
+// LeastLoaded returns the candidate with the least load for its slots.
+func LeastLoaded(candidates []wheelgauge.Candidate) int {
 	best, bestLoad := 0, 0.0
 	for i := range candidates {
 		load := (Load(&candidates[i]) + 1) / float64(max(1, candidates[i].Slots))
--- a/routing/affinity/picker_test.go
+++ b/routing/affinity/picker_test.go
@@ -18,8 +18,8 @@
 	return out
 }
 
-// TestWarm sends a prefix to the same server while that is not overloaded.
-func TestWarm(t *testing.T) {
+// TestPrefixStaysOnWarmServer sends a prefix to the same server while that is not overloaded.
+func TestPrefixStaysOnWarmServer(t *testing.T) {
 	p, c := New(0), servers(12, 8)
 	first := p.Pick(99, c)
 	for range 10 {
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestBound keeps every server near the average though all ask for one prefix.
-func TestBound(t *testing.T) {
+// TestLoadStaysWithinBound keeps every server near the average though all ask for one prefix.
+func TestLoadStaysWithinBound(t *testing.T) {
 	tests := []struct {
 		name    string
 		prefix  func(i int) uint64
@@ -57,18 +57,18 @@
 			for i := range total {
 				c[p.Pick(tt.prefix(i), c)].InFlight++
 			}
-			most := 0
+			highest := 0
 			for i := range c {
-				most = max(most, c[i].InFlight)
+				highest = max(highest, c[i].InFlight)
 			}
-			if most > 9 {
-				t.Fatalf("a server has %d of an average of 6", most)
+			if highest > 9 {
+				t.Fatalf("a server has %d of an average of 6", highest)
 			}
 		})
 	}
 }
 
-func TestReportsCount(t *testing.T) {
+func TestReportedLoadCounts(t *testing.T) {
 	c := servers(2, 8)
 	c[0].Running, c[0].Waiting = 8, 5
 	for prefix := range uint64(20) {
--- a/upstream/foreign_test.go
+++ b/upstream/malformed_test.go
@@ -17,7 +17,7 @@
 )
 
 // No answer is taken for whole that another reader of HTTP refuses or reads otherwise.
-func TestForeignAnswersAreNotWhole(t *testing.T) {
+func TestMalformedAnswersAreNotAccepted(t *testing.T) {
 	starts := []string{"HTTP/1.1 200 OK", "HTTP/1.0 200 OK", "HTTP/5.1 200 OK", "HTTP/1.1 000 OK", "HTTP/1.0 101 0", "HTTP/1.1 101 Switching Protocols", "HTTP/1.1 2x0 OK", "ICY 200 OK", "HTTP/1.1 204 No Content", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK", "HTTP/1.1 100 Continue\r\n\r\nHTTP/5.1 200 OK"}
 	heads := []string{
 		"", "Content-Length: 3", "Content-Length : 3", "Content-Length: 3|Content-Length: 5", "Content-Length: +3", "Content-Length: 3,3", "Transfer-Encoding: chunked", "Transfer-Encoding : chunked",
@@ -32,7 +32,7 @@
 					lines += strings.ReplaceAll(head, "|", "\r\n") + "\r\n"
 				}
 				in := lines + "\r\n" + body
-				if err := compare(t, in); err != nil {
+				if err := compareReaders(t, in); err != nil {
 					t.Errorf("%q: %v", in, err)
 				}
 			}
@@ -40,8 +40,8 @@
 	}
 }
 
-// compare sends a call to a server that answers with some bytes and closes.
-func compare(t *testing.T, in string) error {
+// compareReaders sends a call to a server that answers with some bytes and closes.
+func compareReaders(t *testing.T, in string) error {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,18 +69,18 @@
 	if err != nil {
 		return nil // cut, and said so
 	}
-	other := bufio.NewReader(strings.NewReader(in))
+	reference := bufio.NewReader(strings.NewReader(in))
 	for {
-		resp, err := http.ReadResponse(other, nil)
+		resp, err := http.ReadResponse(reference, nil)
 		if err != nil {
 			return fmt.Errorf("whole with status %d, %q here, the other reader refuses it: %w", answer.Status, body, err)
 		}
 		if resp.StatusCode == http.StatusContinue {
 			continue
 		}
-		otherBody, err := io.ReadAll(resp.Body)
-		if err != nil || resp.StatusCode != answer.Status || !bytes.Equal(body, otherBody) {
-			return fmt.Errorf("status %d, body %q; the other reader has %d, %q, %v", answer.Status, body, resp.StatusCode, otherBody, err)
+		referenceBody, err := io.ReadAll(resp.Body)
+		if err != nil || resp.StatusCode != answer.Status || !bytes.Equal(body, referenceBody) {
+			return fmt.Errorf("status %d, body %q; the other reader has %d, %q, %v", answer.Status, body, resp.StatusCode, referenceBody, err)
 		}
 		return nil
 	}
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	maxConns = 4096
-	// idleLimit is below the idle limit of servers, so that a connection is
+	maxConnsPerAddress = 4096
+	// idleTimeout is below the idle limit of servers, so that a connection is
 	// hardly ever used at the moment its server closes it.
-	idleLimit   = 5 * time.Second
-	longestCall = 10 * time.Minute
-	// endingTime is how long a process that ends may still take connections.
-	endingTime = 10 * time.Millisecond
+	idleTimeout   = 5 * time.Second
+	defaultCallTimeout = 10 * time.Minute
+	// exitGrace is how long a process that ends may still take connections.
+	exitGrace = 10 * time.Millisecond
 )
 
 var longAgo = time.Unix(1, 0)
@@ -35,18 +35,18 @@
 type Pool struct {
 	dialer *peerhttp.Dialer
 	mu     sync.RWMutex
-	hosts  map[way]*fasthttp.HostClient
+	clients  map[endpoint]*fasthttp.HostClient
 	conns  sync.Map // of net.Conn by local address
 }
 
-// tracked is a connection that can be found by its local address.
-type tracked struct {
+// trackedConn is a connection that can be found by its local address.
+type trackedConn struct {
 	net.Conn
 	pool *Pool
 }
 
 // Close implements net.Conn.
-func (t *tracked) Close() error {
+func (t *trackedConn) Close() error {
 	t.pool.conns.Delete(t.LocalAddr().String())
 	return t.Conn.Close()
 }
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	p.conns.Store(c.LocalAddr().String(), c)
-	return &tracked{guarded(c), p}, nil
+	return &trackedConn{newGuardedConn(c), p}, nil
 }
 
 // abort ends reads on the connection with that local address.
@@ -72,34 +72,34 @@
 
 // New returns a pool that connects by dialer.
 func New(dialer *peerhttp.Dialer) *Pool {
-	return &Pool{dialer: dialer, hosts: map[way]*fasthttp.HostClient{}}
+	return &Pool{dialer: dialer, clients: map[endpoint]*fasthttp.HostClient{}}
 }
 
-// way is an address, reached by connections that are kept or by fresh ones.
-type way struct {
+// endpoint is an address, reached by connections that are kept or by fresh ones.
+type endpoint struct {
 	address string
 	fresh   bool
 }
 
-// Reaches tells whether an address takes a new connection in time.
-func (p *Pool) Reaches(ctx context.Context, address string) bool {
-	if touch(ctx, address) != nil {
+// Reachable tells whether an address takes a new connection in time.
+func (p *Pool) Reachable(ctx context.Context, address string) bool {
+	if probe(ctx, address) != nil {
 		return false
 	}
 	// A process that is just ending breaks its connections off before its port refuses new
 	// ones: looked at once, it seems to go on.
-	timer := time.NewTimer(endingTime)
+	timer := time.NewTimer(exitGrace)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		return !errors.Is(touch(ctx, address), syscall.ECONNREFUSED)
+		return !errors.Is(probe(ctx, address), syscall.ECONNREFUSED)
 	case <-ctx.Done():
 		return true
 	}
 }
 
-// touch opens a connection and closes it.
-func touch(ctx context.Context, address string) error {
+// probe opens a connection and closes it.
+func probe(ctx context.Context, address string) error {
 	d := net.Dialer{}
 	c, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -109,28 +109,28 @@
 	return nil
 }
 
-// host returns the client of a way. Fresh connections are never kept, so that
+// client returns the client of a way. Fresh connections are never kept, so that
 // a call on one cannot meet a connection which its server has just closed.
-func (p *Pool) host(address string, fresh bool) *fasthttp.HostClient {
-	w := way{address, fresh}
+func (p *Pool) client(address string, fresh bool) *fasthttp.HostClient {
+	e := endpoint{address, fresh}
 	p.mu.RLock()
-	h := p.hosts[w]
+	h := p.clients[e]
 	p.mu.RUnlock()
 	if h != nil {
 		return h
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := p.hosts[w]; h != nil {
+	if h := p.clients[e]; h != nil {
 		return h
 	}
 	h = &fasthttp.HostClient{
 		Addr: address, Dial: p.dial,
-		MaxConns: maxConns, MaxIdleConnDuration: idleLimit, MaxIdemponentCallAttempts: 1,
+		MaxConns: maxConnsPerAddress, MaxIdleConnDuration: idleTimeout, MaxIdemponentCallAttempts: 1,
 		RetryIfErr: peerhttp.NeverRetry, StreamResponseBody: true,
 		NoDefaultUserAgentHeader: true, DisablePathNormalizing: true,
 	}
-	p.hosts[w] = h
+	p.clients[e] = h
 	return h
 }
 
@@ -138,15 +138,15 @@
 // call that is not repeatable goes out on a fresh connection.
 func (p *Pool) Send(ctx context.Context, address string, call *wheelgauge.Call, fresh bool) (*wheelgauge.Answer, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	p.fill(req, address, call, fresh)
+	p.fillRequest(req, address, call, fresh)
 	deadline := call.Deadline
 	if deadline.IsZero() {
-		deadline = time.Now().Add(longestCall)
+		deadline = time.Now().Add(defaultCallTimeout)
 	}
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
-	err := p.host(address, fresh).DoDeadline(req, resp, deadline)
+	err := p.client(address, fresh).DoDeadline(req, resp, deadline)
 	fasthttp.ReleaseRequest(req)
 	if err != nil {
 		fasthttp.ReleaseResponse(resp)
@@ -155,7 +155,7 @@
 	if call.Heard != nil {
 		call.Heard(resp.StatusCode(), resp.Header.PeekAll)
 	}
-	b := &body{resp: resp}
+	b := &answerBody{resp: resp}
 	local := resp.LocalAddr()
 	return &wheelgauge.Answer{
 		Status: resp.StatusCode(), ContentType: string(resp.Header.ContentType()),
@@ -164,7 +164,7 @@
 	}, nil
 }
 
-func (p *Pool) fill(req *fasthttp.Request, address string, call *wheelgauge.Call, fresh bool) {
+func (p *Pool) fillRequest(req *fasthttp.Request, address string, call *wheelgauge.Call, fresh bool) {
 	req.SetRequestURI("http://" + address + call.Path) // TLS is the dialer's part
 	req.Header.SetMethod(call.Method)
 	req.Header.Set(wheelgauge.HeaderRequestID, call.ID)
@@ -201,30 +201,30 @@
 	return wheelgauge.NewError(reason, outcome, status, fmt.Sprintf("backend %s: %v", address, err))
 }
 
-// body is the unread rest of an answer.
-type body struct {
+// answerBody is the unread rest of an answer.
+type answerBody struct {
 	mu   sync.Mutex
 	resp *fasthttp.Response
-	read io.Reader
+	stream io.Reader
 }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+func (b *answerBody) Read(p []byte) (int, error) {
 	if b.resp == nil {
 		return 0, io.ErrClosedPipe
 	}
-	if b.read == nil {
-		b.read = b.resp.BodyStream()
+	if b.stream == nil {
+		b.stream = b.resp.BodyStream()
 	}
-	if b.read == nil {
+	if b.stream == nil {
 		return 0, io.EOF
 	}
-	return b.read.Read(p)
+	return b.stream.Read(p)
 }
 
 // Close gives the connection back, or closes it when the body was not read to
 // its end. It must not run beside Read.
-func (b *body) Close() error {
+func (b *answerBody) Close() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.resp == nil {
@@ -240,7 +240,7 @@
 func (p *Pool) CloseIdle() {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
-	for _, h := range p.hosts {
+	for _, h := range p.clients {
 		h.CloseIdleConnections()
 	}
 }
--- a/upstream/reaches_test.go
+++ b/upstream/reachable_test.go
@@ -12,7 +12,7 @@
 // A request that ended its third engine was not held back: the engine's connections had broken
 // off, and its port still took a new one when it was looked at 1 ms later. Evidence: three
 // engines had ended, the host wrote two ends, and no line for the third attempt that failed.
-func TestReaches(t *testing.T) {
+func TestReachable(t *testing.T) {
 	tests := []struct {
 		name string
 		// open is for how long the port takes connections.
@@ -20,7 +20,7 @@
 		want bool
 	}{
 		{"ended", 0, false},
-		{"just ending", endingTime / 5, false},
+		{"just ending", exitGrace / 5, false},
 		{"goes on", time.Minute, true},
 	}
 	for _, tt := range tests {
@@ -40,7 +40,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
 			p := New(peerhttp.NewDialer("", nil))
-			if got := p.Reaches(ctx, l.Addr().String()); got != tt.want {
+			if got := p.Reachable(ctx, l.Addr().String()); got != tt.want {
 				t.Errorf("it is reached: %t, want %t", got, tt.want)
 			}
 		})
