--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -31,7 +31,7 @@
 				now = now.Add(tt.gap)
 			}
 			if got != tt.allowed {
-				t.Fatalf("%d of %d were allowed, want %d", got, tt.calls, tt.allowed)
+				t.Fatalf("%d of %d requests were allowed, want %d", got, tt.calls, tt.allowed)
 			}
 		})
 	}
@@ -44,7 +44,7 @@
 		l.Take("flood", 7, class, 1, now)
 	}
 	if l.Take("calm", 7, class, 1, now) != 0 {
-		t.Fatal("a calm client pays for a flooding one")
+		t.Fatal("a client under its rate is limited because of another one in its shard")
 	}
 }
 
@@ -66,15 +66,15 @@
 	}
 	for _, tt := range tests {
 		if got := ShouldShed(tt.priority, tt.wait, maxWait); got != tt.shed {
-			t.Errorf("%s: shed %t", tt.name, got)
+			t.Errorf("%s: shed is %t", tt.name, got)
 		}
 		if got := MissesDeadline(tt.wait, 10*time.Millisecond, tt.left); got != tt.late {
-			t.Errorf("%s: late %t", tt.name, got)
+			t.Errorf("%s: misses its deadline is %t", tt.name, got)
 		}
 	}
 }
 
-// TestRetryBudget bounds attempts when everything fails.
+// TestRetryBudget checks that retries stay bounded when every attempt fails.
 func TestRetryBudget(t *testing.T) {
 	b, retries := NewRetryBudget(), 0
 	for range 1000 {
@@ -86,7 +86,7 @@
 		}
 	}
 	if limit := 1000*retriesPerRequest + maxRetries; float64(retries) > limit {
-		t.Fatalf("%d retries for 1000 requests, at most %g", retries, limit)
+		t.Fatalf("got %d retries for 1000 requests, want at most %g", retries, limit)
 	}
 }
 
@@ -95,12 +95,12 @@
 	for range 100 {
 		d := RetryAfter(time.Second)
 		if d < time.Second || d > 2*time.Second {
-			t.Fatalf("got %s", d)
+			t.Fatalf("got %s, want between 1 s and 2 s", d)
 		}
 		seen[d] = true
 	}
 	if len(seen) < 50 {
-		t.Fatalf("only %d different times", len(seen))
+		t.Fatalf("got only %d distinct times, want at least 50", len(seen))
 	}
 }
 
--- a/admission/budget.go
+++ b/admission/budget.go
@@ -3,16 +3,17 @@
 import "sync"
 
 const (
-	// retriesPerRequest is the number of retries earned by a first attempt.
+	// retriesPerRequest is how many retries each first attempt adds to the budget.
 	retriesPerRequest = 0.1
-	// maxRetries lets a gateway resume all its streams of one lost server at once.
+	// maxRetries is the size of the budget: a gateway can resume all its streams of
+	// one lost server at once.
 	maxRetries = 100
 )
 
-// RetryBudget bounds retries to a part of the first attempts, so that a failure
-// does not multiply load.
+// RetryBudget bounds retries to a fraction of the first attempts, so that a failure
+// does not multiply load. It is safe for concurrent use.
 type RetryBudget struct {
-	mu   sync.Mutex
+	mu        sync.Mutex
 	remaining float64
 }
 
@@ -26,7 +27,7 @@
 	b.remaining = min(maxRetries, b.remaining+retriesPerRequest)
 }
 
-// TakeRetry takes one retry; false means that there is none left.
+// TakeRetry takes one retry from the budget; it returns false if none is left.
 func (b *RetryBudget) TakeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	shardCount   = 32
-	bucketIdleTTL  = 10 * time.Minute
-	callsPerSweep   = 4096
+	shardCount       = 32
+	bucketIdleTTL    = 10 * time.Minute
+	callsPerSweep    = 4096
 	priorityLevels   = 10
-	retryJitter  = 0.5
-	minRetryAfter   = 200 * time.Millisecond
+	retryJitter      = 0.5
+	minRetryAfter    = 200 * time.Millisecond
 	deadlineFraction = 0.9
 )
 
 type bucket struct {
-	tokens float64
-	updatedAt     time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
 type shard struct {
@@ -45,8 +45,9 @@
 	return l
 }
 
-// Take takes one request of a client whose class allows rate and burst, of
-// which share holds here. It returns zero, or how long until the next is allowed.
+// Take counts one request of a client against the rate and burst of its class, of
+// which this host enforces the fraction share. It returns zero if the request is
+// allowed, or the time until the next one will be.
 func (l *Limiter) Take(client string, hash uint64, class wheelgauge.ClientClassSpec, share float64, now time.Time) time.Duration {
 	if class.Rate == 0 {
 		return 0
@@ -83,20 +84,20 @@
 	}
 }
 
-// ShouldShed tells whether work of a priority (0 to 9) is turned away when the wait
-// is expected to be wait; at the highest priority work waits up to longest.
+// ShouldShed reports whether work of a priority (0 to 9) is refused at an expected
+// wait. Work of the highest priority is accepted up to maxWait.
 func ShouldShed(priority int, wait, maxWait time.Duration) bool {
 	allowed := maxWait * time.Duration(priority+1) / priorityLevels
 	return wait > allowed
 }
 
-// MissesDeadline tells whether work that waits and then takes least cannot end in left.
+// MissesDeadline reports whether work that waits and then runs for at least minService
+// cannot be expected to finish in the remaining time.
 func MissesDeadline(wait, minService, remaining time.Duration) bool {
 	return float64(wait+minService) > deadlineFraction*float64(remaining)
 }
 
-// RetryAfter spreads the time to come back around wait, so that callers turned
-// away together do not return together.
+// RetryAfter adds jitter to wait, so that callers refused together do not retry together.
 func RetryAfter(wait time.Duration) time.Duration {
 	wait = max(wait, minRetryAfter)
 	return wait + time.Duration(rand.Float64()*retryJitter*2*float64(wait))
--- a/away/decider.go
+++ b/away/decider.go
@@ -1,4 +1,4 @@
-// Package away decides whether a request leaves its region.
+// Package away decides whether a request is forwarded to another region.
 package away
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Policies.
+// Policies of a Decider.
 const (
 	PolicyCost     = "cost"
 	PolicyLocal    = "always-local"
@@ -14,62 +14,63 @@
 )
 
 const (
-	// forwardStartMargin and stayMargin make the hysteresis: work starts to leave when
-	// it gains leaveMargin and goes on to leave until it gains less than stayMargin.
+	// forwardStartMargin and forwardStopMargin form a hysteresis: forwarding to a region
+	// starts at a gain of forwardStartMargin and stops below forwardStopMargin.
 	forwardStartMargin = 80 * time.Millisecond
 	forwardStopMargin  = 20 * time.Millisecond
 )
 
-// unitSize is the unit of prices in tokens and of cold prefill in bytes.
+// unitSize is the number of tokens that a price is for, and the number of prompt bytes
+// that a cold prefill time is for.
 const unitSize = 1000
 
-// Weights turn time, price and distance into one cost.
+// Weights convert waiting time, price and distance into one cost.
 type Weights struct {
 	// Second is the value of one second of waiting, in the currency of prices.
 	Second float64
-	// Share is what sending one request away costs by itself, in that currency.
+	// Share is the fixed cost of forwarding one request, in the same currency.
 	Share float64
 	// ColdPrefill is the time lost on a cold cache for 1,000 bytes of prompt.
 	ColdPrefill time.Duration
 }
 
-// Place is a region as seen from here.
-type Place struct {
+// RegionState is the state of a region as known to this host.
+type RegionState struct {
 	Region string
-	// Wait is the expected time in queues there.
+	// Wait is the expected queueing time in the region.
 	Wait time.Duration
-	// Link is the one-way delay.
-	Link time.Duration
+	// Link is the one-way latency to the region.
+	Latency time.Duration
 	// Price is the cost of 1,000 tokens.
 	Price float64
-	// Granted is the number of requests that this host may have there at once;
+	// Granted is the number of requests that this host may have in flight in the region;
 	// InFlight is how many it has.
 	Granted  int
 	InFlight int
 }
 
-// Decider chooses regions. It is safe for concurrent use.
+// Decider chooses the region of each request. It is safe for concurrent use.
 type Decider struct {
-	policy  string
-	weights Weights
-	mu      sync.Mutex
+	policy     string
+	weights    Weights
+	mu         sync.Mutex
 	forwarding map[string]bool
 }
 
-// New returns a decider of a policy.
+// New returns a Decider with a policy.
 func New(policy string, weights Weights) *Decider {
 	return &Decider{policy: policy, weights: weights, forwarding: map[string]bool{}}
 }
 
-// Work is the size of a request: bytes of prompt, tokens to generate.
-type Work struct {
+// RequestSize is the size of a request: bytes of the prompt and tokens to generate.
+type RequestSize struct {
 	Bytes  int
 	Tokens int
 }
 
-// Decide returns the index of the best of others for a request, or -1 to stay.
-// fits is false when the own region cannot serve at all.
-func (d *Decider) Decide(here Place, fits bool, work Work, others []Place) int {
+// Decide returns the index in others of the region to forward a request to, or -1 to
+// serve it in this region. fits is false if this region cannot serve the request.
+func (d *Decider) Decide(here RegionState, fits bool, work RequestSize, others []RegionState) int {
 	if d.policy == PolicyLocal {
 		return -1
 	}
@@ -90,12 +91,12 @@
 	return best
 }
 
-func (d *Decider) rejects(p Place, fits bool, gain float64) bool {
+func (d *Decider) rejects(p RegionState, fits bool, gain float64) bool {
 	if d.policy == PolicyCheapest {
 		return fits && gain <= 0
 	}
 	if !fits {
-		return false // without a grant too: the receiver knows what it can take
+		return false // even without a grant: the receiving region knows what it can take
 	}
 	return p.InFlight >= p.Granted || gain < d.margin(p.Region)
 }
@@ -109,7 +110,7 @@
 	return forwardStartMargin.Seconds() * d.weights.Second
 }
 
-func (d *Decider) recordChoice(others []Place, best int) {
+func (d *Decider) recordChoice(others []RegionState, best int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := range others {
@@ -117,17 +118,19 @@
 	}
 }
 
-func (d *Decider) gain(here, other Place, work Work) float64 {
+func (d *Decider) gain(here, other RegionState, work RequestSize) float64 {
 	if d.policy == PolicyCheapest {
 		return here.price(work) - other.price(work)
 	}
 	return here.Wait.Seconds()*d.weights.Second + here.price(work) - d.cost(other, work)
 }
 
-func (d *Decider) cost(p Place, work Work) float64 {
+func (d *Decider) cost(p RegionState, work RequestSize) float64 {
 	cold := d.weights.ColdPrefill.Seconds() * float64(work.Bytes) / unitSize
-	delay := p.Wait.Seconds() + 2*p.Link.Seconds() + cold
+	delay := p.Wait.Seconds() + 2*p.Latency.Seconds() + cold
 	return delay*d.weights.Second + p.price(work) + d.weights.Share
 }
 
-func (p *Place) price(work Work) float64 { return p.Price * float64(work.Tokens) / unitSize }
+func (p *RegionState) price(work RequestSize) float64 {
+	return p.Price * float64(work.Tokens) / unitSize
+}
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -1,10 +1,10 @@
-// Package claims keeps, for one region, which calls that are not repeatable
-// have been given out to run. A claim is on disk before it is granted.
+// Package claims stores, for one region, the claims on calls that are not repeatable: which
+// attempt may run each of them. A claim is on disk before it is granted.
 //
-// Keys are UUIDs of version 7 (RFC 9562), which hold the time they were made.
-// That bounds what must be remembered: a key older than the time to live is
-// refused whether it is remembered or not, and after the loss of a disk a key
-// made before the new disk was first used is answered as lost, never granted.
+// Keys are UUIDs of version 7 (RFC 9562), which contain their creation time. That bounds
+// what must be stored: a key older than the time to live is refused whether it is stored
+// or not, and after the loss of a disk a key created before the new disk was first used
+// is answered as lost, never granted.
 package claims
 
 import (
@@ -25,27 +25,27 @@
 )
 
 const (
-	logFile      = "claims.log"
-	maxBatch  = 256
-	uuidLength   = 36
+	logFile             = "claims.log"
+	maxBatch            = 256
+	uuidLength          = 36
 	rewriteAfterRecords = 20_000
-	maxBodyBytes      = 64 << 10
+	maxBodyBytes        = 64 << 10
 )
 
 // Options of a Table.
 type Options struct {
 	Dir string
-	// TTL is how long after its making a key is honoured; 24 h when zero.
+	// TTL is how long after its creation a key is accepted; 24 h when zero.
 	TTL time.Duration
-	// Skew is the largest difference of clocks that is allowed for; 2 min when zero.
+	// Skew is the largest clock difference that is tolerated; 2 min when zero.
 	Skew time.Duration
-	// Now is the clock; time.Now when nil.
+	// Now returns the time; time.Now when nil.
 	Now func() time.Time
 }
 
-// record is one record on disk.
+// record is one entry of the file on disk.
 type record struct {
-	// Since is when this disk was first used; the first record only.
+	// Since is when this disk was first used; set in the first record only.
 	Since time.Time         `json:"since,omitzero"`
 	Claim *wheelgauge.Claim `json:"claim,omitempty"`
 }
@@ -60,20 +60,20 @@
 	err   error
 }
 
-// Table is safe for concurrent use.
+// Table holds the claims of a region. It is safe for concurrent use.
 type Table struct {
-	options Options
-	log     *wal.Log
-	diskSince   time.Time
-	mu      sync.Mutex
-	claims  map[string]wheelgauge.Claim
+	options             Options
+	log                 *wal.Log
+	diskSince           time.Time
+	mu                  sync.Mutex
+	claims              map[string]wheelgauge.Claim
 	recordsSinceRewrite int
-	queue   chan request
-	cancel  context.CancelFunc
-	done    chan error
+	queue               chan request
+	cancel              context.CancelFunc
+	done                chan error
 }
 
-// Open reads the claims under the folder and starts the writer.
+// Open reads the claims in the folder and starts the writer.
 func Open(ctx context.Context, options Options) (*Table, error) {
 	if options.TTL == 0 {
 		options.TTL = 24 * time.Hour
@@ -130,21 +130,21 @@
 
 func mapKey(c wheelgauge.Claim) string { return c.Client + "\x00" + c.Key }
 
-// Close stops the writer and waits.
+// Close stops the writer, waits for it and closes the file.
 func (t *Table) Close() error {
 	t.cancel()
 	return errors.Join(<-t.done, t.log.Close())
 }
 
-// Len returns how many claims are remembered.
+// Len returns the number of claims stored.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.claims)
 }
 
-// KeyTime returns when a key was made; its error is an *Error that names what
-// a key must be.
+// KeyTime returns the creation time of a key; its error is a *wheelgauge.Error that states
+// the required format.
 func KeyTime(key string) (time.Time, error) {
 	bad := wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest,
 		wheelgauge.HeaderIdempotency+" must be a UUID of version 7")
@@ -162,8 +162,9 @@
 	return time.UnixMilli(ms), nil
 }
 
-// Take asks for a claim (state new) or ends one (state done or released). It
-// returns once the answer is on disk.
+// Take requests a claim (state new) or ends one (state done or released). It
+// returns once the result is on disk. A recorded body larger than maxBodyBytes is
+// dropped.
 func (t *Table) Take(ctx context.Context, c wheelgauge.Claim) (wheelgauge.Claim, error) {
 	if len(c.Body) > maxBodyBytes {
 		c.Body = nil
@@ -212,7 +213,8 @@
 	return out
 }
 
-// commit decides a batch, writes it with one sync and answers it.
+// commit decides on a batch of requests, writes it with one sync and answers it. If the
+// write fails, the table is rolled back.
 func (t *Table) commit(batch []request) error {
 	outcomes := make([]outcome, len(batch))
 	var records [][]byte
@@ -267,7 +269,7 @@
 	}
 }
 
-// decide returns the answer to c and what must be written for it.
+// decide returns the answer to c and the claim to write for it, if any.
 func (t *Table) decide(c, prev wheelgauge.Claim, exists bool) (wheelgauge.Claim, *wheelgauge.Claim, error) {
 	if c.State != wheelgauge.ClaimNew {
 		return t.decideEnd(c, prev, exists)
@@ -281,7 +283,7 @@
 	}
 	now := t.options.Now()
 	if made.After(now.Add(t.options.Skew)) {
-		return c, nil, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "the key was made in the future")
+		return c, nil, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "the key's creation time is in the future")
 	}
 	if now.Sub(made) > t.options.TTL || !made.After(t.diskSince.Add(t.options.Skew)) && !t.isFirstDisk() {
 		c.State = wheelgauge.ClaimLost
@@ -292,21 +294,21 @@
 	return c, &running, nil
 }
 
-// isFirstDisk is true where the operator set this disk up as a region's first by
-// Found: no claim can have been lost before it.
+// isFirstDisk reports whether the operator set up this disk as the region's first by
+// Found: then no earlier claim can have been lost.
 func (t *Table) isFirstDisk() bool { return t.diskSince.IsZero() }
 
 func decideRepeated(c, prev wheelgauge.Claim) (wheelgauge.Claim, *wheelgauge.Claim, error) {
 	if prev.State == wheelgauge.ClaimRunning && prev.Holder == c.Holder {
-		return c, nil, nil // the holder asks again: its first answer was lost
+		return c, nil, nil // the holder retries: its first answer was lost
 	}
 	if c.Digest != prev.Digest {
-		return prev, nil, wheelgauge.NewError(wheelgauge.ReasonConflict, wheelgauge.OutcomeNotRun, http.StatusConflict, "this key was used for another request")
+		return prev, nil, wheelgauge.NewError(wheelgauge.ReasonConflict, wheelgauge.OutcomeNotRun, http.StatusConflict, "this key was already used for another request")
 	}
 	return prev, nil, nil
 }
 
-// decideEnd records the outcome of a claim for its holder only.
+// decideEnd records the outcome of a running claim, from its holder only.
 func (t *Table) decideEnd(c, prev wheelgauge.Claim, exists bool) (wheelgauge.Claim, *wheelgauge.Claim, error) {
 	if !exists || prev.Holder != c.Holder || prev.State != wheelgauge.ClaimRunning {
 		return prev, nil, nil
@@ -322,7 +324,7 @@
 	return t.compact()
 }
 
-// compact forgets the keys that are refused by their age and rewrites the file.
+// compact drops the keys that are refused by their age and rewrites the file.
 func (t *Table) compact() error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -350,7 +352,8 @@
 	return nil
 }
 
-// Found marks dir as a region's first claim disk: no claim came before it.
+// Found initializes dir as a region's first claim disk, which means that no earlier
+// claims can have been lost.
 func Found(dir string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("create claims folder: %w", err)
@@ -360,7 +363,7 @@
 		return fmt.Errorf("open claims: %w", err)
 	}
 	if len(records) > 0 {
-		return errors.Join(fmt.Errorf("%s holds claims already", dir), log.Close())
+		return errors.Join(fmt.Errorf("%s already holds claims", dir), log.Close())
 	}
 	data, err := json.Marshal(record{})
 	if err != nil {
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -15,7 +15,7 @@
 
 var noon = time.Date(2026, 1, 2, 12, 0, 0, 0, time.UTC)
 
-// keyAt makes a UUID of version 7 of a time.
+// keyAt returns a UUID of version 7 created at a time.
 func keyAt(at time.Time, n int) string {
 	ms := at.UnixMilli()
 	return fmt.Sprintf("%08x-%04x-7%03x-8000-%012x", ms>>16, ms&0xffff, n&0xfff, n)
@@ -45,7 +45,7 @@
 	return wheelgauge.Claim{Client: "desk", Key: key, Digest: "d", Holder: holder, State: state}
 }
 
-// TestClaimLifecycle runs claims through their states, with a restart after every step.
+// TestClaimLifecycle takes claims through their states, with a restart after every step.
 func TestClaimLifecycle(t *testing.T) {
 	key := keyAt(noon, 1)
 	newClaim := func(holder string) wheelgauge.Claim { return claim(key, holder, wheelgauge.ClaimNew) }
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestKeyAges covers keys that are old, new, from the future, and from before
-// the loss of a disk.
+// TestKeyAges checks keys that are fresh, expired, invalid, from the future, or created
+// before the loss of a disk.
 func TestKeyAges(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -122,7 +122,7 @@
 			c.now = tt.now
 			got, err := table.Take(context.Background(), claim(tt.key, "a", wheelgauge.ClaimNew))
 			if (err != nil) != tt.fault || err == nil && got.State != tt.want {
-				t.Fatalf("got %s, %v", got.State, err)
+				t.Fatalf("got state %s, error %v", got.State, err)
 			}
 			if err := table.Close(); err != nil {
 				t.Fatal(err)
@@ -131,7 +131,8 @@
 	}
 }
 
-// TestCompactedKeyIsNotGrantedAgain checks that what is forgotten would be refused by its age anyway.
+// TestCompactedKeyIsNotGrantedAgain checks that a key dropped by compaction is still refused,
+// because of its age.
 func TestCompactedKeyIsNotGrantedAgain(t *testing.T) {
 	dir := t.TempDir()
 	if err := Found(dir); err != nil {
@@ -148,7 +149,7 @@
 		c.now = noon.Add(after)
 		table = mustOpen(t, dir, c)
 		if got := mustTake(t, table, claim(key, "b", wheelgauge.ClaimNew)); got.State == wheelgauge.ClaimNew {
-			t.Fatalf("granted twice after %s", after)
+			t.Fatalf("key was granted again after %s", after)
 		}
 		if err := table.Close(); err != nil {
 			t.Fatal(err)
@@ -156,7 +157,7 @@
 	}
 }
 
-// TestConcurrentClaimsHaveOneWinner sends the same key from many at once.
+// TestConcurrentClaimsHaveOneWinner requests the same key from many goroutines at once.
 func TestConcurrentClaimsHaveOneWinner(t *testing.T) {
 	dir := t.TempDir()
 	if err := Found(dir); err != nil {
@@ -179,7 +180,7 @@
 	}
 	group.Wait()
 	if won != 1 {
-		t.Fatalf("%d asked and won", won)
+		t.Fatalf("%d concurrent requests were granted the claim, want 1", won)
 	}
 	if err := table.Close(); err != nil {
 		t.Fatal(err)
@@ -196,14 +197,14 @@
 	mustTake(t, table, c)
 	c.Digest, c.Holder = "another", "b"
 	if _, err := table.Take(context.Background(), c); wheelgauge.AsError(err).Reason() != wheelgauge.ReasonConflict {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want reason conflict", err)
 	}
 	if err := table.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestCorruptFileIsRefused refuses a claim file with damage before its end.
+// TestCorruptFileIsRefused checks that a claim file damaged before its end cannot be opened.
 func TestCorruptFileIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	if err := Found(dir); err != nil {
@@ -226,11 +227,11 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(context.Background(), Options{Dir: dir}); err == nil {
-		t.Fatal("a corrupt file was opened")
+		t.Fatal("a corrupt file was opened without an error")
 	}
 }
 
-// BenchmarkTake takes and records claims from many at once; each is synced.
+// BenchmarkTake takes and records claims from many goroutines at once; each is synced to disk.
 func BenchmarkTake(b *testing.B) {
 	dir := b.TempDir()
 	if err := Found(dir); err != nil {
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -15,13 +15,13 @@
 	"wheelgauge/rendezvous"
 )
 
-// usualFirstByte is the time to a first byte that says nothing of a queue.
+// usualFirstByte is a time to the first byte that does not indicate a queue.
 const usualFirstByte = 150 * time.Millisecond
 
-// minService is the shortest time that any work is expected to take.
+// minService is the shortest time that a request is expected to run.
 const minService = 10 * time.Millisecond
 
-// applyRateLimit takes the request from its client's allowance on this host.
+// applyRateLimit counts the request against this host's share of its client's rate limit.
 func (g *Gateway) applyRateLimit(rq *request) error {
 	if rq.class.Rate == 0 {
 		return nil
@@ -36,20 +36,21 @@
 		WithRetryAfter(admission.RetryAfter(wait))
 }
 
-// candidateSet is the load of the servers that may take a request.
+// candidateSet holds the servers that may take a request, and their total load and slots.
 type candidateSet struct {
 	candidates []wheelgauge.Candidate
 	load       int
 	slots      int
-	// backoff is after what time the first of those that back off takes work again; 0 if none does.
+	// backoff is the time until the first server that asked to back off takes work again; 0 if
+	// none did.
 	backoff time.Duration
-	// barred is set if one is kept out for another reason that passes.
+	// excluded is set if a server was left out for another temporary reason.
 	excluded bool
 }
 
 var candidateSets = sync.Pool{New: func() any { return &candidateSet{} }}
 
-// collectCandidates lists the servers of a route in this region that may take work now.
+// collectCandidates fills cs with the servers of a route in this region that may take work now.
 func (g *Gateway) collectCandidates(cs *candidateSet, c *catalog.Catalog, route *catalog.Route, model string, tried []string) {
 	cs.candidates, cs.load, cs.slots, cs.backoff, cs.excluded = cs.candidates[:0], 0, 0, 0, false
 	now := g.clock.Now()
@@ -69,8 +70,8 @@
 			cs.noteBackoff(pushed, now)
 			continue
 		}
-		// A model with placements is served where it is ready, also while it
-		// moves: not by where it should be.
+		// A model with placements is served where it is ready, which differs from
+		// where it is placed while it moves.
 		if placed, version, _ := c.Placed(model, s.Name); placed && !state.Ready(model, version) {
 			continue
 		}
@@ -83,7 +84,7 @@
 	}
 }
 
-// noteBackoff takes a server that asks for no work now.
+// noteBackoff records the backoff of a server that takes no work now.
 func (cs *candidateSet) noteBackoff(state pushback.State, now time.Time) {
 	if left := state.Left(now); !state.Leaving() && (cs.backoff == 0 || left < cs.backoff) {
 		cs.backoff = left
@@ -107,20 +108,20 @@
 	return time.Duration(float64(load-slots+1) / float64(slots) * float64(service))
 }
 
-// plan is where a request goes.
+// plan is the region that a request goes to.
 type plan struct {
-	region string // empty: here
-	mandatory   bool   // nothing can be done here
+	region    string // empty: this region
+	mandatory bool   // this region cannot serve the request
 }
 
-// decide chooses between this region and others, or refuses at once what would
-// be too late or must be shed.
+// decide chooses between this region and others, or refuses at once a request that would
+// miss its deadline or must be shed.
 func (g *Gateway) decide(rq *request) (plan, error) {
 	cs := candidateSets.Get().(*candidateSet)
 	defer candidateSets.Put(cs)
 	g.collectCandidates(cs, rq.catalog, rq.route, rq.model, nil)
 	service := g.inflight.MeanDuration(rq.route.Pool)
-	here := away.Place{Region: g.options.Region, Wait: g.localWait(rq, cs, service), Price: rq.catalog.Region(g.options.Region).Price}
+	here := away.RegionState{Region: g.options.Region, Wait: g.localWait(rq, cs, service), Price: rq.catalog.Region(g.options.Region).Price}
 	fits := cs.slots > 0 && !admission.ShouldShed(rq.call.Priority, here.Wait, g.options.LongestWait) &&
 		!admission.MissesDeadline(here.Wait, minService, time.Until(g.localDeadline(rq)))
 	if !rq.forwarded {
@@ -137,15 +138,15 @@
 	return plan{}, g.overloadError(rq, here, cs.slots)
 }
 
-// localWait estimates how long new work waits in this region: by the load that
-// is known, or by the first bytes seen lately, whichever is more. A first byte
-// within usualFirst is no wait.
+// localWait estimates how long new work waits in this region: from the known load or
+// from recent times to the first byte, whichever is more. A first byte within
+// usualFirstByte counts as no wait.
 func (g *Gateway) localWait(rq *request, cs *candidateSet, service time.Duration) time.Duration {
 	observed := g.inflight.RecentFirstByte(rq.route.Pool) - usualFirstByte
 	return max(queueWait(cs.load, cs.slots, service), observed)
 }
 
-func (g *Gateway) overloadError(rq *request, here away.Place, slots int) error {
+func (g *Gateway) overloadError(rq *request, here away.RegionState, slots int) error {
 	if slots == 0 {
 		if after, ok := g.backoffLeft(rq); ok {
 			return backoffError(rq, g.options.Region, after)
@@ -159,12 +160,12 @@
 		reason = wheelgauge.ReasonDeadline
 	}
 	return wheelgauge.NewError(reason, wheelgauge.OutcomeNotRun, status,
-		fmt.Sprintf("work waits %s for a server", here.Wait.Round(time.Millisecond))).WithRetryAfter(admission.RetryAfter(here.Wait))
+		fmt.Sprintf("the expected wait for a server is %s", here.Wait.Round(time.Millisecond))).WithRetryAfter(admission.RetryAfter(here.Wait))
 }
 
-// chooseRegion asks the away policy about the other regions.
-func (g *Gateway) chooseRegion(rq *request, here away.Place, fits bool, service time.Duration) (string, bool) {
-	var places [maxRegions]away.Place
+// chooseRegion returns the region to forward a request to, by the away policy.
+func (g *Gateway) chooseRegion(rq *request, here away.RegionState, fits bool, service time.Duration) (string, bool) {
+	var places [maxRegions]away.RegionState
 	n := 0
 	for _, region := range rq.catalog.Regions() {
 		if region == g.options.Region || n == maxRegions || !rq.catalog.Allows(rq.identity, region) {
@@ -177,29 +178,29 @@
 		}
 		link := time.Duration(rq.catalog.Region(g.options.Region).Links[region] * float64(time.Millisecond))
 		observed := g.inflight.RecentFirstByte(regionCounter(region)) - usualFirstByte - 2*link
-		places[n] = away.Place{
-			Region: region, Wait: max(queueWait(pool.Running+pool.Waiting, pool.Slots, service), observed), Price: rq.catalog.Region(region).Price, Link: link,
+		places[n] = away.RegionState{
+			Region: region, Wait: max(queueWait(pool.Running+pool.Waiting, pool.Slots, service), observed), Price: rq.catalog.Region(region).Price, Latency: link,
 			Granted: g.hostGrant(rq.catalog, pool), InFlight: g.inflight.Count(regionCounter(region)),
 		}
 		n++
 	}
-	best := g.options.Decider.Decide(here, fits, away.Work{Bytes: len(rq.call.Body), Tokens: rq.tokens}, places[:n])
+	best := g.options.Decider.Decide(here, fits, away.RequestSize{Bytes: len(rq.call.Body), Tokens: rq.tokens}, places[:n])
 	if best < 0 {
 		return "", false
 	}
 	return places[best].Region, true
 }
 
-// hostSkewFactor is how many times its equal part of a grant one host may use:
+// hostSkewFactor is how many times its equal share of a grant one host may use, because
 // clients are not spread evenly over hosts.
 const hostSkewFactor = 2
 
-// maxRegions bounds the regions that are weighed for a request.
+// maxRegions bounds the regions that are considered for a request.
 const maxRegions = 16
 
 func regionCounter(region string) string { return "region " + region }
 
-// hostGrant returns this host's part of what a region granted to this one.
+// hostGrant returns this host's share of the capacity that another region granted to this one.
 func (g *Gateway) hostGrant(c *catalog.Catalog, pool wheelgauge.PoolSummary) int {
 	hosts := 0
 	for _, h := range c.Hosts(g.options.Region) {
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -18,16 +18,16 @@
 
 const (
 	eventStream = "text/event-stream"
-	// maxBufferedBody is the largest answer that is taken in before it is passed on,
-	// so that one cut short becomes an error and not half an answer.
+	// maxBufferedBody bounds the answers that are read completely before they are passed
+	// on, in bytes, so that a truncated one becomes an error and not half an answer.
 	maxBufferedBody = 1 << 20
 )
 
-// notifyingBody tells once when an answer has been read or given up.
+// notifyingBody calls onClose once, when the answer has been read or abandoned.
 type notifyingBody struct {
 	io.ReadCloser
-	once sync.Once
-	onClose  func()
+	once    sync.Once
+	onClose func()
 }
 
 // Close implements io.Closer.
@@ -37,7 +37,7 @@
 	return err
 }
 
-// execute carries a request out and answers it.
+// execute runs an admitted request and answers it.
 func (g *Gateway) execute(ctx *fasthttp.RequestCtx, rq *request) {
 	claim, err := g.claim(rq)
 	if err != nil {
@@ -96,7 +96,7 @@
 	ctx.SetBodyStream(s, -1)
 }
 
-// targetDead tells whether who answers a request is known to be gone.
+// targetDead reports whether the server or peer that answers a request is known to be dead.
 func (g *Gateway) targetDead(rq *request) bool {
 	to := rq.target.Load()
 	if to.region != g.options.Region {
@@ -105,14 +105,15 @@
 	return g.serverDead(to.server)
 }
 
-// resumeFunc opens the rest of a broken stream, within the retry budget.
+// resumeFunc returns a function that reopens a broken stream where it broke, within the
+// retry budget.
 func (g *Gateway) resumeFunc(rq *request) relay.Resume {
 	initialSkip := rq.call.Skip
 	return func(ctx context.Context, skip int) (*wheelgauge.Answer, error) {
 		g.attributeLocalCrash(rq)
 		if !g.budget.TakeRetry() {
 			g.meter.Count("retries.no_budget")
-			return nil, wheelgauge.NewError(wheelgauge.ReasonBrokenStream, wheelgauge.OutcomeRan, http.StatusBadGateway, "no retry is left")
+			return nil, wheelgauge.NewError(wheelgauge.ReasonBrokenStream, wheelgauge.OutcomeRan, http.StatusBadGateway, "the retry budget is exhausted")
 		}
 		g.meter.Count("streams.resumed")
 		rq.call.Skip = initialSkip + skip
@@ -141,7 +142,7 @@
 	}
 }
 
-// cancelStream ends work that nobody reads any more.
+// cancelStream cancels the work of a stream whose caller has left.
 func (g *Gateway) cancelStream(rq *request) {
 	to := rq.target.Load()
 	if s := rq.catalog.Server(to.server); s != nil && to.region == g.options.Region {
@@ -160,7 +161,7 @@
 func (g *Gateway) replyBuffered(ctx *fasthttp.RequestCtx, rq *request, answer *wheelgauge.Answer, claim *heldClaim) {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody))
 	if err != nil {
-		_ = answer.Body.Close() // its read failed already
+		_ = answer.Body.Close() // reading it has failed already
 		g.attributeLocalCrash(rq)
 		g.finishWithError(ctx, rq, wheelgauge.NewError(wheelgauge.ReasonServerFailed, wheelgauge.OutcomeRan, http.StatusBadGateway, "the answer was cut short: "+err.Error()))
 		return
@@ -183,14 +184,15 @@
 	g.serving.Leave()
 }
 
-// decodePeerAnswer turns a typed error answer of a peer into an error.
+// decodePeerAnswer turns an error answer of a peer into a *wheelgauge.Error; an answer
+// that a backend server gave is returned as it is.
 func decodePeerAnswer(answer *wheelgauge.Answer) (*wheelgauge.Answer, error) {
 	outcome := answer.Header(wheelgauge.HeaderOutcome)
 	if answer.Status < http.StatusBadRequest || outcome == string(wheelgauge.OutcomeRan) && answer.Header(wheelgauge.HeaderServed) != "" {
 		return answer, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody))
-	_ = answer.Body.Close() // read as far as it goes
+	_ = answer.Body.Close() // read as far as possible
 	fault := new(wheelgauge.Error)
 	if err != nil || json.Unmarshal(body, fault) != nil || fault.Status() == 0 {
 		return nil, wheelgauge.NewError(wheelgauge.ReasonServerFailed, wheelgauge.OutcomeUnknown, http.StatusBadGateway, "a peer's answer cannot be read")
--- a/gateway/caller.go
+++ b/gateway/caller.go
@@ -16,8 +16,8 @@
 
 const refusedBodyBytes = 1
 
-// headerReceived decides residency before the body is read: a request that
-// will be refused is handed over after the first byte of its body.
+// headerReceived checks residency before the body is read: a request that will be
+// refused is passed to the handler after the first byte of its body.
 func (g *Gateway) headerReceived(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	var rq request
 	if err := g.identify(h, &rq); err != nil {
@@ -26,7 +26,7 @@
 	return fasthttp.RequestConfig{}
 }
 
-// answerReadError answers what could not be read as a request.
+// answerReadError answers a request that could not be parsed or read.
 func (g *Gateway) answerReadError(ctx *fasthttp.RequestCtx, err error) {
 	g.meter.Count("refused.malformed")
 	fault := badRequest("the request cannot be read: " + err.Error())
@@ -34,7 +34,7 @@
 		fault = wheelgauge.NewError(wheelgauge.ReasonTooLarge, wheelgauge.OutcomeNotRun, http.StatusRequestHeaderFieldsTooLarge, "the headers are too large")
 	}
 	if slow, ok := errors.AsType[net.Error](err); ok && slow.Timeout() {
-		fault = wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusRequestTimeout, "the request did not come whole in time")
+		fault = wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusRequestTimeout, "the request was not received completely in time")
 	}
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		fault = g.bodyTooLarge()
@@ -53,12 +53,12 @@
 	g.serve(ctx, rq, err, g.admitCaller)
 }
 
-// serve admits a request and runs it while the gate is open. Whoever ends the
-// request leaves the gate.
+// serve admits a request and runs it while the gate is open. The code that ends the
+// request must call Leave on the gate.
 func (g *Gateway) serve(ctx *fasthttp.RequestCtx, rq *request, err error, admit func(*fasthttp.RequestCtx, *request) error) {
 	if err == nil && !g.serving.Enter() {
 		err = wheelgauge.NewError(wheelgauge.ReasonDraining, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable,
-			"this host is leaving").WithEntries(g.entries(rq))
+			"this host is draining").WithEntries(g.entries(rq))
 	}
 	if err != nil {
 		g.refuse(ctx, rq, err)
@@ -73,7 +73,7 @@
 	g.execute(ctx, rq)
 }
 
-// admitCaller checks what concerns the caller, reads the body and finds the route.
+// admitCaller applies the caller's rate limit, reads the body and finds the route.
 func (g *Gateway) admitCaller(ctx *fasthttp.RequestCtx, rq *request) error {
 	if err := g.applyRateLimit(rq); err != nil {
 		return err
@@ -85,7 +85,7 @@
 }
 
 // refuse answers a request that was not dispatched. The connection is closed
-// when its body was not taken in.
+// if its body was not read.
 func (g *Gateway) refuse(ctx *fasthttp.RequestCtx, rq *request, err error) {
 	fault := wheelgauge.AsError(err).WithRequestID(rq.call.ID)
 	g.meter.Count("refused." + string(fault.Reason()))
@@ -112,7 +112,7 @@
 	return entrylist.List(rq.catalog, rq.identity, g.options.Region, g.usable)
 }
 
-// homeRegion returns the region that keeps the claims of a client.
+// homeRegion returns the region that stores the claims of a client.
 func (rq *request) homeRegion() string {
 	regions := rq.catalog.AllowedRegions(rq.identity)
 	for _, region := range regions {
--- a/gateway/claim.go
+++ b/gateway/claim.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	pathClaims   = "/v1/claims"
-	claimTimeout = 2 * time.Second
+	pathClaims     = "/v1/claims"
+	claimTimeout   = 2 * time.Second
 	releaseTimeout = 500 * time.Millisecond
 	recordTimeout  = 2 * time.Second
 )
 
-// heldClaim is a claim and where it is kept.
+// heldClaim is a claim and the address of the store that keeps it.
 type heldClaim struct {
 	wheelgauge.Claim
 	store string
@@ -41,7 +41,7 @@
 		return nil, claimStoreError("the client's home region has no claim store")
 	}
 	if region != g.options.Region && g.node.RegionGone(region) {
-		return nil, claimStoreError("the client's home region is cut off")
+		return nil, claimStoreError("the client's home region is unreachable")
 	}
 	c := wheelgauge.Claim{Client: rq.identity.Client, Key: rq.call.Key, Digest: requestDigest(rq), Holder: rq.call.ID, State: wheelgauge.ClaimNew}
 	got, err := g.requestClaim(address, c)
@@ -53,7 +53,7 @@
 		g.meter.Count("claims." + string(got.State))
 		return &heldClaim{got, address}, nil
 	case wheelgauge.ClaimLost:
-		return nil, claimHeldError("the key is too old, or was made before the claim store's disk was replaced: whether it ran is not known")
+		return nil, claimHeldError("the key is too old, or was made before the claim store's disk was replaced: it is unknown whether the request ran")
 	default:
 		return nil, claimHeldError("an earlier request with this key was dispatched and its outcome is not recorded").WithRetryAfter(time.Second)
 	}
@@ -67,8 +67,8 @@
 	return wheelgauge.NewError(wheelgauge.ReasonClaimStore, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, detail).WithRetryAfter(time.Second)
 }
 
-// claimFailed answers a request whose claim was not granted. This attempt was
-// not run; a claim that may have been taken for it is given back.
+// claimFailed returns the error for a request whose claim was not granted. This
+// attempt did not run; a claim that may have been taken for it is released.
 func (g *Gateway) claimFailed(address string, c wheelgauge.Claim, err error) error {
 	if fault, ok := errors.AsType[*wheelgauge.Error](err); ok {
 		return fault.WithOutcome(wheelgauge.OutcomeNotRun)
@@ -79,11 +79,12 @@
 			g.meter.Count("claims.not_given_back")
 		}
 	}
-	return claimStoreError("the claim store of the client's home region is not reached")
+	return claimStoreError("cannot reach the claim store of the client's home region")
 }
 
-// requestClaim asks for a claim. A connection that the store closed is found out only by
-// using it, and a holder may ask again, so a second try is made at once.
+// requestClaim requests a claim. That the store has closed a pooled connection shows only
+// when the connection is used, and a holder may request its claim again, so a second attempt
+// on a fresh connection follows at once.
 func (g *Gateway) requestClaim(address string, c wheelgauge.Claim) (wheelgauge.Claim, error) {
 	started := time.Now()
 	got, err := g.postClaim(g.client.Call, address, c, claimTimeout)
@@ -93,7 +94,7 @@
 	return g.postClaim(g.client.CallFresh, address, c, claimTimeout/2)
 }
 
-// callFunc is one of the ways to call a peer.
+// callFunc calls a peer, on a pooled or a fresh connection.
 type callFunc func(ctx context.Context, method, address, path string, in, out any) error
 
 func (g *Gateway) postClaim(call callFunc, address string, c wheelgauge.Claim, limit time.Duration) (wheelgauge.Claim, error) {
@@ -111,7 +112,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// releaseClaim releases a claim when nothing can have left.
+// releaseClaim releases a claim if cause proves that the request did not run.
 func (g *Gateway) releaseClaim(c *heldClaim, cause error) {
 	if c == nil || !hasOutcome(cause, wheelgauge.OutcomeNotRun) {
 		return
@@ -119,7 +120,7 @@
 	g.endClaim(c, wheelgauge.Claim{State: wheelgauge.ClaimReleased})
 }
 
-// recordAnswer keeps the answer for resends of the same key.
+// recordAnswer stores the answer for retries with the same key.
 func (g *Gateway) recordAnswer(c *heldClaim, answer *wheelgauge.Answer, body []byte) {
 	if c == nil {
 		return
@@ -131,11 +132,11 @@
 	ended.Client, ended.Key, ended.Digest, ended.Holder = c.Client, c.Key, c.Digest, c.Holder
 	if _, err := g.postClaim(g.client.CallFresh, c.store, ended, recordTimeout); err != nil {
 		g.meter.Count("claims.not_recorded")
-		g.options.Log.Error(err, "Claim is not ended; resends get unknown.")
+		g.options.Log.Error(err, "Claim outcome is not recorded; retries with this key get an unknown outcome.")
 	}
 }
 
-// replayRecorded answers a resend with what was recorded.
+// replayRecorded answers a retry with the recorded answer.
 func (g *Gateway) replayRecorded(ctx *fasthttp.RequestCtx, rq *request, c *heldClaim) {
 	h := &ctx.Response.Header
 	h.Set(wheelgauge.HeaderRequestID, rq.call.ID)
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -11,12 +11,14 @@
 	"wheelgauge/quarantine"
 )
 
-// instanceWindow parts the time in which a server's name stands for one start of it: servers
-// tell no starts here, and take some seconds to be back. Two hosts that see one end on
-// both sides of a border count it twice for a request that stood at both.
+// instanceWindow is the time within which crashes of a server name count as those of one
+// instance: servers report no start time here, and take some seconds to restart. If two hosts
+// see the same crash on both sides of a window boundary, it counts twice for a request that
+// both had in flight.
 const instanceWindow = 5 * time.Second
 
-// fingerprint tells what a request asks, the same for all its tries at all hosts.
+// fingerprint identifies a request by its content, so that it is the same for all its attempts
+// on all hosts.
 func (rq *request) fingerprint() wheelgauge.Fingerprint {
 	if rq.cachedFingerprint == "" {
 		rq.cachedFingerprint = fingerprint.Of([]byte(rq.call.Method), nil, []byte(rq.call.Path), rq.identity.Client, rq.call.Body)
@@ -24,7 +26,7 @@
 	return rq.cachedFingerprint
 }
 
-// checkQuarantine refuses a request that ended the servers which ran it.
+// checkQuarantine refuses a request that crashed the servers which ran it.
 func (g *Gateway) checkQuarantine(rq *request) error {
 	if !g.quarantine.Holds(len(rq.call.Body), rq.fingerprint) {
 		return nil
@@ -32,18 +34,19 @@
 	return quarantine.Refusal()
 }
 
-// noteSuccess notes that a request ran to a good end: it ended no server before.
+// noteSuccess records that a request completed, so earlier crashes were not caused by it.
 func (g *Gateway) noteSuccess(rq *request) { g.quarantine.Ran(len(rq.call.Body), rq.fingerprint) }
 
-// attributeLocalCrash looks after the server that answers a request, if it is of this region.
+// attributeLocalCrash calls attributeCrash for the server that answers a request, if it is in
+// this region.
 func (g *Gateway) attributeLocalCrash(rq *request) {
 	if to := rq.target.Load(); to.region == g.options.Region {
 		g.attributeCrash(rq, rq.catalog.Server(to.server))
 	}
 }
 
-// attributeCrash notes that a server ended with a request in flight, if it did: one that takes
-// a new connection only broke this one off.
+// attributeCrash records that a server crashed with a request in flight. A server that still
+// accepts a new connection has not crashed; it only closed this one.
 func (g *Gateway) attributeCrash(rq *request, s *catalog.Server) {
 	if s == nil || rq.callerLeft() || g.expired(rq) {
 		return
--- a/gateway/decide_test.go
+++ b/gateway/decide_test.go
@@ -19,7 +19,7 @@
 	"wheelgauge/setaside"
 )
 
-// newTestGateway returns a gateway of region r0 without listeners or stores.
+// newTestGateway returns a gateway in region r0 without listeners or stores.
 func newTestGateway(t testing.TB) *Gateway {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -42,10 +42,10 @@
 	return g
 }
 
-// testCatalog builds a configuration of five regions, with so many servers in r0.
+// testCatalog builds a configuration of five regions with the given number of servers in r0.
 func testCatalog(servers int) *catalog.Catalog { return testCatalogAt(servers, "127.0.0.1:1") }
 
-// testCatalogAt is the same with the servers at an address.
+// testCatalogAt is testCatalog with all servers at one address.
 func testCatalogAt(servers int, address string) *catalog.Catalog {
 	var list []wheelgauge.Resource
 	add := func(kind wheelgauge.Kind, name, spec string, args ...any) {
@@ -71,7 +71,7 @@
 	return rq
 }
 
-// TestDecideRefusals covers what is refused at once, and how.
+// TestDecideRefusals checks which requests are refused at once, and with which reason.
 func TestDecideRefusals(t *testing.T) {
 	startCalls := func(g *Gateway, calls int) {
 		for range calls {
@@ -106,7 +106,7 @@
 			_, err := g.decide(rq)
 			if tt.reason == "" {
 				if err != nil {
-					t.Fatalf("refused: %v", err)
+					t.Fatalf("request refused: %v, want it accepted", err)
 				}
 				return
 			}
@@ -118,8 +118,8 @@
 	}
 }
 
-// BenchmarkDecision is one whole routing decision: the survey of the region's
-// servers, this region or another, and the server.
+// BenchmarkDecision measures one whole routing decision: collecting the region's
+// candidates, choosing the region and picking the server.
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{12, 600} {
 		b.Run(fmt.Sprint(servers, " servers, 890 clients"), func(b *testing.B) {
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	maxAttempts = 3
-	oldPathServer    = "old path"
-	// maxForwards is how many regions are tried: a forward that failed may be
-	// made to another, a forwarded request is never sent on.
-	maxForwards = 2
-	watchInterval    = 100 * time.Millisecond
-	cancelTimeout  = 2 * time.Second
-	// minOldPathRetry is when a caller comes back at the earliest whose old path takes nothing.
+	maxAttempts   = 3
+	oldPathServer = "old path"
+	// maxForwards is how many regions are tried: a request whose forward failed may go to
+	// another region, but a forwarded request is never forwarded again.
+	maxForwards   = 2
+	watchInterval = 100 * time.Millisecond
+	cancelTimeout = 2 * time.Second
+	// minOldPathRetry is the shortest Retry-After while the old path has asked to back off.
 	minOldPathRetry = time.Second
 )
 
 // open dispatches a request and returns the answer with its body unread. Its
-// error says not-run only if that holds for every attempt.
+// error has the outcome not-run only if that holds for every attempt.
 func (g *Gateway) open(ctx context.Context, rq *request) (*wheelgauge.Answer, error) {
 	answer, err := g.dispatch(ctx, rq)
 	if err != nil && rq.mayHaveRun && hasOutcome(err, wheelgauge.OutcomeNotRun) {
@@ -36,8 +36,8 @@
 	return answer, err
 }
 
-// dispatch chooses region and server. A call that is not repeatable is never
-// dispatched again once a byte of it may have left.
+// dispatch chooses the region and the server. A call that is not repeatable is never
+// dispatched again once a byte of it may have been sent.
 func (g *Gateway) dispatch(ctx context.Context, rq *request) (*wheelgauge.Answer, error) {
 	if err := g.checkQuarantine(rq); err != nil {
 		return nil, err
@@ -45,7 +45,7 @@
 	if address := g.oldPath(rq); address != "" {
 		return g.sendOldPath(ctx, rq, address)
 	}
-	var turnedBack error // by another region, where this one cannot serve at all
+	var turnedBack error // the error of another region, where this one cannot serve at all
 	for range maxForwards {
 		p, err := g.decide(rq)
 		if err != nil {
@@ -103,7 +103,7 @@
 		tried = append(tried, server.Name)
 	}
 	if last == nil {
-		return nil, g.overloadError(rq, away.Place{}, 0)
+		return nil, g.overloadError(rq, away.RegionState{}, 0)
 	}
 	if !rq.mayHaveRun {
 		if after, ok := g.backoffLeft(rq); ok {
@@ -113,7 +113,7 @@
 	return nil, last
 }
 
-// mayRetry takes note of a failed attempt and tells whether another may follow.
+// mayRetry records a failed attempt and reports whether another may follow.
 func (g *Gateway) mayRetry(rq *request, err error) bool {
 	if !hasOutcome(err, wheelgauge.OutcomeNotRun) {
 		rq.mayHaveRun = true
@@ -149,12 +149,12 @@
 	return g.service
 }
 
-// sendTo dispatches to one server and counts it as in flight until the answer
-// is closed.
+// sendTo dispatches a request to one server and counts it as in flight until the
+// answer is closed.
 func (g *Gateway) sendTo(ctx context.Context, rq *request, s *catalog.Server) (*wheelgauge.Answer, error) {
 	started := time.Now()
 	sent := g.clock.Now()
-	call := rq.call // an abandoned call keeps its own
+	call := rq.call // a copy, as an abandoned call goes on using it
 	call.Deadline = g.localDeadline(rq)
 	listener := &pushbackListener{gateway: g, server: s.Name}
 	call.Heard = listener.observe
@@ -190,20 +190,20 @@
 	return answer, nil
 }
 
-// endPending tells the table that a first byte came, or that none will.
+// endPending records that the first byte arrived, or that none will.
 func (g *Gateway) endPending(name string, started time.Time, err error) {
 	g.inflight.EndPending(name, started, err == nil)
 }
 
-// callResult is the end of a call that was dispatched.
+// callResult is the result of a dispatched call.
 type callResult struct {
 	answer *wheelgauge.Answer
 	err    error
 }
 
-// sendWatched dispatches by send and, while no answer has come, looks whether the
-// caller left, which cancels the work, and whether the other side is known to
-// be dead, which ends the wait: its outcome stays unknown.
+// sendWatched dispatches by send and checks two things until an answer arrives: if the
+// caller has left, the work is cancelled; if the other side is known to be dead, the wait
+// ends with an unknown outcome.
 func (g *Gateway) sendWatched(rq *request, send func() (*wheelgauge.Answer, error), cancel func(), dead func() bool) (*wheelgauge.Answer, error) {
 	done := make(chan callResult, 1)
 	g.background.Go(func() {
@@ -223,10 +223,10 @@
 				cancel()
 			}
 			if g.expired(rq) && !cancelled {
-				// The call's own deadline does not count the time that the host was suspended.
+				// The call's own deadline excludes the time that the host was suspended.
 				g.background.Go(cancel)
 				g.abandon(done)
-				return nil, wheelgauge.NewError(wheelgauge.ReasonDeadline, wheelgauge.OutcomeUnknown, http.StatusGatewayTimeout, "the request's time is over")
+				return nil, wheelgauge.NewError(wheelgauge.ReasonDeadline, wheelgauge.OutcomeUnknown, http.StatusGatewayTimeout, "the request's deadline has passed")
 			}
 			if dead() {
 				g.abandon(done)
@@ -236,17 +236,17 @@
 	}
 }
 
-// abandon closes an answer that nobody waits for any more, should it come.
+// abandon closes the answer of a call that is no longer waited for, if one arrives.
 func (g *Gateway) abandon(done chan callResult) {
 	g.meter.Count("abandoned")
 	g.background.Go(func() {
 		if r := <-done; r.answer != nil {
-			_ = r.answer.Body.Close() // nobody reads it
+			_ = r.answer.Body.Close() // it is not read
 		}
 	})
 }
 
-// serverDead tells whether heartbeats say that a backend server is gone.
+// serverDead reports whether heartbeats say that a backend server is dead.
 func (g *Gateway) serverDead(name string) bool {
 	s := g.node.Server(name)
 	return s.Known && !s.Alive
@@ -257,20 +257,20 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(g.ctx), cancelTimeout)
 	defer cancel()
 	if err := g.engine.Cancel(ctx, address, rq.call.ID); err != nil {
-		g.options.Log.V(1).Info("Cancel is not taken.", "cause", err.Error())
+		g.options.Log.V(1).Info("Backend server did not accept the cancellation.", "cause", err.Error())
 	}
 }
 
-// cancelPeer tells a peer that nobody waits for a forwarded request any more.
+// cancelPeer cancels a forwarded request at the peer.
 func (g *Gateway) cancelPeer(rq *request, address string) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(g.ctx), cancelTimeout)
 	defer cancel()
 	if err := g.client.Call(ctx, http.MethodPost, address, pathCancel+"?id="+url.QueryEscape(rq.call.ID), nil, nil); err != nil {
-		g.options.Log.V(1).Info("Cancel is not taken by the peer.", "cause", err.Error())
+		g.options.Log.V(1).Info("Peer did not accept the cancellation.", "cause", err.Error())
 	}
 }
 
-// oldPath returns where a route's old path stands, if this request takes it.
+// oldPath returns the address of a route's old path if this request takes it, or "".
 func (g *Gateway) oldPath(rq *request) string {
 	old := rq.route.OldPath
 	if old == nil {
@@ -279,7 +279,7 @@
 	if contains(old.Clients, rq.identity.Client) {
 		return old.Address
 	}
-	// The request's ID decides, so that a resumed stream stays on its path.
+	// Chosen by request ID, so that a resumed stream stays on its path.
 	if float64(rendezvous.Hash(rq.call.ID)%shareSteps) < old.Share*shareSteps {
 		return old.Address
 	}
@@ -322,9 +322,9 @@
 	return answer, nil
 }
 
-// forwardToRegion tries hosts of a region until one is reached, and returns which.
+// forwardToRegion tries the hosts of a region until one answers, and returns its name.
 func (g *Gateway) forwardToRegion(ctx context.Context, rq *request, region string) (*wheelgauge.Answer, string, error) {
-	err := error(wheelgauge.NewError(wheelgauge.ReasonNoServer, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "no host of "+region+" is reached"))
+	err := error(wheelgauge.NewError(wheelgauge.ReasonNoServer, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "no host of "+region+" can be reached"))
 	for i, entry := range g.regionEntries(rq, region) {
 		h := rq.catalog.Host(entry.Host)
 		if i > 0 && (i == maxAttempts || g.peerDead(region, h.Name) || !g.budget.TakeRetry()) {
@@ -346,7 +346,7 @@
 	return nil, "", err
 }
 
-// peerDead tells whether a host of another region is known to be gone.
+// peerDead reports whether a host of another region is known to be dead.
 func (g *Gateway) peerDead(region, host string) bool {
 	return g.node.RegionGone(region) || g.node.HostDown(region, host)
 }
@@ -361,7 +361,7 @@
 	return out
 }
 
-// forwardCall makes the call that a peer gets.
+// forwardCall returns the call to send to a peer.
 func (g *Gateway) forwardCall(rq *request) *wheelgauge.Call {
 	call := rq.call
 	call.Path = pathForward + rq.call.Path
@@ -381,7 +381,7 @@
 	return decodePeerAnswer(answer)
 }
 
-// forwardHeaders is what a forwarded request carries besides its body.
+// forwardHeaders returns the extra headers of a forwarded request.
 func forwardHeaders(rq *request, from string, left time.Duration) [][2]string {
 	out := [][2]string{
 		{wheelgauge.HeaderForwardedFrom, from},
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,6 +1,5 @@
-// Package gateway is the path of a request: from a caller, through residency,
-// admission and routing, to a backend server or a gateway of another region,
-// and back.
+// Package gateway implements the request path: residency, admission, routing, and
+// the call to a backend server or to a gateway of another region.
 package gateway
 
 import (
@@ -43,7 +42,7 @@
 	Caller   string
 	Peer     string
 	Operator string
-	// Source is the IP address that connections leave from; may be empty.
+	// Source is the local IP address of outgoing connections; may be empty.
 	Source string
 	Stores []string
 	Peers  []string
@@ -53,7 +52,8 @@
 	BodyBytes   int
 	Conns       int
 	ReadTimeout time.Duration
-	// LongestWait is how long work of the highest priority may wait for a server.
+	// LongestWait is the longest expected wait for a server at which work of the highest
+	// priority is still accepted.
 	LongestWait   time.Duration
 	DefaultLimit  time.Duration
 	DrainNotice   time.Duration
@@ -69,55 +69,56 @@
 	HostList  wheelgauge.HostList
 	CallerTLS *tls.Config
 	PeerTLS   *tls.Config
-	// Secure makes connections to peers; nil on loopback.
+	// Secure secures connections to peers; nil on loopback.
 	Secure peerhttp.Secure
-	// Clock judges ages and deadlines; one that counts suspended time when nil.
+	// Clock is used for ages and deadlines; when nil, a clock that counts suspended time.
 	Clock wheelgauge.Clock
 	Log   logr.Logger
 }
 
 // Gateway is a running gateway.
 type Gateway struct {
-	options     Options
-	boot  uint64
-	meter *meter.Meter
+	options Options
+	boot    uint64
+	meter   *meter.Meter
 	// clock counts suspended time.
-	clock   wheelgauge.Clock
-	client  *peerhttp.Client
-	servers *upstream.Pool
-	peers   *upstream.Pool
-	engine  wheelgauge.BackendServer
-	service wheelgauge.BackendServer
-	watcher *confwatch.Watcher
-	node    *membership.Node
-	limiter *admission.Limiter
-	budget  *admission.RetryBudget
-	setAside   *setaside.Table
-	// quarantine holds requests back that end servers.
+	clock    wheelgauge.Clock
+	client   *peerhttp.Client
+	servers  *upstream.Pool
+	peers    *upstream.Pool
+	engine   wheelgauge.BackendServer
+	service  wheelgauge.BackendServer
+	watcher  *confwatch.Watcher
+	node     *membership.Node
+	limiter  *admission.Limiter
+	budget   *admission.RetryBudget
+	setAside *setaside.Table
+	// quarantine refuses requests that crash servers.
 	quarantine *quarantine.Table
-	// limits are those that servers have named, permits bounds what these get.
+	// limits are those that servers have stated; permits enforces them over all hosts of the
+	// region.
 	limits    *serverlimit.Table
 	permits   wheelgauge.Permits
-	deferrals  deferrals
+	deferrals deferrals
 	pushbacks pushbackTable
 	inflight  inflight.Table
 	hints     *hints
 
-	sequence atomic.Uint64
-	serving  *gate.Gate
-	background   sync.WaitGroup
+	sequence   atomic.Uint64
+	serving    *gate.Gate
+	background sync.WaitGroup
 	// forwarded holds the requests from peers that have no answer yet, by ID.
 	forwarded sync.Map
 	draining  atomic.Bool
 
-	ctx       context.Context
-	cancel    context.CancelFunc
+	ctx            context.Context
+	cancel         context.CancelFunc
 	callerServer   *httpserve.Server
-	peerServer  *httpserve.Server
+	peerServer     *httpserve.Server
 	operatorServer *httpserve.Server
 }
 
-// Open starts a gateway. It serves as soon as a configuration is in force.
+// Open starts a gateway. It serves requests as soon as a configuration is in force.
 func Open(ctx context.Context, o Options) (*Gateway, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	plainDialer, peerDialer := peerhttp.NewDialer(o.Source, nil), peerhttp.NewDialer(o.Source, o.Secure)
@@ -150,7 +151,7 @@
 	return g, nil
 }
 
-// listen starts the operators' listener last: its handlers ask the other two.
+// listen starts the operators' listener last, because its handlers use the other two.
 func (g *Gateway) listen() error {
 	var err error
 	g.callerServer, err = httpserve.Listen(g.options.Caller, g.serveCaller, httpserve.Options{
@@ -171,8 +172,8 @@
 	return nil
 }
 
-// Drain takes the host off the entry lists, goes on serving for the notice,
-// then refuses new work and waits until what runs has ended.
+// Drain removes the host from the entry lists, serves for DrainNotice longer, then
+// refuses new requests and waits for those in flight.
 func (g *Gateway) Drain(ctx context.Context) {
 	g.options.Log.Info("Gateway drains.")
 	g.node.Leave()
@@ -185,12 +186,12 @@
 	}
 	g.serving.Shut()
 	if err := g.serving.Wait(ctx); err != nil {
-		g.options.Log.Info("Requests are cut: the limit of the drain is over.", "open", g.serving.Count())
+		g.options.Log.Info("Drain timed out; open requests are cut off.", "open", g.serving.Count())
 	}
 }
 
 // Close stops the listeners, waits for the requests in flight until ctx ends,
-// and then for all parts.
+// and then stops all background work.
 func (g *Gateway) Close(ctx context.Context) error {
 	g.serving.Shut()
 	var errs []error
@@ -216,7 +217,7 @@
 	return g.engine.Load(ctx, s.Address)
 }
 
-// waitingByPool returns the work that waits here for a first byte, by pool.
+// waitingByPool returns the number of requests overdue for a first byte, by pool.
 func (g *Gateway) waitingByPool() map[string]int {
 	c := g.watcher.Current()
 	if c == nil {
@@ -240,8 +241,8 @@
 	return c, nil
 }
 
-// usable tells whether a host takes new callers, as far as is known here: its
-// own heartbeats decide in the region, the host list is a hint everywhere.
+// usable reports whether a host takes new callers, as far as is known here. Within
+// the region its own heartbeats decide; the host list is a hint everywhere.
 func (g *Gateway) usable(h *catalog.Host) bool {
 	if g.hints.leaving(h.Name) {
 		return false
--- a/gateway/hints.go
+++ b/gateway/hints.go
@@ -13,17 +13,17 @@
 
 const hintsInterval = 2 * time.Second
 
-// hints follows the platform's host list.
+// hints polls the platform's host list, which lags behind and is only a hint.
 type hints struct {
-	list   wheelgauge.HostList
-	log    logr.Logger
-	mu     sync.RWMutex
-	leavingHosts  map[string]bool
-	cancel context.CancelFunc
-	done   chan error
+	list         wheelgauge.HostList
+	log          logr.Logger
+	mu           sync.RWMutex
+	leavingHosts map[string]bool
+	cancel       context.CancelFunc
+	done         chan error
 }
 
-// startHints follows list; nil means that there is none.
+// startHints starts polling list; it may be nil.
 func startHints(ctx context.Context, list wheelgauge.HostList, log logr.Logger) *hints {
 	ctx, cancel := context.WithCancel(ctx)
 	h := &hints{list: list, log: log, leavingHosts: map[string]bool{}, cancel: cancel, done: make(chan error, 1)}
@@ -49,7 +49,7 @@
 	defer cancel()
 	hints, err := h.list.Hosts(readCtx)
 	if err != nil {
-		h.log.V(1).Info("Host list is not read.", "cause", err.Error())
+		h.log.V(1).Info("Cannot read the host list.", "cause", err.Error())
 		return
 	}
 	leaving := map[string]bool{}
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -14,13 +14,14 @@
 	"wheelgauge/serverlimit"
 )
 
-// deferral is until when a server's limit allows nothing, and the limit that this was by.
+// deferral is the time until which a server's limit allows no request, and the rate that the
+// limit had then.
 type deferral struct {
 	until time.Time
 	rate  float64
 }
 
-// deferrals are those of servers that refused this host a permit.
+// deferrals holds the servers for which this host was refused a permit.
 type deferrals struct {
 	limits *serverlimit.Table
 	mu     sync.Mutex
@@ -37,8 +38,8 @@
 	d.rows[server] = deferral{until: now.Add(after), rate: rate}
 }
 
-// blocks tells whether a server gets nothing now; a limit that has changed or ended since
-// holds it back no more.
+// blocks reports whether a server must get no request now. A deferral no longer applies once
+// the server's limit has changed or ended.
 func (d *deferrals) blocks(server string, now time.Time) bool {
 	d.mu.Lock()
 	row, known := d.rows[server]
@@ -50,7 +51,7 @@
 	return limited && rate == row.rate
 }
 
-// openPermits prepares what servers with limits need.
+// openPermits sets up the limits that servers state and the permits for them.
 func (g *Gateway) openPermits() {
 	g.limits = serverlimit.New(g.clock.Now)
 	g.deferrals.limits = g.limits
@@ -59,7 +60,7 @@
 	})
 }
 
-// observeLimit takes what a server's answer to a call sent at a moment says of its limit.
+// observeLimit reads a server's limit from its answer to a call that was sent at the given time.
 func (g *Gateway) observeLimit(server string, answer *wheelgauge.Answer, sent time.Time) {
 	text := answer.Header(wheelgauge.HeaderLimit)
 	rate, named := serverlimit.Parse(text)
@@ -76,8 +77,8 @@
 	}
 }
 
-// pickPermitted picks a server that may get the call: what one takes that has named a limit
-// binds all hosts of the region together.
+// pickPermitted picks a server that may get the call. The limit that a server states applies to
+// all hosts of the region together, so a call to it needs a permit.
 func (g *Gateway) pickPermitted(ctx context.Context, rq *request, tried []string) (*catalog.Server, bool) {
 	for ctx.Err() == nil && !g.expired(rq) {
 		server, ok := g.pickServer(rq, tried)
@@ -94,7 +95,7 @@
 	return nil, false
 }
 
-// permit takes a permit for a call to a server, if that has named a limit.
+// permit takes a permit for a call to a server that has stated a limit; other servers need none.
 func (g *Gateway) permit(ctx context.Context, rq *request, server string) (after time.Duration, ok bool) {
 	if _, limited := g.limits.Rate(server); !limited {
 		return 0, true
@@ -104,8 +105,8 @@
 	return g.permits.Take(permitCtx, server, 0)
 }
 
-// permitStores returns the stores of the region, whose hubs give permits; without any, the
-// gateway that all agree on.
+// permitStores returns the stores of the region, whose hubs issue permits. In a region without
+// stores it returns the gateway that all hosts choose by rendezvous hashing.
 func (g *Gateway) permitStores() []wheelgauge.RegionStore {
 	c := g.watcher.Current()
 	if c == nil {
@@ -126,7 +127,7 @@
 	return out
 }
 
-// liveHosts are the live hosts of the region.
+// liveHosts returns the sorted names of the region's live hosts, including this one.
 func (g *Gateway) liveHosts() []string {
 	c := g.watcher.Current()
 	if c == nil {
--- a/gateway/peer.go
+++ b/gateway/peer.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// serveForward takes a request from a gateway of another region. It is never
-// forwarded again.
+// serveForward serves a request from a gateway of another region. Such a request
+// is never forwarded again.
 func (g *Gateway) serveForward(ctx *fasthttp.RequestCtx) {
 	rq, err := g.readPeerRequest(ctx)
 	g.forwarded.Store(rq.call.ID, rq)
@@ -75,7 +75,7 @@
 		return rq, err
 	}
 	if rq.identity.Client == "" || len(h.Peek(wheelgauge.HeaderForwardedFrom)) == 0 {
-		return rq, badRequest("a forwarded request names its client and region")
+		return rq, badRequest("a forwarded request must name its client and the region that forwarded it")
 	}
 	rq.catalog, err = g.currentCatalog()
 	if err != nil {
@@ -86,15 +86,15 @@
 
 // statusAnswer answers GET /status on the operators' port.
 type statusAnswer struct {
-	Host       string                     `json:"host"`
-	Region     string                     `json:"region"`
-	Generation uint64                     `json:"generation"`
-	Draining   bool                       `json:"draining"`
-	Hub        string                     `json:"hub"`
-	SinceProgress      string                     `json:"since_store_progress"`
-	OpenConnections       map[string]int             `json:"open_connections"`
-	Servers    []serverStatus         `json:"servers"`
-	Regions    []wheelgauge.RegionSummary `json:"regions"`
+	Host            string                     `json:"host"`
+	Region          string                     `json:"region"`
+	Generation      uint64                     `json:"generation"`
+	Draining        bool                       `json:"draining"`
+	Hub             string                     `json:"hub"`
+	SinceProgress   string                     `json:"since_store_progress"`
+	OpenConnections map[string]int             `json:"open_connections"`
+	Servers         []serverStatus             `json:"servers"`
+	Regions         []wheelgauge.RegionSummary `json:"regions"`
 }
 
 type serverStatus struct {
@@ -135,8 +135,8 @@
 func (g *Gateway) status() statusAnswer {
 	out := statusAnswer{
 		Host: g.options.Host, Region: g.options.Region, Draining: g.draining.Load(), Hub: g.node.HubAddress(),
-		SinceProgress: time.Since(g.watcher.LastProgress()).Round(time.Millisecond).String(),
-		OpenConnections:  map[string]int{"callers": g.callerServer.Open(), "peers": g.peerServer.Open()},
+		SinceProgress:   time.Since(g.watcher.LastProgress()).Round(time.Millisecond).String(),
+		OpenConnections: map[string]int{"callers": g.callerServer.Open(), "peers": g.peerServer.Open()},
 	}
 	c := g.watcher.Current()
 	if c == nil {
--- a/gateway/pushback.go
+++ b/gateway/pushback.go
@@ -14,22 +14,23 @@
 	"wheelgauge/pushback"
 )
 
-// pushbackTable are what servers ask of this host, by name; those of old paths by address.
+// pushbackTable holds what servers have asked of this host, by server name; old paths are keyed
+// by address.
 type pushbackTable struct {
 	mu   sync.Mutex
 	rows map[string]*pushbackRow
-	// some is set while there are rows.
+	// nonEmpty is set while there are rows, so that lookup can skip the lock.
 	nonEmpty atomic.Bool
 }
 
-// pushbackRow is what one server asks.
+// pushbackRow is the pushback state of one server.
 type pushbackRow struct {
 	pushback.State
-	// reported is set once its load reports say too that it leaves.
+	// reportedLeaving is set once the server's load reports also say that it is leaving.
 	reportedLeaving bool
 }
 
-// rowFor returns the row of a server; the lock is held.
+// rowFor returns the row of a server, creating it if needed. The caller holds the lock.
 func (t *pushbackTable) rowFor(server string) *pushbackRow {
 	if t.rows == nil {
 		t.rows = map[string]*pushbackRow{}
@@ -53,8 +54,8 @@
 	return t.rowFor(server).Leave(now)
 }
 
-// lookup returns what a server asks, by what is known of it otherwise: it has no name for each
-// of its starts.
+// lookup returns a server's pushback state and clears what no longer applies. Instances of a
+// server have no names of their own here, so a restart is inferred from its membership state.
 func (t *pushbackTable) lookup(server string, state membership.ServerState, now time.Time) pushback.State {
 	if !t.nonEmpty.Load() {
 		return pushback.State{}
@@ -84,15 +85,15 @@
 	return row.State
 }
 
-// pushbackListener takes what the answer to one call asks of this host.
+// pushbackListener reads the pushback headers of the answer to one call.
 type pushbackListener struct {
 	gateway *Gateway
 	server  string
-	// backoff is set by an answer that turns the call away and asks to back off.
+	// backoff is set by an answer that rejects the call and asks to back off.
 	backoff atomic.Bool
 }
 
-// observe is for wheelgauge.Call.
+// observe reads the status and headers of an answer; it is called by wheelgauge.Call.
 func (l *pushbackListener) observe(status int, values func(name string) [][]byte) {
 	g, now := l.gateway, l.gateway.clock.Now()
 	leaving, ok := pushback.ParseLeaving(values(wheelgauge.HeaderLeaving))
@@ -114,15 +115,15 @@
 	case ok && wait > 0:
 		l.backoff.Store(true)
 		g.meter.Count("servers.backoffs")
-		g.setAside.Worked(l.server) // when it takes work again it has said itself
+		g.setAside.Worked(l.server) // the server has said itself when it takes work again
 		if g.pushbacks.backOff(l.server, wait, now) {
 			g.options.Log.Info("A server asks to back off.", "server", l.server, "backoff_ms", wait.Milliseconds())
 		}
 	}
 }
 
-// backoffLeft returns after which time the first server of this region takes a request, where
-// all that might take it have asked to back off; ok is false otherwise.
+// backoffLeft returns when the first server of this region takes requests again, if all that
+// could take this one have asked to back off; ok is false otherwise.
 func (g *Gateway) backoffLeft(rq *request) (after time.Duration, ok bool) {
 	cs := candidateSets.Get().(*candidateSet)
 	defer candidateSets.Put(cs)
--- a/gateway/pushback_test.go
+++ b/gateway/pushback_test.go
@@ -22,7 +22,7 @@
 	"wheelgauge/upstream"
 )
 
-// newSendingGateway returns a gateway that reaches servers, with a clock of its own.
+// newSendingGateway returns a gateway that can send to servers, and its fake clock.
 func newSendingGateway(t *testing.T) (*Gateway, *fakeclock.Clock) {
 	t.Helper()
 	g, clock := newTestGateway(t), &fakeclock.Clock{}
@@ -39,10 +39,10 @@
 	return g, clock
 }
 
-// pushbackServer turns requests away for a backoff, and counts them.
+// pushbackServer counts requests, and rejects them with Retry-After while retryAfter is set.
 type pushbackServer struct {
 	retryAfter atomic.Value
-	requests  atomic.Int64
+	requests   atomic.Int64
 }
 
 func (s *pushbackServer) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
@@ -69,7 +69,8 @@
 	return handler, l.Addr().String()
 }
 
-// A server that asks to back off gets no request in it, by any way there, and some after it.
+// A server that asks to back off gets no request until the backoff ends, on any path to it, and
+// gets requests again afterwards.
 func TestBackoffIsKept(t *testing.T) {
 	const backoff = 5 * time.Second
 	paths := []struct {
@@ -104,7 +105,7 @@
 			}
 			server.retryAfter.Store("5")
 			if err := send(); err == nil {
-				t.Fatal("a request that was turned away was served")
+				t.Fatal("a rejected request succeeded")
 			}
 			before := server.requests.Load()
 			for range 5 {
@@ -112,22 +113,22 @@
 				err := send()
 				fault := wheelgauge.AsError(err)
 				if err == nil || fault.Reason() != wheelgauge.ReasonBackoff || fault.Outcome() != wheelgauge.OutcomeNotRun || fault.RetryAfter() <= 0 || fault.RetryAfter() > backoff {
-					t.Errorf("got %v, told to come back after %s", err, fault.RetryAfter())
+					t.Errorf("got error %v, Retry-After %s", err, fault.RetryAfter())
 				}
 			}
 			if got := server.requests.Load() - before; got != 0 {
-				t.Errorf("the server got %d requests in its backoff", got)
+				t.Errorf("the server got %d requests during its backoff, want none", got)
 			}
 			server.retryAfter.Store("")
 			clock.Suspend(backoff / 6)
 			if err := send(); err != nil {
-				t.Errorf("after the backoff: %v", err)
+				t.Errorf("request after the backoff failed: %v", err)
 			}
 		})
 	}
 }
 
-// closeAnswer gives the error of an answer and ends it.
+// closeAnswer closes an answer and returns an error unless its status is 200.
 func closeAnswer(answer *wheelgauge.Answer, err error) error {
 	if err != nil {
 		return err
@@ -139,10 +140,11 @@
 	return nil
 }
 
-// oneServerCatalog is a configuration with one server.
+// oneServerCatalog returns a configuration with one server.
 func oneServerCatalog(address string) *catalog.Catalog { return testCatalogAt(1, address) }
 
-// What a server said as it left is over when it is seen back: its starts have no names here.
+// That a server is leaving no longer holds once it is back. Instances have no names of their own
+// here, so its return is inferred from reports, membership state or time.
 func TestLeavingStateEnds(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
@@ -150,10 +152,10 @@
 		return membership.ServerState{ServerEntry: wheelgauge.ServerEntry{Alive: true, Leaving: leaving}, Known: true, Since: since}
 	}
 	tests := []struct {
-		name   string
-		observe   func(table *pushbackTable)
-		after  int
-		state  membership.ServerState
+		name    string
+		observe func(table *pushbackTable)
+		after   int
+		state   membership.ServerState
 		allowed bool
 	}{
 		{"at once", nil, 0, state(false, time.Time{}), false},
@@ -172,7 +174,7 @@
 				tt.observe(&table)
 			}
 			if got := table.lookup("s", tt.state, at(tt.after)).Allows(at(tt.after)); got != tt.allowed {
-				t.Errorf("it gets requests: %t, want %t", got, tt.allowed)
+				t.Errorf("server gets requests: %t, want %t", got, tt.allowed)
 			}
 		})
 	}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -26,37 +26,38 @@
 	pathForward     = "/peer/forward"
 	pathCancel      = "/peer/cancel"
 
-	bearerPrefix        = "Bearer "
+	bearerPrefix  = "Bearer "
 	defaultTokens = 256
-	// discardFactor is how many times the largest body is read on past a refusal.
+	// discardFactor bounds how much of a refused body is read, in multiples of the largest
+	// body allowed.
 	discardFactor = 4
 )
 
-// request is one request on its way through the gateway.
+// request is the state of one request in the gateway.
 type request struct {
-	call      wheelgauge.Call
-	identity  wheelgauge.Identity
-	class     wheelgauge.ClientClassSpec
-	catalog   *catalog.Catalog
-	route     *catalog.Route
-	model     string
-	stream    bool
-	tokens    int
-	prefix    uint64
-	notRepeatable      bool // not repeatable
-	forwarded bool
-	mandatory      bool // forwarded because its own region cannot serve it
-	started   time.Time
-	// asleep is for how long the host had been suspended when the request came.
+	call          wheelgauge.Call
+	identity      wheelgauge.Identity
+	class         wheelgauge.ClientClassSpec
+	catalog       *catalog.Catalog
+	route         *catalog.Route
+	model         string
+	stream        bool
+	tokens        int
+	prefix        uint64
+	notRepeatable bool
+	forwarded     bool
+	mandatory     bool // forwarded because its own region cannot serve it; may queue here
+	started       time.Time
+	// suspendedAtStart is Gateway.suspended at the time the request arrived.
 	suspendedAtStart time.Duration
-	// gone tells whether whoever asked has left; nil means never.
-	callerGone      func() bool
-	cancelled atomic.Bool
-	// mayHaveRun is set once an attempt was not proven not to have run.
+	// callerGone reports whether the caller has left; nil means that it has not.
+	callerGone func() bool
+	cancelled  atomic.Bool
+	// mayHaveRun is set after an attempt that failed without proof that it did not run.
 	mayHaveRun bool
-	// print is the request's fingerprint once it was asked for.
+	// cachedFingerprint is set by the first call of fingerprint.
 	cachedFingerprint wheelgauge.Fingerprint
-	// target is who answers; a resumed stream may change it while it is read.
+	// target is the server that answers; a resumed stream may change it while it is read.
 	target atomic.Pointer[target]
 }
 
@@ -64,10 +65,10 @@
 type target struct {
 	server string
 	region string
-	host   string // the peer, of a forwarded request
+	host   string // the peer that a request was forwarded to
 }
 
-// completionRequest is what the gateway reads of a completion request.
+// completionRequest holds the fields of a completion request that the gateway reads.
 type completionRequest struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
@@ -82,13 +83,13 @@
 	return wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, detail)
 }
 
-// newID returns a request ID that no other gateway gives.
+// newID returns a request ID that is unique among all gateways.
 func (g *Gateway) newID() string {
 	return fmt.Sprintf("%s-%x-%x", g.options.Host, g.boot, g.sequence.Add(1))
 }
 
-// readCallerRequest reads the head of a caller's request. Marks that only peers may
-// set are not looked at.
+// readCallerRequest reads the headers of a caller's request. Headers that only peers may
+// set are ignored.
 func (g *Gateway) readCallerRequest(ctx *fasthttp.RequestCtx) (*request, error) {
 	rq := &request{started: time.Now(), suspendedAtStart: g.suspended()}
 	rq.target.Store(&target{region: g.options.Region})
@@ -124,7 +125,7 @@
 	return time.Duration(min(ms, maxDeadline.Milliseconds())) * time.Millisecond, nil
 }
 
-// identify finds out who calls and whether this region may serve it, from the
+// identify looks up the caller and checks whether this region may serve it, from the
 // headers alone.
 func (g *Gateway) identify(h *fasthttp.RequestHeader, rq *request) error {
 	c, err := g.currentCatalog()
@@ -148,8 +149,8 @@
 		"this client's data may not be processed in "+g.options.Region).WithEntries(g.entries(rq))
 }
 
-// findRoute reads the body and finds the route. Bodies are read after the
-// residency check only.
+// findRoute finds the route by path or by the model in the body. Bodies are read
+// only after the residency check.
 func (g *Gateway) findRoute(rq *request) error {
 	path, _, _ := strings.Cut(rq.call.Path, "?")
 	if path == pathChat || path == pathCompletions {
@@ -171,7 +172,7 @@
 func (g *Gateway) findModelRoute(rq *request) error {
 	var p completionRequest
 	if err := json.Unmarshal(rq.call.Body, &p); err != nil {
-		return badRequest("the body is not the JSON expected: " + err.Error())
+		return badRequest("cannot decode the JSON body: " + err.Error())
 	}
 	rq.route = rq.catalog.RouteForModel(p.Model)
 	if rq.route == nil {
@@ -187,11 +188,11 @@
 	return nil
 }
 
-// prefixHash hashes the model and the first bytes of the prompt: what caches of
-// engines share between requests.
+// prefixHash hashes the model and the first bytes of the prompt, by which the caches
+// of engines are shared between requests.
 func (g *Gateway) prefixHash(p completionRequest) uint64 {
 	d := xxhash.New()
-	_, _ = d.WriteString(p.Model) // a digest takes every write
+	_, _ = d.WriteString(p.Model) // never fails
 	remaining := g.options.AffinityBytes
 	hashText := func(text []byte) {
 		n := min(remaining, len(text))
@@ -205,7 +206,7 @@
 	return d.Sum64()
 }
 
-// readBody takes the body in, up to the limit.
+// readBody reads the body, up to the limit.
 func (g *Gateway) readBody(ctx *fasthttp.RequestCtx, rq *request) error {
 	stream := ctx.RequestBodyStream()
 	if stream == nil {
@@ -218,7 +219,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(stream, int64(g.options.BodyBytes)+1))
 	if err != nil {
-		return wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusRequestTimeout, "the body did not come whole: "+err.Error())
+		return wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusRequestTimeout, "the body was not received completely: "+err.Error())
 	}
 	if len(body) > g.options.BodyBytes {
 		g.discard(stream)
@@ -228,10 +229,10 @@
 	return nil
 }
 
-// discard reads on for a while, as a connection closed with unread bytes is
-// reset and its answer lost.
+// discard reads more of a refused body, because a connection closed with unread bytes
+// is reset and its answer lost.
 func (g *Gateway) discard(stream io.Reader) {
-	_, _ = io.CopyN(io.Discard, stream, int64(g.options.BodyBytes)*discardFactor) // nothing of it is used
+	_, _ = io.CopyN(io.Discard, stream, int64(g.options.BodyBytes)*discardFactor) // the content is not used
 }
 
 func (g *Gateway) bodyTooLarge() *wheelgauge.Error {
@@ -239,7 +240,7 @@
 		fmt.Sprintf("the body is larger than %d bytes", g.options.BodyBytes))
 }
 
-// hasOutcome tells whether err says that nothing was run.
+// hasOutcome reports whether err is a *wheelgauge.Error with that outcome.
 func hasOutcome(err error, outcome wheelgauge.Outcome) bool {
 	fault, ok := errors.AsType[*wheelgauge.Error](err)
 	return ok && fault.Outcome() == outcome
--- a/gateway/suspend_test.go
+++ b/gateway/suspend_test.go
@@ -9,14 +9,15 @@
 	"wheelgauge/fake/fakeclock"
 )
 
-// A request that a suspended host held was sent when it woke, with the time that it had had
-// before: by the steady clock none had passed, while its caller had left long ago.
+// A request held by a suspended host must not be sent after the host wakes if its deadline has
+// passed. On the steady clock no time has passed meanwhile, so the deadline must be checked on
+// the clock that counts suspended time; the caller may have left long ago.
 func TestExpiredRequestIsNotSentAfterSuspend(t *testing.T) {
 	const limit = 10 * time.Second
 	tests := []struct {
-		name  string
+		name    string
 		suspend time.Duration
-		sent  bool
+		sent    bool
 	}{
 		{"not suspended", 0, true},
 		{"some of its time is left", limit / 2, true},
@@ -28,26 +29,26 @@
 			g, clock := newTestGateway(t), &fakeclock.Clock{}
 			g.clock = clock
 			g.openPermits()
-			clock.Suspend(time.Minute) // before the request came
+			clock.Suspend(time.Minute) // before the request arrives
 			rq := newTestRequest(testCatalog(1), 1)
 			rq.suspendedAtStart = g.suspended()
 			rq.call.Deadline = time.Now().Add(limit)
 			clock.Suspend(tt.suspend)
 			if _, ok := g.pickPermitted(context.Background(), rq, nil); ok != tt.sent {
-				t.Errorf("a server is chosen: %t, want %t", ok, tt.sent)
+				t.Errorf("server chosen: %t, want %t", ok, tt.sent)
 			}
 			if g.expired(rq) == tt.sent {
-				t.Errorf("its time is over: %t", g.expired(rq))
+				t.Errorf("request expired: %t", g.expired(rq))
 			}
 			if left := time.Until(g.localDeadline(rq)); tt.sent && left > limit-tt.suspend {
-				t.Errorf("%v of its time are left, want %v at most", left, limit-tt.suspend)
+				t.Errorf("%v left until the local deadline, want at most %v", left, limit-tt.suspend)
 			}
 		})
 	}
 }
 
-// A call in flight waited on by what a suspended host had not counted: its own deadline goes
-// by the steady clock.
+// A call in flight must end at its deadline even if the host was suspended meanwhile. The call's
+// own deadline is on the steady clock, which excludes the suspended time.
 func TestCallInFlightExpiresAfterSuspend(t *testing.T) {
 	const limit = time.Hour
 	g, clock := newTestGateway(t), &fakeclock.Clock{}
@@ -71,7 +72,7 @@
 		func() bool { return false })
 	fault := wheelgauge.AsError(err)
 	if fault.Reason() != wheelgauge.ReasonDeadline || fault.Outcome() != wheelgauge.OutcomeUnknown {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("call ended with %v, want reason deadline and outcome unknown", err)
 	}
-	<-cancelled // or the server goes on with it
+	<-cancelled // otherwise the server would go on working
 }
--- a/inflight/table.go
+++ b/inflight/table.go
@@ -1,5 +1,5 @@
-// Package inflight counts what this process has on the way, by name, and how
-// long such work takes.
+// Package inflight counts the requests that this process has in flight, by name
+// (a server, pool or region), and tracks how long they take.
 package inflight
 
 import (
@@ -10,42 +10,43 @@
 )
 
 const (
-	// meanWeight is the weight of a new duration in the running mean.
-	meanWeight     = 0.1
+	// meanWeight is the weight of a new duration in the moving average.
+	meanWeight  = 0.1
 	initialMean = time.Second
-	// recentWeight is the weight of a new time to the first byte; recentLife
-	// how long it takes to fall to a third when none comes.
+	// recentWeight is the weight of a new time to the first byte; recentDecay is the
+	// time in which the recent value decays to a third without new samples.
 	recentWeight = 0.3
-	recentDecay   = 2 * time.Second
-	// ageFactor and leastPending: a mean age of fewer says little.
-	ageFactor    = 2
+	recentDecay  = 2 * time.Second
+	// ageFactor scales the mean age of pending requests to a time to the first byte;
+	// the mean age of fewer than minPending requests is not significant.
+	ageFactor  = 2
 	minPending = 2
-	// lateThreshold is a mean age that a prefill does not explain.
+	// lateThreshold is a mean age too high to be explained by prefill.
 	lateThreshold = 100 * time.Millisecond
 )
 
-// epoch keeps sums of times small.
+// epoch is the zero of start times, so that their sums stay small.
 var epoch = time.Now()
 
-// row is one counted name.
+// row holds the counters of one name.
 type row struct {
 	count atomic.Int64
-	// base is the count when the newest report came, seen the number of that report.
-	baseCount atomic.Int64
+	// baseCount is the count at the newest load report, reportNumber that report's number.
+	baseCount    atomic.Int64
 	reportNumber atomic.Uint64
-	meanNanos atomic.Int64
-	// pending counts those without a first byte yet.
+	meanNanos    atomic.Int64
+	// pending is the number of requests without a first byte yet.
 	pending atomic.Int64
-	// began is the sum of their starts, in nanoseconds since the table's epoch.
-	startSum  atomic.Int64
-	mu     sync.Mutex
-	recentSeconds float64 // time to the first byte lately, in seconds
-	recentAt     time.Time
+	// startSum is the sum of their start times, in nanoseconds since epoch.
+	startSum      atomic.Int64
+	mu            sync.Mutex
+	recentSeconds float64 // decaying average time to the first byte
+	recentAt      time.Time
 }
 
-// Table is safe for concurrent use.
+// Table holds the counters of all names. It is safe for concurrent use.
 type Table struct {
-	rows sync.Map // of *row by name
+	rows sync.Map // *row by name
 }
 
 func (t *Table) row(name string) *row {
@@ -56,10 +57,10 @@
 	return r.(*row)
 }
 
-// Start counts one more.
+// Start counts one more request in flight.
 func (t *Table) Start(name string) { t.row(name).count.Add(1) }
 
-// End counts one less; took is how long it was, 0 if it does not count as a sample.
+// End counts one request less; took is its duration, or 0 if it is not a sample.
 func (t *Table) End(name string, took time.Duration) {
 	r := t.row(name)
 	r.count.Add(-1)
@@ -74,14 +75,15 @@
 	r.meanNanos.Store(prev + int64(meanWeight*float64(int64(took)-prev)))
 }
 
-// StartPending counts one more, started then, that has no first byte yet.
+// StartPending counts one more request, started then, that waits for its first byte.
 func (t *Table) StartPending(name string, started time.Time) {
 	r := t.row(name)
 	r.pending.Add(1)
 	r.startSum.Add(int64(started.Sub(epoch)))
 }
 
-// EndPending counts one less without a first byte; came tells whether it came.
+// EndPending counts one request less that waits for its first byte; arrived says
+// whether that came.
 func (t *Table) EndPending(name string, started time.Time, arrived bool) {
 	r := t.row(name)
 	r.pending.Add(-1)
@@ -102,9 +104,9 @@
 	return r.recentSeconds * math.Exp(-float64(now.Sub(r.recentAt))/float64(recentDecay))
 }
 
-// RecentFirstByte returns how long a first byte takes now: as it was lately, which fades
-// when nothing comes, or twice the age of those that wait, whichever is more.
-// What waits has on average waited for half of its time.
+// RecentFirstByte returns the current time to the first byte: the recent average, which
+// decays without new samples, or twice the mean age of pending requests, whichever is more.
+// Twice, because a pending request has on average waited for half of its time.
 func (t *Table) RecentFirstByte(name string) time.Duration {
 	r := t.row(name)
 	r.mu.Lock()
@@ -113,7 +115,7 @@
 	return max(time.Duration(recent*float64(time.Second)), ageFactor*r.meanPendingAge())
 }
 
-// meanPendingAge returns the mean age of those that wait for a first byte.
+// meanPendingAge returns the mean age of the requests that wait for a first byte.
 func (r *row) meanPendingAge() time.Duration {
 	n := r.pending.Load()
 	if n < minPending {
@@ -122,7 +124,8 @@
 	return time.Since(epoch) - time.Duration(r.startSum.Load()/n)
 }
 
-// Overdue returns how many wait for a first byte for longer than a prefill takes.
+// Overdue returns the number of requests that wait for a first byte if their mean age is
+// longer than a prefill takes, else 0.
 func (t *Table) Overdue(name string) int {
 	r := t.row(name)
 	if r.meanPendingAge() < lateThreshold {
@@ -131,10 +134,10 @@
 	return int(r.pending.Load())
 }
 
-// Count returns how many are on the way.
+// Count returns the number of requests in flight.
 func (t *Table) Count(name string) int { return int(t.row(name).count.Load()) }
 
-// MeanDuration returns how long one takes.
+// MeanDuration returns the moving average of request durations.
 func (t *Table) MeanDuration(name string) time.Duration {
 	if m := t.row(name).meanNanos.Load(); m > 0 {
 		return time.Duration(m)
@@ -142,17 +145,18 @@
 	return initialMean
 }
 
-// Snapshot is what is known of a name at one time.
+// Snapshot holds the counters of a name at one time.
 type Snapshot struct {
-	// Count is how many are on the way, Pending how many of them have no first byte.
+	// Count is the number of requests in flight, Pending how many of them have no first byte.
 	Count   int
 	Pending int
-	// Load is a late report, corrected by what was started and ended here since
-	// it came.
+	// Load is the last reported load, corrected by the requests that this process started
+	// and ended since the report arrived.
 	Load int
 }
 
-// Snapshot returns what is known of a name; number identifies the report.
+// Snapshot returns the counters of a name; number identifies the load report that reported
+// is from.
 func (t *Table) Snapshot(name string, reported int, number uint64) Snapshot {
 	r := t.row(name)
 	own := r.count.Load()
--- a/inflight/table_test.go
+++ b/inflight/table_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestSnapshot corrects a late report by what happened here since it came.
+// TestSnapshot checks that a load report is corrected by requests started and ended since.
 func TestSnapshot(t *testing.T) {
 	var table Table
 	table.Start("s")
@@ -28,7 +28,7 @@
 			table.End("s", 0)
 		}
 		if got := table.Snapshot("s", s.reported, s.number).Load; got != s.want {
-			t.Fatalf("%s: got %d, want %d", s.name, got, s.want)
+			t.Fatalf("%s: got load %d, want %d", s.name, got, s.want)
 		}
 	}
 }
--- a/routing/affinity/picker.go
+++ b/routing/affinity/picker.go
@@ -1,9 +1,9 @@
 // Package affinity picks a backend server by prompt prefix, bounded by load.
 //
 // The servers are ranked for a prefix by rendezvous hashing, so that all
-// gateways find the same warm server without sharing maps of caches. The first
-// whose load stays within a bound of the average is taken, and none that is full
-// while another has a free slot: waiting there costs more than a cold prefill.
+// gateways find the same warm server without sharing cache maps. The first server
+// whose load stays within a bound of the average is picked, but no full server
+// while another has a free slot: waiting costs more than a cold prefill.
 //
 // Source of the bound: Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing
 // with bounded loads", SODA 2018.
@@ -16,7 +16,7 @@
 	"wheelgauge/rendezvous"
 )
 
-// defaultLoadBound is how far over the average load a warm server may be.
+// defaultLoadBound is the highest load of a warm server, as a multiple of the average.
 const defaultLoadBound = 1.25
 
 // Picker implements wheelgauge.Picker without allocating.
@@ -24,7 +24,7 @@
 	bound float64
 }
 
-// New returns a picker; bound 0 takes the default.
+// New returns a Picker; a bound of 0 means the default.
 func New(bound float64) *Picker {
 	if bound == 0 {
 		bound = defaultLoadBound
@@ -54,7 +54,7 @@
 	return best
 }
 
-// limit returns the load a slot that a server may have and still be taken.
+// limit returns the load per slot below which a server may be picked.
 func (p *Picker) limit(candidates []wheelgauge.Candidate) float64 {
 	load, slots, anyFree := 0.0, 0, false
 	for i := range candidates {
@@ -70,14 +70,14 @@
 	return limit
 }
 
-// Load estimates a server's load: what it reported, or what is known to be on
-// the way from here, whichever is more, and once more what waits from here for
-// a first byte: reports are late, and a late first byte is news.
+// Load estimates a server's load in requests: its reported load or this host's requests
+// in flight, whichever is more, plus this host's requests that wait for a first byte. The
+// latter count twice because reports lag and a late first byte is newer information.
 func Load(c *wheelgauge.Candidate) float64 {
 	return float64(max(c.InFlight, c.Running+c.Waiting) + c.Pending)
 }
 
-// LeastLoaded returns the candidate with the least load for its slots.
+// LeastLoaded returns the index of the candidate with the least load per slot.
 func LeastLoaded(candidates []wheelgauge.Candidate) int {
 	best, bestLoad := 0, 0.0
 	for i := range candidates {
@@ -89,8 +89,8 @@
 	return best
 }
 
-// twoChoices takes the less loaded of two at random: with late reports the
-// least loaded of all would draw everyone.
+// twoChoices picks the less loaded of two random candidates. As load reports lag,
+// picking the least loaded of all would send every request there.
 func twoChoices(candidates []wheelgauge.Candidate) int {
 	n := len(candidates)
 	if n == 1 {
--- a/routing/affinity/picker_test.go
+++ b/routing/affinity/picker_test.go
@@ -18,27 +18,29 @@
 	return out
 }
 
-// TestPrefixStaysOnWarmServer sends a prefix to the same server while that is not overloaded.
+// TestPrefixStaysOnWarmServer checks that a prefix goes to the same server unless that is
+// overloaded, and returns to it afterwards.
 func TestPrefixStaysOnWarmServer(t *testing.T) {
 	p, c := New(0), servers(12, 8)
 	first := p.Pick(99, c)
 	for range 10 {
 		if p.Pick(99, c) != first {
-			t.Fatal("an idle warm server was left")
+			t.Fatal("another server was picked while the warm one is idle")
 		}
 	}
 	c[first].InFlight = 8
 	second := p.Pick(99, c)
 	if second == first {
-		t.Fatal("an overloaded server was taken")
+		t.Fatal("the warm server was picked though it is overloaded")
 	}
 	c[first].InFlight = 0
 	if p.Pick(99, c) != first {
-		t.Fatal("the warm server was not taken again")
+		t.Fatal("the warm server was not picked again after its load fell")
 	}
 }
 
-// TestLoadStaysWithinBound keeps every server near the average though all ask for one prefix.
+// TestLoadStaysWithinBound checks that no server gets far more than the average, even if all
+// requests have the same prefix.
 func TestLoadStaysWithinBound(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -62,7 +64,7 @@
 				highest = max(highest, c[i].InFlight)
 			}
 			if highest > 9 {
-				t.Fatalf("a server has %d of an average of 6", highest)
+				t.Fatalf("a server has %d requests at an average of 6, want at most 9", highest)
 			}
 		})
 	}
@@ -73,7 +75,7 @@
 	c[0].Running, c[0].Waiting = 8, 5
 	for prefix := range uint64(20) {
 		if New(0).Pick(prefix+1, c) != 1 {
-			t.Fatal("a server reported as overloaded was taken")
+			t.Fatal("a server was picked though its report says that it is overloaded")
 		}
 	}
 }
--- a/routing/baseline/picker.go
+++ b/routing/baseline/picker.go
@@ -1,4 +1,4 @@
-// Package baseline holds the simple pickers that others are measured against.
+// Package baseline holds simple pickers, as baselines for comparing others.
 package baseline
 
 import (
@@ -24,7 +24,7 @@
 	next atomic.Uint64
 }
 
-// New returns the picker of that name.
+// New returns the picker with that name.
 func New(name string) (*Picker, error) {
 	p := &Picker{}
 	switch name {
@@ -37,7 +37,7 @@
 	case StickyPrefix:
 		p.rule = stickyPrefix
 	default:
-		return nil, fmt.Errorf("no picker is called %q", name)
+		return nil, fmt.Errorf("unknown picker %q", name)
 	}
 	return p, nil
 }
--- a/upstream/guard.go
+++ b/upstream/guard.go
@@ -9,25 +9,25 @@
 	"wheelgauge/answerhead"
 )
 
-// guardBufferBytes holds the largest head of an answer that the parser takes.
+// guardBufferBytes is the largest answer head that the parser accepts.
 const guardBufferBytes = 4 << 10
 
-// guardedConn is a connection that carries one request at a time and gives its reader no answer
-// with a foreign head. It is not for concurrent reads and writes.
+// guardedConn is a connection that carries one request at a time. It checks each answer head and
+// passes on none that is malformed. Reads and writes must not be concurrent.
 type guardedConn struct {
 	net.Conn
 	in *bufio.Reader
-	// left is how much of a head that was looked at is still to be read; body is set once the
-	// head was that of the answer itself.
+	// headLeft is how much of a checked head is still to be read; inBody is set once the
+	// final head of the answer was checked, as opposed to that of an informational answer.
 	headLeft int
-	inBody bool
+	inBody   bool
 }
 
 func newGuardedConn(c net.Conn) *guardedConn {
 	return &guardedConn{Conn: c, in: bufio.NewReaderSize(c, guardBufferBytes)}
 }
 
-// Write implements net.Conn: after it another answer is due.
+// Write implements net.Conn. It starts a request, so that the next read expects an answer head.
 func (g *guardedConn) Write(p []byte) (int, error) {
 	g.headLeft, g.inBody = 0, false
 	return g.Conn.Write(p)
@@ -48,7 +48,7 @@
 	return n, err
 }
 
-// checkHead checks the next head.
+// checkHead checks the next head without consuming it.
 func (g *guardedConn) checkHead() error {
 	head, err := answerhead.Peek(g.in)
 	if err != nil {
--- a/upstream/malformed_test.go
+++ b/upstream/malformed_test.go
@@ -16,7 +16,7 @@
 	"wheelgauge/peerhttp"
 )
 
-// No answer is taken for whole that another reader of HTTP refuses or reads otherwise.
+// An answer that net/http refuses or parses differently must not be accepted as complete.
 func TestMalformedAnswersAreNotAccepted(t *testing.T) {
 	starts := []string{"HTTP/1.1 200 OK", "HTTP/1.0 200 OK", "HTTP/5.1 200 OK", "HTTP/1.1 000 OK", "HTTP/1.0 101 0", "HTTP/1.1 101 Switching Protocols", "HTTP/1.1 2x0 OK", "ICY 200 OK", "HTTP/1.1 204 No Content", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK", "HTTP/1.1 100 Continue\r\n\r\nHTTP/5.1 200 OK"}
 	heads := []string{
@@ -40,7 +40,8 @@
 	}
 }
 
-// compareReaders sends a call to a server that answers with some bytes and closes.
+// compareReaders sends a call to a server that answers with the given bytes and closes. It returns
+// an error if the answer is accepted but net/http refuses it or parses it differently.
 func compareReaders(t *testing.T, in string) error {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,22 +66,22 @@
 		return nil
 	}
 	body, err := io.ReadAll(answer.Body)
-	_ = answer.Body.Close() // read to its end
+	_ = answer.Body.Close() // it was read to its end
 	if err != nil {
-		return nil // cut, and said so
+		return nil // truncated, and reported as such
 	}
 	reference := bufio.NewReader(strings.NewReader(in))
 	for {
 		resp, err := http.ReadResponse(reference, nil)
 		if err != nil {
-			return fmt.Errorf("whole with status %d, %q here, the other reader refuses it: %w", answer.Status, body, err)
+			return fmt.Errorf("accepted with status %d, body %q, but net/http refuses it: %w", answer.Status, body, err)
 		}
 		if resp.StatusCode == http.StatusContinue {
 			continue
 		}
 		referenceBody, err := io.ReadAll(resp.Body)
 		if err != nil || resp.StatusCode != answer.Status || !bytes.Equal(body, referenceBody) {
-			return fmt.Errorf("status %d, body %q; the other reader has %d, %q, %v", answer.Status, body, resp.StatusCode, referenceBody, err)
+			return fmt.Errorf("got status %d, body %q; net/http has status %d, body %q, error %v", answer.Status, body, resp.StatusCode, referenceBody, err)
 		}
 		return nil
 	}
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -21,25 +21,25 @@
 
 const (
 	maxConnsPerAddress = 4096
-	// idleTimeout is below the idle limit of servers, so that a connection is
-	// hardly ever used at the moment its server closes it.
-	idleTimeout   = 5 * time.Second
+	// idleTimeout is shorter than the idle timeout of servers, so that a connection is
+	// rarely reused at the moment its server closes it.
+	idleTimeout        = 5 * time.Second
 	defaultCallTimeout = 10 * time.Minute
-	// exitGrace is how long a process that ends may still take connections.
+	// exitGrace is how long a process that exits may still accept connections.
 	exitGrace = 10 * time.Millisecond
 )
 
 var longAgo = time.Unix(1, 0)
 
-// Pool keeps connections by address. It never repeats a call.
+// Pool keeps connections by address. It never retries a call.
 type Pool struct {
-	dialer *peerhttp.Dialer
-	mu     sync.RWMutex
-	clients  map[endpoint]*fasthttp.HostClient
-	conns  sync.Map // of net.Conn by local address
+	dialer  *peerhttp.Dialer
+	mu      sync.RWMutex
+	clients map[endpoint]*fasthttp.HostClient
+	conns   sync.Map // net.Conn by local address
 }
 
-// trackedConn is a connection that can be found by its local address.
+// trackedConn is a connection that its pool can find by local address.
 type trackedConn struct {
 	net.Conn
 	pool *Pool
@@ -60,34 +60,34 @@
 	return &trackedConn{newGuardedConn(c), p}, nil
 }
 
-// abort ends reads on the connection with that local address.
+// abort makes reads fail on the connection with that local address.
 func (p *Pool) abort(local net.Addr) {
 	if local == nil {
 		return
 	}
 	if c, ok := p.conns.Load(local.String()); ok {
-		_ = c.(net.Conn).SetReadDeadline(longAgo) // a closed connection is ended too
+		_ = c.(net.Conn).SetReadDeadline(longAgo) // an error means that the connection is closed already
 	}
 }
 
-// New returns a pool that connects by dialer.
+// New returns a Pool that connects through dialer.
 func New(dialer *peerhttp.Dialer) *Pool {
 	return &Pool{dialer: dialer, clients: map[endpoint]*fasthttp.HostClient{}}
 }
 
-// endpoint is an address, reached by connections that are kept or by fresh ones.
+// endpoint is an address, with kept-alive or with fresh connections.
 type endpoint struct {
 	address string
 	fresh   bool
 }
 
-// Reachable tells whether an address takes a new connection in time.
+// Reachable reports whether an address accepts a new connection in time.
 func (p *Pool) Reachable(ctx context.Context, address string) bool {
 	if probe(ctx, address) != nil {
 		return false
 	}
-	// A process that is just ending breaks its connections off before its port refuses new
-	// ones: looked at once, it seems to go on.
+	// A process that is exiting closes its connections before its port refuses new ones, so
+	// that a single probe right away would still succeed.
 	timer := time.NewTimer(exitGrace)
 	defer timer.Stop()
 	select {
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// client returns the client of a way. Fresh connections are never kept, so that
-// a call on one cannot meet a connection which its server has just closed.
+// client returns the client of an endpoint. Fresh connections are never reused, so that
+// a call on one cannot meet a connection that its server has just closed.
 func (p *Pool) client(address string, fresh bool) *fasthttp.HostClient {
 	e := endpoint{address, fresh}
 	p.mu.RLock()
@@ -134,8 +134,8 @@
 	return h
 }
 
-// Send dispatches a call once and returns the answer with its body unread. A
-// call that is not repeatable goes out on a fresh connection.
+// Send dispatches a call once and returns the answer with its body unread. A call
+// that is not repeatable must be sent on a fresh connection.
 func (p *Pool) Send(ctx context.Context, address string, call *wheelgauge.Call, fresh bool) (*wheelgauge.Answer, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	p.fillRequest(req, address, call, fresh)
@@ -165,7 +165,7 @@
 }
 
 func (p *Pool) fillRequest(req *fasthttp.Request, address string, call *wheelgauge.Call, fresh bool) {
-	req.SetRequestURI("http://" + address + call.Path) // TLS is the dialer's part
+	req.SetRequestURI("http://" + address + call.Path) // TLS is done by the dialer
 	req.Header.SetMethod(call.Method)
 	req.Header.Set(wheelgauge.HeaderRequestID, call.ID)
 	if call.ContentType != "" {
@@ -187,7 +187,7 @@
 	}
 }
 
-// classify says not-run only where the connection never was. A connection that
+// classify sets the outcome not-run only if no connection was made. A connection that
 // broke proves nothing.
 func classify(address string, err error) error {
 	outcome := wheelgauge.OutcomeUnknown
@@ -201,10 +201,10 @@
 	return wheelgauge.NewError(reason, outcome, status, fmt.Sprintf("backend %s: %v", address, err))
 }
 
-// answerBody is the unread rest of an answer.
+// answerBody is the unread body of an answer.
 type answerBody struct {
-	mu   sync.Mutex
-	resp *fasthttp.Response
+	mu     sync.Mutex
+	resp   *fasthttp.Response
 	stream io.Reader
 }
 
@@ -222,8 +222,8 @@
 	return b.stream.Read(p)
 }
 
-// Close gives the connection back, or closes it when the body was not read to
-// its end. It must not run beside Read.
+// Close returns the connection to the pool, or closes it if the body was not read to
+// its end. It must not be called concurrently with Read.
 func (b *answerBody) Close() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -236,7 +236,7 @@
 	return err
 }
 
-// CloseIdle closes connections that carry nothing.
+// CloseIdle closes idle connections.
 func (p *Pool) CloseIdle() {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
--- a/upstream/reachable_test.go
+++ b/upstream/reachable_test.go
@@ -9,13 +9,13 @@
 	"wheelgauge/peerhttp"
 )
 
-// A request that ended its third engine was not held back: the engine's connections had broken
-// off, and its port still took a new one when it was looked at 1 ms later. Evidence: three
-// engines had ended, the host wrote two ends, and no line for the third attempt that failed.
+// A crash must be detected although a process that exits closes its connections before its port
+// refuses new ones: probed 1 ms later, the port still accepted one. The third crash caused by a
+// request was missed this way, and the request was not quarantined.
 func TestReachable(t *testing.T) {
 	tests := []struct {
 		name string
-		// open is for how long the port takes connections.
+		// open is how long the port accepts connections.
 		open time.Duration
 		want bool
 	}{
@@ -41,7 +41,7 @@
 			defer cancel()
 			p := New(peerhttp.NewDialer("", nil))
 			if got := p.Reachable(ctx, l.Addr().String()); got != tt.want {
-				t.Errorf("it is reached: %t, want %t", got, tt.want)
+				t.Errorf("reachable: %t, want %t", got, tt.want)
 			}
 		})
 	}
