--- a/away/decider.go
+++ b/away/decider.go
@@ -39,7 +39,7 @@
 	Region string
 	// Wait is the expected queueing time in the region.
 	Wait time.Duration
-	// Link is the one-way latency to the region.
+	// Latency is the one-way link latency to the region.
 	Latency time.Duration
 	// Price is the cost of 1,000 tokens.
 	Price float64
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -110,8 +110,8 @@
 
 // plan is the region that a request goes to.
 type plan struct {
-	region    string // empty: this region
-	mandatory bool   // this region cannot serve the request
+	region      string // empty: this region
+	mustForward bool   // this region cannot serve the request
 }
 
 // decide chooses between this region and others, or refuses at once a request that would
@@ -126,10 +126,10 @@
 		!admission.MissesDeadline(here.Wait, minService, time.Until(g.localDeadline(rq)))
 	if !rq.forwarded {
 		if region, ok := g.chooseRegion(rq, here, fits, service); ok {
-			return plan{region: region, mandatory: !fits}, nil
+			return plan{region: region, mustForward: !fits}, nil
 		}
 	}
-	if rq.forwarded && !rq.mandatory && cs.load >= cs.slots {
+	if rq.forwarded && !rq.mustAccept && cs.load >= cs.slots {
 		return plan{}, g.overloadError(rq, here, cs.slots)
 	}
 	if fits {
--- a/gateway/decide_test.go
+++ b/gateway/decide_test.go
@@ -93,7 +93,7 @@
 		{"highest priority last", 1, 60, func(rq *request) { rq.call.Priority = 9 }, ""},
 		{"too late", 1, 30, func(rq *request) { rq.call.Deadline = time.Now().Add(time.Second) }, wheelgauge.ReasonDeadline},
 		{"forwarded to a full place", 1, 8, func(rq *request) { rq.forwarded = true }, wheelgauge.ReasonOverloaded},
-		{"forwarded for want of any other", 1, 8, func(rq *request) { rq.forwarded, rq.mandatory = true, true }, ""},
+		{"forwarded for want of any other", 1, 8, func(rq *request) { rq.forwarded, rq.mustAccept = true, true }, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -55,13 +55,13 @@
 		if p.region == "" {
 			break
 		}
-		rq.mandatory = p.mandatory
+		rq.mustAccept = p.mustForward
 		answer, err := g.forward(ctx, rq, p.region)
 		if err == nil || !g.mayRetry(rq, err) {
 			return answer, err
 		}
 		g.meter.Count("away.turned_back")
-		if p.mandatory {
+		if p.mustForward {
 			turnedBack = err
 		}
 	}
@@ -393,7 +393,7 @@
 	if rq.notRepeatable {
 		out = append(out, [2]string{wheelgauge.HeaderNotRepeatable, "true"})
 	}
-	if rq.mandatory {
+	if rq.mustAccept {
 		out = append(out, [2]string{wheelgauge.HeaderMust, "true"})
 	}
 	return out
--- a/gateway/peer.go
+++ b/gateway/peer.go
@@ -65,7 +65,7 @@
 	rq.call.Skip, _ = strconv.Atoi(string(h.Peek("X-Resume-From")))
 	rq.call.Priority, _ = strconv.Atoi(string(h.Peek("X-Priority")))
 	rq.notRepeatable = len(h.Peek(wheelgauge.HeaderNotRepeatable)) > 0
-	rq.mandatory = len(h.Peek(wheelgauge.HeaderMust)) > 0
+	rq.mustAccept = len(h.Peek(wheelgauge.HeaderMust)) > 0
 	rq.identity = wheelgauge.Identity{
 		Client: string(h.Peek(wheelgauge.HeaderClient)), Class: string(h.Peek(wheelgauge.HeaderClass)), Home: string(h.Peek(wheelgauge.HeaderHome)),
 	}
--- a/gateway/pushback.go
+++ b/gateway/pushback.go
@@ -93,7 +93,7 @@
 	backoff atomic.Bool
 }
 
-// observe reads the status and headers of an answer; it is called by wheelgauge.Call.
+// observe reads the status and headers of an answer; it is a callback for wheelgauge.Call.
 func (l *pushbackListener) observe(status int, values func(name string) [][]byte) {
 	g, now := l.gateway, l.gateway.clock.Now()
 	leaving, ok := pushback.ParseLeaving(values(wheelgauge.HeaderLeaving))
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -46,7 +46,7 @@
 	prefix        uint64
 	notRepeatable bool
 	forwarded     bool
-	mandatory     bool // forwarded because its own region cannot serve it; may queue here
+	mustAccept    bool // forwarded because its own region cannot serve it; may queue here
 	started       time.Time
 	// suspendedAtStart is Gateway.suspended at the time the request arrived.
 	suspendedAtStart time.Duration
@@ -188,8 +188,8 @@
 	return nil
 }
 
-// prefixHash hashes the model and the first bytes of the prompt, by which the caches
-// of engines are shared between requests.
+// prefixHash hashes the model and the first bytes of the prompt, which requests must
+// have in common to share an engine's cache.
 func (g *Gateway) prefixHash(p completionRequest) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(p.Model) // never fails
--- a/upstream/guard.go
+++ b/upstream/guard.go
@@ -9,7 +9,7 @@
 	"wheelgauge/answerhead"
 )
 
-// guardBufferBytes is the largest answer head that the parser accepts.
+// guardBufferBytes is the read buffer's size: the largest answer head that the parser accepts.
 const guardBufferBytes = 4 << 10
 
 // guardedConn is a connection that carries one request at a time. It checks each answer head and
