--- a/beat/client_test.go
+++ b/beat/client_test.go
@@ -20,52 +20,52 @@
 )
 
 const (
-	testLimit = 10 * time.Second
-	interval  = 10 * time.Millisecond
+	testTimeout = 10 * time.Second
+	interval    = 10 * time.Millisecond
 )
 
-// standIn is a stand-in of a store that answers beats.
-type standIn struct {
+// fakeStore answers heartbeats with a fixed answer.
+type fakeStore struct {
 	mu     sync.Mutex
 	answer wheelgauge.BeatAnswer
 	beats  []wheelgauge.Beat
 	http   *httpserve.Server
-	// way is how long the way to the store and back takes.
-	way time.Duration
-	// mute is set while it answers too late.
-	mute atomic.Bool
+	// latency is added to each answer, as by a long link.
+	latency time.Duration
+	// silent is set while answers come after the client's timeout.
+	silent atomic.Bool
 }
 
-func newStore(t *testing.T, region string, generation uint64) *standIn {
+func newStore(t *testing.T, region string, generation uint64) *fakeStore {
 	t.Helper()
-	s := &standIn{answer: wheelgauge.BeatAnswer{Store: generation + 1, InTouch: true, Generation: generation, Region: region}}
+	s := &fakeStore{answer: wheelgauge.BeatAnswer{Store: generation + 1, InTouch: true, Generation: generation, Region: region}}
 	l, err := httpserve.Listen("127.0.0.1:0", s.serve, httpserve.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.http = l
 	t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		_ = l.Close(ctx)
 	})
 	return s
 }
 
-func (s *standIn) state() wheelgauge.FleetState {
+func (s *fakeStore) state() wheelgauge.FleetState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return wheelgauge.FleetState{Generation: s.answer.Generation}
 }
 
-func (s *standIn) serve(ctx *fasthttp.RequestCtx) {
+func (s *fakeStore) serve(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) == statefeed.Path {
 		r, err := peerhttp.Decode[wheelgauge.StateRequest](ctx)
 		if err != nil {
 			peerhttp.AnswerError(ctx, err)
 			return
 		}
-		time.Sleep(s.way)
+		time.Sleep(s.latency)
 		part, err := statefeed.New(s.state).Part(r)
 		if err != nil {
 			peerhttp.AnswerError(ctx, err)
@@ -74,7 +74,7 @@
 		peerhttp.Answer(ctx, part)
 		return
 	}
-	if s.mute.Load() {
+	if s.silent.Load() {
 		time.Sleep(callTimeout + 50*time.Millisecond)
 	}
 	b, err := peerhttp.Decode[wheelgauge.Beat](ctx)
@@ -82,7 +82,7 @@
 		peerhttp.AnswerError(ctx, err)
 		return
 	}
-	time.Sleep(s.way)
+	time.Sleep(s.latency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.beats = append(s.beats, b)
@@ -94,13 +94,13 @@
 	peerhttp.Answer(ctx, a)
 }
 
-func (s *standIn) set(f func(a *wheelgauge.BeatAnswer)) {
+func (s *fakeStore) set(f func(a *wheelgauge.BeatAnswer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.answer)
 }
 
-func (s *standIn) last() wheelgauge.Beat {
+func (s *fakeStore) last() wheelgauge.Beat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.beats) == 0 {
@@ -109,50 +109,50 @@
 	return s.beats[len(s.beats)-1]
 }
 
-func (s *standIn) count() int {
+func (s *fakeStore) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.beats)
 }
 
-// news notes what it was told.
-type news struct {
-	mu         sync.Mutex
-	generation []uint64
-	from       string
+// recorder is a News that records states and the source of the last server list.
+type recorder struct {
+	mu          sync.Mutex
+	generations []uint64
+	from        string
 }
 
-func (n *news) State(s wheelgauge.FleetState) {
+func (n *recorder) State(s wheelgauge.FleetState) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.generation = append(n.generation, s.Generation)
+	n.generations = append(n.generations, s.Generation)
 }
-func (n *news) Hosts([]wheelgauge.FleetHost, bool) {}
-func (n *news) Servers(list []wheelgauge.Server, _ time.Time) {
+func (n *recorder) Hosts([]wheelgauge.FleetHost, bool) {}
+func (n *recorder) Servers(list []wheelgauge.Server, _ time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.from = list[0].Instance
 }
-func (n *news) Reached(string, time.Duration)        {}
-func (n *news) SameState()                           {}
-func (n *news) SameServers(time.Time)                {}
-func (n *news) Uses([]wheelgauge.ServerUse)          {}
-func (n *news) Regions([]wheelgauge.RegionUse, bool) {}
-func (n *news) Crashes([]wheelgauge.Crash, bool)     {}
+func (n *recorder) Reached(string, time.Duration)        {}
+func (n *recorder) SameState()                           {}
+func (n *recorder) SameServers(time.Time)                {}
+func (n *recorder) Uses([]wheelgauge.ServerUse)          {}
+func (n *recorder) Regions([]wheelgauge.RegionUse, bool) {}
+func (n *recorder) Crashes([]wheelgauge.Crash, bool)     {}
 
-func (n *news) primary() string {
+func (n *recorder) primary() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.from
 }
 
-func (n *news) states() []uint64 {
+func (n *recorder) states() []uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.Clone(n.generation)
+	return slices.Clone(n.generations)
 }
 
-func startClient(t *testing.T, n *news, leaving *bool, seeds ...*standIn) *Client {
+func startClient(t *testing.T, n *recorder, leaving *bool, seeds ...*fakeStore) *Client {
 	t.Helper()
 	var mu sync.Mutex
 	return startWith(t, seeds, Options{
@@ -165,8 +165,8 @@
 	})
 }
 
-// startWith starts a client of stand-ins with what tests share.
-func startWith(t *testing.T, seeds []*standIn, o Options) *Client {
+// startWith starts a client of fake stores with the options that all tests share.
+func startWith(t *testing.T, seeds []*fakeStore, o Options) *Client {
 	t.Helper()
 	for _, s := range seeds {
 		o.Seeds = append(o.Seeds, s.http.Address())
@@ -184,10 +184,10 @@
 
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	limit := time.Now().Add(testLimit)
+	deadline := time.Now().Add(testTimeout)
 	for !ok() {
-		if time.Now().After(limit) {
-			t.Fatalf("not seen: %s", what)
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -195,83 +195,82 @@
 
 func TestPrimary(t *testing.T) {
 	near, far := newStore(t, "here", 3), newStore(t, "there", 3)
-	n := &news{}
+	n := &recorder{}
 	startClient(t, n, nil, near, far)
-	waitFor(t, "news from the near store", func() bool { return n.primary() == "here" })
+	waitFor(t, "the list of the near store", func() bool { return n.primary() == "here" })
 	near.set(func(a *wheelgauge.BeatAnswer) { a.InTouch = false })
-	waitFor(t, "news from the store that is in touch", func() bool { return n.primary() == "there" })
+	waitFor(t, "the list of the store that is connected to the others", func() bool { return n.primary() == "there" })
 	near.set(func(a *wheelgauge.BeatAnswer) { a.InTouch = true })
-	waitFor(t, "news from the near store again", func() bool { return n.primary() == "here" })
+	waitFor(t, "the list of the near store again", func() bool { return n.primary() == "here" })
 }
 
-func TestStoreOutOfTouchIsBetterThanNone(t *testing.T) {
+func TestDisconnectedStoreIsUsedIfAlone(t *testing.T) {
 	s := newStore(t, "here", 3)
 	s.set(func(a *wheelgauge.BeatAnswer) { a.InTouch = false })
-	n := &news{}
+	n := &recorder{}
 	startClient(t, n, nil, s)
 	waitFor(t, "configuration and servers", func() bool { return len(n.states()) == 1 && n.primary() == "here" })
 }
 
-// A primary that does not get the newest configuration must not keep the host
-// from it.
+// A host must get the newest configuration from another store when its primary lags.
 func TestLaggingPrimary(t *testing.T) {
 	near, far := newStore(t, "here", 3), newStore(t, "there", 3)
-	n := &news{}
+	n := &recorder{}
 	startClient(t, n, nil, near, far)
 	waitFor(t, "first configuration", func() bool { return len(n.states()) > 0 })
 	far.set(func(a *wheelgauge.BeatAnswer) { a.Generation = 8 })
 	waitFor(t, "the newer configuration", func() bool { return slices.Contains(n.states(), 8) })
 }
 
-func TestStoresAreLearned(t *testing.T) {
+func TestStoreDiscovery(t *testing.T) {
 	seed, member := newStore(t, "here", 3), newStore(t, "there", 3)
 	seed.set(func(a *wheelgauge.BeatAnswer) { a.Stores = []string{seed.http.Address(), member.http.Address()} })
-	startClient(t, &news{}, nil, seed)
-	waitFor(t, "a beat at a store that is no seed", func() bool { return member.last().Host.Name == "g" })
+	startClient(t, &recorder{}, nil, seed)
+	waitFor(t, "a heartbeat at a store that is not a seed", func() bool { return member.last().Host.Name == "g" })
 }
 
-// A host whose own region's store holds no configuration yet learns it over a
-// link that takes longer than an eager beat waits at first.
-func TestConfigurationOverALongLink(t *testing.T) {
+// A host whose region's store holds no configuration yet must get it over a link whose
+// latency exceeds the first timeout of startup heartbeats.
+func TestConfigurationOverLongLink(t *testing.T) {
 	near, far := newStore(t, "here", 0), newStore(t, "there", 3)
-	far.way = 450 * time.Millisecond
-	n := &news{}
+	far.latency = 450 * time.Millisecond
+	n := &recorder{}
 	startClient(t, n, nil, near, far)
 	waitFor(t, "the configuration of the far store", func() bool { return len(n.states()) > 0 })
 }
 
-// changes counts the lines of a log about another primary.
-type changes struct{ count atomic.Int64 }
+// primaryChanges counts the log lines about a change of the primary.
+type primaryChanges struct{ count atomic.Int64 }
 
-func (c *changes) note(_, line string) {
+func (c *primaryChanges) write(_, line string) {
 	if strings.Contains(line, "Primary store changes.") {
 		c.count.Add(1)
 	}
 }
 
-// While no store answered, two stores of other regions took turns as the
-// primary at each tick: a primary is due more often, so that it was taken for
-// silent as soon as it was chosen, and for alive again when it was not. Each turn
-// asked for all tables anew, over a link that was full. Evidence: 712 changes in
-// 12 s at 58 hosts, most of them 50 ms apart between the same two stores.
-func TestSilentStoresDoNotTakeTurns(t *testing.T) {
+// Two unreachable stores of other regions must not alternate as primary. The interval of
+// a primary is shorter: if its age were checked against that interval, a store would count
+// as unreachable as soon as it was chosen, and as reachable again when it was not. Each
+// change requests all tables again, over a link that is already full: 58 hosts had 712
+// changes in 12 s, most of them 50 ms apart between the same two stores.
+func TestPrimaryIsStableWhileStoresAreSilent(t *testing.T) {
 	const ticks = 300
-	var lines changes
-	var asked atomic.Int64
-	stores := []*standIn{newStore(t, "there", 3), newStore(t, "beyond", 3)}
-	n := &news{}
+	var changes primaryChanges
+	var selfCalls atomic.Int64
+	stores := []*fakeStore{newStore(t, "there", 3), newStore(t, "beyond", 3)}
+	n := &recorder{}
 	c := startWith(t, stores, Options{
 		Self: func() wheelgauge.FleetHost {
-			asked.Add(1)
+			selfCalls.Add(1)
 			return wheelgauge.FleetHost{Name: "g", Region: "here"}
 		},
-		FarInterval: time.Second, News: n, Log: funcr.New(lines.note, funcr.Options{}),
+		FarInterval: time.Second, News: n, Log: funcr.New(changes.write, funcr.Options{}),
 	})
-	waitFor(t, "news", func() bool { return n.primary() != "" && len(n.states()) > 0 })
+	waitFor(t, "a state and a server list", func() bool { return n.primary() != "" && len(n.states()) > 0 })
 	for _, s := range stores {
-		s.mute.Store(true)
+		s.silent.Store(true)
 	}
-	before := lines.count.Load()
+	before := changes.count.Load()
 	silent := func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -283,52 +282,52 @@
 		}
 		return true
 	}
-	waitFor(t, "all stores are taken for silent", silent)
-	from := asked.Load()
-	waitFor(t, "some ticks", func() bool { return asked.Load() > from+ticks })
-	if got := lines.count.Load() - before; got > 2*int64(len(stores)) {
-		t.Errorf("the primary changed %d times", got)
+	waitFor(t, "all stores count as unreachable", silent)
+	from := selfCalls.Load()
+	waitFor(t, "some ticks", func() bool { return selfCalls.Load() > from+ticks })
+	if got := changes.count.Load() - before; got > 2*int64(len(stores)) {
+		t.Errorf("the primary changed %d times while all stores were silent, want at most two changes per store", got)
 	}
 }
 
-// A store that was no host's primary for a while reads the list of servers only
-// from then on. A host that turns to it must not go back to its older list:
-// servers that have left meanwhile would get work again. Evidence: hosts that
-// took a list 2.7 s old, with two servers more, after one 0.6 s old.
-func TestOlderListIsPassedOver(t *testing.T) {
+// A host that changes its primary must not go back to an older list of servers, or servers
+// that have left since would get requests again. A store that was not the primary of any
+// host reads the list only from the change on: hosts took a list 2.7 s old, with two
+// more servers, after one 0.6 s old.
+func TestOlderListIsIgnored(t *testing.T) {
 	near, far := newStore(t, "here", 3), newStore(t, "there", 3)
 	far.set(func(a *wheelgauge.BeatAnswer) { a.ServersAgeMS = time.Hour.Milliseconds() })
-	n := &news{}
+	n := &recorder{}
 	startClient(t, n, nil, near, far)
 	waitFor(t, "the list of the near store", func() bool { return n.primary() == "here" })
 	near.set(func(a *wheelgauge.BeatAnswer) { a.InTouch = false })
-	waitFor(t, "beats to the far store as the primary", func() bool { return far.last().Primary })
+	waitFor(t, "heartbeats to the far store as the primary", func() bool { return far.last().Primary })
 	from := far.count()
-	waitFor(t, "some more", func() bool { return far.count() > from+10 })
+	waitFor(t, "more heartbeats", func() bool { return far.count() > from+10 })
 	if got := n.primary(); got != "here" {
-		t.Errorf("the list of the store %q is in force, which is an hour old", got)
+		t.Errorf("the current list is that of the store %q, which is an hour old", got)
 	}
 	far.set(func(a *wheelgauge.BeatAnswer) { a.ServersAgeMS = 0 })
-	waitFor(t, "the list of the far store once it is read anew", func() bool { return n.primary() == "there" })
+	waitFor(t, "the list of the far store after it was read again", func() bool { return n.primary() == "there" })
 }
 
-// Near stores are asked first, also one that is cut off from the others: on a day with
-// two regions cut apart 80% of a region's requests were drawn for at far stores, 120 to
-// 240 ms each. Those that do not answer are asked last, that is not at all.
+// Stores of the host's region come first, also one that is cut off from the other stores:
+// while two regions were partitioned, 80% of a region's requests drew their cap units from
+// stores of other regions, at 120 to 240 ms each. Unreachable stores are left out.
 func TestNearStoresFirst(t *testing.T) {
 	now := time.Now()
 	answered := func(address, region string, inTouch bool) *store {
-		return &store{address: address, region: region, inTouch: inTouch, answered: now, every: time.Second}
+		return &store{address: address, region: region, connected: inTouch, answeredAt: now, answeredInterval: time.Second}
 	}
 	tests := []struct {
 		name   string
 		stores []*store
 		want   []string
 	}{
-		{"all in touch", []*store{answered("a", "far", true), answered("b", "here", true)}, []string{"b", "a"}},
+		{"all connected", []*store{answered("a", "far", true), answered("b", "here", true)}, []string{"b", "a"}},
 		{"the near one is cut off", []*store{answered("a", "far", true), answered("b", "here", false)}, []string{"b", "a"}},
-		{"one near one of two is cut off", []*store{answered("a", "here", false), answered("b", "here", true), answered("c", "far", true)}, []string{"b", "a", "c"}},
-		{"the near one is silent", []*store{answered("a", "far", true), {address: "b", region: "here", inTouch: true, answered: now, every: time.Second, misses: mostMisses}}, []string{"a"}},
+		{"one of two near ones is cut off", []*store{answered("a", "here", false), answered("b", "here", true), answered("c", "far", true)}, []string{"b", "a", "c"}},
+		{"the near one is silent", []*store{answered("a", "far", true), {address: "b", region: "here", connected: true, answeredAt: now, answeredInterval: time.Second, misses: maxMisses}}, []string{"a"}},
 		{"none", nil, nil},
 	}
 	for _, tt := range tests {
@@ -340,22 +339,22 @@
 		for _, s := range c.Stores() {
 			got = append(got, s.Address)
 			if near := c.stores[s.Address].region == "here"; near != s.Near {
-				t.Errorf("%s: %s is near is %v", tt.name, s.Address, s.Near)
+				t.Errorf("%s: store %s has Near = %v, which does not match its region", tt.name, s.Address, s.Near)
 			}
 		}
 		if !slices.Equal(got, tt.want) {
-			t.Errorf("%s: got %v, want %v", tt.name, got, tt.want)
+			t.Errorf("%s: got stores %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
 
-// BenchmarkStores orders five stores, as each request with a cap does: 0.7 us, 1.3 us when
-// each comparison ranked both anew.
+// BenchmarkStores orders five stores, as each request with a cap does: 0.7 us when each
+// store is ranked once, 1.3 us when each comparison ranks both stores.
 func BenchmarkStores(b *testing.B) {
 	c := &Client{options: Options{Clock: wheelgauge.SteadyClock{}, Self: func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Region: "a"} }}, stores: map[string]*store{}, primary: "s1"}
 	for i, region := range []string{"a", "a", "b", "b", "c"} {
 		address := "s" + string(rune('0'+i))
-		c.stores[address] = &store{address: address, region: region, inTouch: true, answered: time.Now(), every: time.Hour}
+		c.stores[address] = &store{address: address, region: region, connected: true, answeredAt: time.Now(), answeredInterval: time.Hour}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/beat/crashes_test.go
+++ b/beat/crashes_test.go
@@ -11,7 +11,7 @@
 	"wheelgauge/quarantine"
 )
 
-func (s *standIn) crashes() []wheelgauge.Crash {
+func (s *fakeStore) crashes() []wheelgauge.Crash {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []wheelgauge.Crash
@@ -21,44 +21,44 @@
 	return out
 }
 
-func (s *standIn) forget() {
+func (s *fakeStore) forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.beats = nil
 }
 
-// A crash is told to each store at once, whenever its next heartbeat is due, and to one that
-// started again, which knows nothing of it, once more.
-func TestCrashesAreToldAtOnce(t *testing.T) {
+// A crash is sent to each store at once, whenever its next heartbeat is due, and again to a
+// store that has restarted and lost it.
+func TestCrashesAreSentAtOnce(t *testing.T) {
 	near, far := newStore(t, "here", 3), newStore(t, "there", 3)
 	far.set(func(a *wheelgauge.BeatAnswer) { a.Store = 77 })
 	log := quarantine.New(time.Now)
-	c := startWith(t, []*standIn{near, far}, Options{
+	c := startWith(t, []*fakeStore{near, far}, Options{
 		Self:        func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Name: "g", Region: "here"} },
-		FarInterval: time.Hour, News: &news{}, Log: logr.Discard(), Crashes: log,
+		FarInterval: time.Hour, News: &recorder{}, Log: logr.Discard(), Crashes: log,
 	})
-	known := func() bool {
+	bothAnswered := func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for _, s := range c.stores {
-			if s.boot == 0 || s.calling && s.address == far.http.Address() {
+			if s.boot == 0 || s.inFlight && s.address == far.http.Address() {
 				return false
 			}
 		}
-		return !c.eager()
+		return !c.startingUp()
 	}
-	waitFor(t, "both stores answer", known)
+	waitFor(t, "both stores answer", bothAnswered)
 	first := wheelgauge.Crash{Request: "p", Server: "a"}
 	log.Ended(first)
 	both := func(crash wheelgauge.Crash) func() bool {
 		return func() bool { return slices.Contains(near.crashes(), crash) && slices.Contains(far.crashes(), crash) }
 	}
-	waitFor(t, "both stores know", both(first))
-	waitFor(t, "the answers are in", known)
+	waitFor(t, "the first crash at both stores", both(first))
+	waitFor(t, "both answers", bothAnswered)
 	far.forget()
 	far.set(func(a *wheelgauge.BeatAnswer) { a.Store = 78 })
 	second := wheelgauge.Crash{Request: "p", Server: "b"}
 	log.Ended(second)
-	waitFor(t, "both know of the second", both(second))
-	waitFor(t, "the store that started again knows of the first", func() bool { return slices.Contains(far.crashes(), first) })
+	waitFor(t, "the second crash at both stores", both(second))
+	waitFor(t, "the first crash at the restarted store", func() bool { return slices.Contains(far.crashes(), first) })
 }
--- a/beat/limits_test.go
+++ b/beat/limits_test.go
@@ -11,7 +11,7 @@
 	"wheelgauge/serverlimit"
 )
 
-func (s *standIn) limits() []string {
+func (s *fakeStore) limits() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
@@ -23,9 +23,9 @@
 	return out
 }
 
-// A limit that a server named to this host is told to every store once, and again to one
-// that started anew; one that a store tells of is known here.
-func TestLimitsAreTold(t *testing.T) {
+// A rate limit that a server announced to this host is sent to every store once, and again
+// to one that has restarted; limits received from the primary are merged.
+func TestLimitsAreSent(t *testing.T) {
 	near, far := newStore(t, "here", 3), newStore(t, "there", 3)
 	near.set(func(a *wheelgauge.BeatAnswer) {
 		a.Limits, a.LimitsAt = []wheelgauge.ServerLimit{{Server: "other", Rate: 3}}, 5
@@ -33,46 +33,47 @@
 	far.set(func(a *wheelgauge.BeatAnswer) { a.Store = 77 })
 	limits := serverlimit.New(time.Now)
 	limits.Named("own", 2)
-	c := startWith(t, []*standIn{near, far}, Options{
+	c := startWith(t, []*fakeStore{near, far}, Options{
 		Self:        func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Name: "g", Region: "here"} },
-		FarInterval: interval, News: &news{}, Log: logr.Discard(), Limits: limits,
+		FarInterval: interval, News: &recorder{}, Log: logr.Discard(), Limits: limits,
 	})
-	waitFor(t, "both stores know", func() bool {
+	waitFor(t, "the limit at both stores", func() bool {
 		return slices.Contains(near.limits(), "own") && slices.Contains(far.limits(), "own")
 	})
-	waitFor(t, "the host knows of the other server", func() bool {
+	waitFor(t, "the limit of the other server at the host", func() bool {
 		rate, ok := limits.Rate("other")
 		return ok && rate == 3
 	})
-	waitFor(t, "the host knows its region's store", func() bool {
+	waitFor(t, "the region's store in RegionStores", func() bool {
 		return slices.Equal(c.RegionStores(), []wheelgauge.RegionStore{{Address: near.http.Address(), Answers: true}})
 	})
-	// A store is told once more when the host knows its boot.
-	hearsOn := func() bool { return far.count() > 3 }
+	// A store gets everything once more when the host learns its boot number.
+	moreHeartbeats := func() bool { return far.count() > 3 }
 	far.forget()
-	waitFor(t, "the far store answers on", hearsOn)
+	waitFor(t, "more heartbeats at the far store", moreHeartbeats)
 	far.forget()
-	waitFor(t, "the far store hears on", hearsOn)
+	waitFor(t, "yet more heartbeats at the far store", moreHeartbeats)
 	if slices.Contains(far.limits(), "own") || slices.Contains(far.limits(), "other") {
-		t.Errorf("a store is told again: %v", far.limits())
+		t.Errorf("limits were sent again to a store that knows them: %v", far.limits())
 	}
 	far.set(func(a *wheelgauge.BeatAnswer) { a.Store = 78 })
-	waitFor(t, "the store that started again knows", func() bool { return slices.Contains(far.limits(), "own") })
+	waitFor(t, "the limit at the restarted store", func() bool { return slices.Contains(far.limits(), "own") })
 }
 
-// A seed that is no member of the group any more gives no permits. Counted on, it left its
-// part of the servers with what another store gives in place of it: found by reading.
-func TestFormerSeedGivesNothing(t *testing.T) {
+// A seed that is no longer a member of the group issues no permits. If it counted as a store
+// of the region, its share of the servers would be limited to what another store issues in
+// its place.
+func TestFormerSeedIsExcluded(t *testing.T) {
 	seed, member := newStore(t, "here", 3), newStore(t, "here", 3)
-	for _, s := range []*standIn{seed, member} {
+	for _, s := range []*fakeStore{seed, member} {
 		s.set(func(a *wheelgauge.BeatAnswer) { a.Stores = []string{member.http.Address()} })
 	}
-	c := startWith(t, []*standIn{seed, member}, Options{
+	c := startWith(t, []*fakeStore{seed, member}, Options{
 		Self: func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Name: "g", Region: "here"} },
-		News: &news{}, Log: logr.Discard(),
+		News: &recorder{}, Log: logr.Discard(),
 	})
-	waitFor(t, "both have answered", func() bool { return seed.count() > 2 && member.count() > 2 })
-	waitFor(t, "the member alone gives permits", func() bool {
+	waitFor(t, "answers of both stores", func() bool { return seed.count() > 2 && member.count() > 2 })
+	waitFor(t, "only the member in RegionStores", func() bool {
 		return slices.Equal(c.RegionStores(), []wheelgauge.RegionStore{{Address: member.http.Address(), Answers: true}})
 	})
 }
--- a/beat/state.go
+++ b/beat/state.go
@@ -9,41 +9,42 @@
 )
 
 const (
-	// lagBeats is how long a host waits for the stores of its region to hold a
-	// state that another store has already.
-	lagBeats = 2
-	// fetchPause is how long no state is fetched after that failed at every store:
-	// two ticks, so that stores which refuse are not asked at each.
-	fetchPause = 100 * time.Millisecond
+	// lagIntervals is how many intervals a host waits for the stores of its region to get a
+	// state that another store already holds.
+	lagIntervals = 2
+	// fetchRetryDelay is the wait after a fetch has failed at every store: two ticks, so
+	// that stores which refuse are not called at each tick.
+	fetchRetryDelay = 100 * time.Millisecond
 )
 
-// lag is what a host knows of states that it does not hold.
-type lag struct {
-	// held is the state in force, without its body.
+// stateSync tracks the state that the host holds against those that stores hold.
+type stateSync struct {
+	// held is the state in use, without its body.
 	held wheelgauge.FleetState
-	// since is when a newer one was first known; the zero time when none is.
-	since time.Time
-	// warned is the newest generation that a line was written for.
-	warned uint64
-	// fetching is set while a state is fetched, which may begin again at next.
-	fetching bool
-	next     time.Time
+	// behindSince is when a newer state was first known; the zero time while none is.
+	behindSince time.Time
+	// logged is the newest generation for which lagging was logged.
+	logged uint64
+	// fetching is set while a state is fetched; nextFetch is the earliest time of the next
+	// fetch.
+	fetching  bool
+	nextFetch time.Time
 }
 
-// follow begins to fetch the newest state if it is not held; the lock is held.
-// It is no part of a heartbeat, which has a second: a large state that does not come
-// through a narrow link in that time would be sent again with each heartbeat, and the
-// host would get no news of any kind any more.
-func (c *Client) follow() {
-	if c.lag.fetching || c.ctx.Err() != nil || c.now().Before(c.lag.next) {
+// startFetch begins to fetch the newest state unless it is held already; the lock is held.
+// The state is not part of the answer to a heartbeat, which has a timeout of a second: a
+// large state that does not pass a narrow link in that time would be sent again with each
+// heartbeat, and the host would get no updates of any kind.
+func (c *Client) startFetch() {
+	if c.state.fetching || c.ctx.Err() != nil || c.now().Before(c.state.nextFetch) {
 		return
 	}
-	stores := c.holders()
+	stores := c.fetchSources()
 	if len(stores) == 0 {
 		return
 	}
-	c.lag.fetching = true
-	held := c.lag.held
+	c.state.fetching = true
+	held := c.state.held
 	c.group.Add(1)
 	go func() {
 		defer c.group.Done()
@@ -51,14 +52,14 @@
 	}()
 }
 
-// holders returns the stores that hold a newer state, the best one first; those
-// of other regions only when the host's own are late. The lock is held.
-func (c *Client) holders() []string {
+// fetchSources returns the stores that hold a newer state, the best one first; those of
+// other regions only when the host lags. The lock is held.
+func (c *Client) fetchSources() []string {
 	self := c.options.Self()
 	var found []*store
 	for _, s := range c.stores {
 		near := s.region == self.Region || s.address == c.primary
-		if s.generation > c.lag.held.Generation && (near || c.lags()) {
+		if s.generation > c.state.held.Generation && (near || c.lagging()) {
 			found = append(found, s)
 		}
 	}
@@ -72,79 +73,78 @@
 	return out
 }
 
-// fetch fetches one state and hands it on.
+// fetch fetches one state and passes it to News.
 func (c *Client) fetch(stores []string, held wheelgauge.FleetState) {
 	began := c.now()
 	s, err := c.fetcher.Fetch(c.ctx, stores, held)
-	c.taking.Lock()
-	defer c.taking.Unlock()
+	c.deliverMu.Lock()
+	defer c.deliverMu.Unlock()
 	if err != nil {
-		c.options.Log.Info("State is not fetched.", "generation", held.Generation, "took_ms", c.now().Sub(began).Milliseconds(),
+		c.options.Log.Info("State could not be fetched.", "generation", held.Generation, "took_ms", c.now().Sub(began).Milliseconds(),
 			"bytes", c.fetcher.Came(), "cause", err.Error())
-		c.fetched(held, fetchPause)
+		c.fetchEnded(held, fetchRetryDelay)
 		return
 	}
 	c.options.Log.Info("State is fetched.", "generation", s.Generation, "version", s.Version, "took_ms", c.now().Sub(began).Milliseconds(),
 		"bytes", len(s.Body), "stores", stores)
 	c.options.News.State(s)
 	s.Body = nil
-	c.fetched(s, 0)
+	c.fetchEnded(s, 0)
 	if c.current() {
 		c.options.News.SameState()
 	}
 }
 
-// fetched notes what is held when a fetch has ended; another one may follow
-// after a pause.
-func (c *Client) fetched(held wheelgauge.FleetState, pause time.Duration) {
+// fetchEnded records the state held after a fetch; the next fetch may begin after a delay.
+func (c *Client) fetchEnded(held wheelgauge.FleetState, pause time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lag.held, c.lag.fetching, c.lag.next = held, false, c.now().Add(pause)
-	c.noteLag()
-	c.follow()
+	c.state.held, c.state.fetching, c.state.nextFetch = held, false, c.now().Add(pause)
+	c.updateLag()
+	c.startFetch()
 }
 
-// noteLag notes since when a newer state is known; the lock is held.
-func (c *Client) noteLag() {
+// updateLag records since when a newer state is known; the lock is held.
+func (c *Client) updateLag() {
 	switch {
-	case c.newest() <= c.lag.held.Generation:
-		c.lag.since = time.Time{}
-	case c.lag.since.IsZero():
-		c.lag.since = c.now()
+	case c.newest() <= c.state.held.Generation:
+		c.state.behindSince = time.Time{}
+	case c.state.behindSince.IsZero():
+		c.state.behindSince = c.now()
 	}
-	c.warn()
+	c.logLag()
 }
 
-// lags tells whether some store has held a newer state for a while, or any state
-// at all when there is none here; the lock is held.
-func (c *Client) lags() bool {
-	return c.lag.held.Generation == 0 || !c.lag.since.IsZero() && c.now().Sub(c.lag.since) > lagBeats*c.options.Interval
+// lagging reports whether a newer state has been known for more than lagIntervals, or
+// the host holds no state at all; the lock is held.
+func (c *Client) lagging() bool {
+	return c.state.held.Generation == 0 || !c.state.behindSince.IsZero() && c.now().Sub(c.state.behindSince) > lagIntervals*c.options.Interval
 }
 
-// warn writes once for each generation that a newer state is known and not
-// held; the lock is held.
-func (c *Client) warn() {
+// logLag logs once for each generation that a newer state is known and not held; the
+// lock is held.
+func (c *Client) logLag() {
 	newest := c.newest()
-	if !c.lags() || newest <= max(c.lag.held.Generation, c.lag.warned) {
+	if !c.lagging() || newest <= max(c.state.held.Generation, c.state.logged) {
 		return
 	}
-	c.lag.warned = newest
-	told := map[string]uint64{}
+	c.state.logged = newest
+	generations := map[string]uint64{}
 	for _, s := range c.stores {
-		told[s.address] = s.generation
+		generations[s.address] = s.generation
 	}
-	c.options.Log.Info("A newer state is known and not held.", "generation", c.lag.held.Generation, "newest", newest,
-		"behind_ms", c.now().Sub(c.lag.since).Milliseconds(), "told", told)
+	c.options.Log.Info("A newer state is known and not held.", "generation", c.state.held.Generation, "newest", newest,
+		"behind_ms", c.now().Sub(c.state.behindSince).Milliseconds(), "told", generations)
 }
 
-// current tells whether no store is known to hold a newer state.
+// current reports whether no store is known to hold a newer state.
 func (c *Client) current() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lag.held.Generation > 0 && c.newest() <= c.lag.held.Generation
+	return c.state.held.Generation > 0 && c.newest() <= c.state.held.Generation
 }
 
-// newest returns the highest generation that any store told of; the lock is held.
+// newest returns the highest generation that any store has reported; the lock is held.
 func (c *Client) newest() uint64 {
 	var top uint64
 	for _, s := range c.stores {
--- a/beat/stores.go
+++ b/beat/stores.go
@@ -9,48 +9,50 @@
 	"wheelgauge"
 )
 
-// store is what is known of one store.
+// store is what the client knows of one store.
 type store struct {
-	address  string
-	region   string
-	hall     string
-	boot     uint64
-	answered time.Time
-	due      time.Time
-	calling  bool
-	// sent is the interval that the beat under way goes by, every that of the
-	// last beat that was answered, misses how many were not answered since.
-	sent   time.Duration
-	every  time.Duration
-	misses int
-	// patient is set for an eager beat that may take longer.
-	patient bool
-	// told is what the store was last told of this host.
-	told    wheelgauge.FleetHost
-	inTouch bool
-	// generation is what the store held at its last answer.
-	generation uint64
-	hosts      uint64
-	servers    uint64
-	// crashesAt names the view held of the crashes of all hosts, as it is told. crashes
-	// is the last change of the host's own that the store knows of, crashesSent that of
-	// the beat under way.
-	crashesAt   uint64
-	crashes     uint64
-	crashesSent uint64
-	// limitsAt, limits and limitsSent are the same of the limits of servers.
-	limitsAt   uint64
-	limits     uint64
-	limitsSent uint64
-	// rollouts numbers what the store was told last of rollouts.
-	rollouts uint64
+	address    string
+	region     string
+	hall       string
+	boot       uint64
+	answeredAt time.Time
+	dueAt      time.Time
+	inFlight   bool
+	// sentInterval is the interval announced by the heartbeat in flight, answeredInterval
+	// that of the last answered one; misses counts the unanswered ones since.
+	sentInterval     time.Duration
+	answeredInterval time.Duration
+	misses           int
+	// longTimeout is set while the next startup heartbeat may take startupLongTimeout.
+	longTimeout bool
+	// sentHost is the description of this host last sent to the store.
+	sentHost  wheelgauge.FleetHost
+	connected bool
+	// generation is that of the state which the store held at its last answer.
+	// hostsVersion and serversVersion identify the tables last received from it.
+	generation     uint64
+	hostsVersion   uint64
+	serversVersion uint64
+	// crashesVersion identifies the list last received of all hosts' crashes.
+	// crashesAcked is the last change of this host's own crashes that the store knows,
+	// crashesSent the last change in the heartbeat in flight.
+	crashesVersion uint64
+	crashesAcked   uint64
+	crashesSent    uint64
+	// limitsVersion, limitsAcked and limitsSent are the same for servers' rate limits.
+	limitsVersion uint64
+	limitsAcked   uint64
+	limitsSent    uint64
+	// rolloutsSent is the version of the rollout reports last sent to the store.
+	rolloutsSent uint64
 }
 
-// reached tells whether the store answered the last call.
-func (s *store) reached() bool { return s.misses == 0 && s.boot != 0 }
+// responding reports whether the store answered the last call.
+func (s *store) responding() bool { return s.misses == 0 && s.boot != 0 }
 
-// Stores returns the stores that answer, near ones first. A near one that is cut off
-// from the others comes before a far one: what is drawn there takes 2 ms, not 115.
+// Stores returns the reachable stores, those of the host's region first. One of the region
+// that is cut off from the other stores comes before one of another region: drawing cap
+// units there takes 2 ms instead of 115 ms.
 func (c *Client) Stores() []wheelgauge.StoreAt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,8 +72,9 @@
 	return out
 }
 
-// RegionStores returns all stores of the host's region. A seed that is no member any more
-// is none of them, however long ago it left: what it gave would be missing for good.
+// RegionStores returns all stores of the host's region. A seed that is no longer a member
+// is left out, however long ago it left: the share of permits assigned to it would never be
+// issued.
 func (c *Client) RegionStores() []wheelgauge.RegionStore {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,16 +88,16 @@
 	return out
 }
 
-// ranked is a store that answers, with what orders it among the others.
+// ranked is a reachable store with its sort keys.
 type ranked struct {
 	wheelgauge.StoreAt
 	rank    int
 	primary bool
 }
 
-// compare puts the better one first.
-func (r ranked) compare(than ranked) int {
-	return cmp.Or(trueFirst(r.Near, than.Near), cmp.Compare(than.rank, r.rank), trueFirst(r.primary, than.primary), cmp.Compare(r.Address, than.Address))
+// compare sorts better stores first.
+func (r ranked) compare(other ranked) int {
+	return cmp.Or(trueFirst(r.Near, other.Near), cmp.Compare(other.rank, r.rank), trueFirst(r.primary, other.primary), cmp.Compare(r.Address, other.Address))
 }
 
 func trueFirst(a, b bool) int {
@@ -107,8 +110,8 @@
 	return 1
 }
 
-// choosePrimary prefers a store that answers, is in touch with the others, and
-// is near; the lock is held.
+// choosePrimary selects the store of the highest rank: reachable, then connected to the
+// other stores, then near. The lock is held.
 func (c *Client) choosePrimary() {
 	self := c.options.Self()
 	best, top := "", -1
@@ -124,19 +127,19 @@
 	c.options.Log.Info("Primary store changes.", "from", c.primary, "to", best)
 	c.primary = best
 	if s := c.stores[best]; s != nil {
-		s.hosts, s.servers, s.crashesAt, s.limitsAt, s.due = 0, 0, 0, 0, time.Time{}
+		s.hostsVersion, s.serversVersion, s.crashesVersion, s.limitsVersion, s.dueAt = 0, 0, 0, 0, time.Time{}
 	}
 }
 
-// rank is higher for better primaries, -1 for stores that do not answer.
+// rank is higher for better primaries, -1 for unreachable stores.
 func (c *Client) rank(s *store, self wheelgauge.FleetHost) int {
-	// By the interval that the store last answered at: by the shorter one of a
-	// primary, two silent stores would take turns at each tick.
-	if s.answered.IsZero() || s.misses >= mostMisses || c.now().Sub(s.answered) > freshBeats*s.every+callTimeout {
+	// Uses the interval at which the store last answered: with the shorter one of a
+	// primary, two unreachable stores would alternate as primary at each tick.
+	if s.answeredAt.IsZero() || s.misses >= maxMisses || c.now().Sub(s.answeredAt) > maxAnswerAge*s.answeredInterval+callTimeout {
 		return -1
 	}
 	rank := 0
-	if s.inTouch {
+	if s.connected {
 		rank += 4
 	}
 	if s.region == self.Region {
--- a/entrylist/entrylist.go
+++ b/entrylist/entrylist.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// perRegion is how many hosts of a region a list names.
-	perRegion = 3
-	// otherHostShare is the share of a client's limit on a host that is not on its list.
-	otherHostShare = 0.05
+	// hostsPerRegion is how many hosts of a region a list contains.
+	hostsPerRegion = 3
+	// unlistedHostShare is the share of a client's limit on a host that is not on its list.
+	unlistedHostShare = 0.05
 )
 
-// shares of a client's limit on its first, second and third host: a client that
-// follows the list has most of its limit there, and one that spreads over all
-// hosts of a region gets little more than the whole.
-var shares = [perRegion]float64{0.6, 0.25, 0.15}
+// shares are the fractions of a client's limit on its first, second and third host: a
+// client that follows the list has most of its limit there, and one that spreads its
+// requests over all hosts of a region gets little more than its limit in total.
+var shares = [hostsPerRegion]float64{0.6, 0.25, 0.15}
 
-// Usable tells whether a host takes new callers.
+// Usable reports whether a host accepts new callers.
 type Usable func(h *catalog.Host) bool
 
-// List ranks hosts for a client: first those of the region it is at home in,
-// if that is allowed, else those near, then the other allowed regions.
+// List ranks hosts for a client: first those of its home region, if that is allowed, else
+// of the region near, then those of the other allowed regions by link delay.
 func List(c *catalog.Catalog, id wheelgauge.Identity, near string, usable Usable) []wheelgauge.Entry {
 	var out []wheelgauge.Entry
-	for _, region := range order(c, id, near) {
-		for _, h := range rank(c, id, region, usable) {
+	for _, region := range regionOrder(c, id, near) {
+		for _, h := range rankHosts(c, id, region, usable) {
 			out = append(out, wheelgauge.Entry{Host: h.Name, Region: region, Address: h.Caller})
 		}
 	}
 	return out
 }
 
-func order(c *catalog.Catalog, id wheelgauge.Identity, near string) []string {
+func regionOrder(c *catalog.Catalog, id wheelgauge.Identity, near string) []string {
 	regions := c.AllowedRegions(id)
 	first := near
 	if slices.Contains(regions, id.Home) {
@@ -59,7 +59,7 @@
 	return regions
 }
 
-func rank(c *catalog.Catalog, id wheelgauge.Identity, region string, usable Usable) []*catalog.Host {
+func rankHosts(c *catalog.Catalog, id wheelgauge.Identity, region string, usable Usable) []*catalog.Host {
 	hosts := make([]*catalog.Host, 0, len(c.Hosts(region)))
 	for _, h := range c.Hosts(region) {
 		if !h.Leaving && usable(h) {
@@ -73,18 +73,18 @@
 		}
 		return 1
 	})
-	return hosts[:min(perRegion, len(hosts))]
+	return hosts[:min(hostsPerRegion, len(hosts))]
 }
 
-// Share returns the part of a client's limit that holds on one host.
+// Share returns the fraction of a client's limit that applies on one host.
 func Share(c *catalog.Catalog, id wheelgauge.Identity, region, host string, usable Usable) float64 {
-	ranked := rank(c, id, region, usable)
+	ranked := rankHosts(c, id, region, usable)
 	i := slices.IndexFunc(ranked, func(h *catalog.Host) bool { return h.Name == host })
 	if i < 0 {
-		return otherHostShare
+		return unlistedHostShare
 	}
 	share := shares[i]
-	if len(ranked) < perRegion && i == 0 {
+	if len(ranked) < hostsPerRegion && i == 0 {
 		for _, rest := range shares[len(ranked):] {
 			share += rest
 		}
--- a/entrylist/entrylist_test.go
+++ b/entrylist/entrylist_test.go
@@ -48,24 +48,25 @@
 		{"near first without a home", wheelgauge.Identity{Client: "c"}, all, nil, []string{"karachi", "karachi", "karachi", "lahore", "lahore", "lahore"}},
 		{"only where allowed", wheelgauge.Identity{Client: "c", Home: "karachi"}, all, []string{`{"client":"c","regions":["lahore"]}`}, []string{"lahore", "lahore", "lahore"}},
 		{"dead hosts are left out", wheelgauge.Identity{Client: "c"}, only("karachi-1", "lahore-0"), nil, []string{"karachi", "lahore"}},
-		{"nobody is left", wheelgauge.Identity{Client: "c"}, only(), nil, nil},
+		{"no host is left", wheelgauge.Identity{Client: "c"}, only(), nil, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			got := List(build(4, tt.rules...), tt.id, "karachi", tt.usable)
 			if len(got) != len(tt.regions) {
-				t.Fatalf("got %v", got)
+				t.Fatalf("got list %v of another length than wanted", got)
 			}
 			for i := range got {
 				if got[i].Region != tt.regions[i] {
-					t.Fatalf("got %v", got)
+					t.Fatalf("got list %v, want other regions", got)
 				}
 			}
 		})
 	}
 }
 
-// TestSpread gives hosts callers by weight, and moves few when one leaves.
+// Hosts get clients in proportion to their weight, and only the clients of a host that leaves
+// are moved.
 func TestSpread(t *testing.T) {
 	const clients = 890
 	c := build(4)
@@ -87,7 +88,7 @@
 		}
 	}
 	if moved > 0 {
-		t.Errorf("%d clients of hosts that stay were moved", moved)
+		t.Errorf("%d clients of remaining hosts were moved", moved)
 	}
 	for host, want := range map[string]int{"karachi-0": clients / 6, "karachi-1": clients / 3, "karachi-2": clients / 6, "karachi-3": clients / 3} {
 		if got := count[host]; got < want*3/4 || got > want*5/4 {
@@ -104,7 +105,7 @@
 			sum += Share(c, wheelgauge.Identity{Client: "c"}, "karachi", fmt.Sprint("karachi-", i), all)
 		}
 		if sum < 0.99 || sum > 1.3 {
-			t.Errorf("%d hosts give a client %.2f of its limit together", hosts, sum)
+			t.Errorf("%d hosts together give a client %.2f of its limit", hosts, sum)
 		}
 	}
 }
--- a/entryset/choose.go
+++ b/entryset/choose.go
@@ -1,5 +1,5 @@
-// Package entryset chooses which entry hosts callers are told of where there are
-// more than a caller reads of an answer.
+// Package entryset chooses which entry hosts are announced to callers, where there are more
+// than a caller reads of an answer.
 package entryset
 
 import (
@@ -11,31 +11,30 @@
 )
 
 const (
-	// Most is how many hosts callers are told of at most: they read no more of an
-	// answer.
+	// Most is the maximum number of hosts announced: callers read no more of an answer.
 	Most = 64
-	// Least is how many they are told of at least, where there are so many: with 16 in
-	// each of two halls the loss of one host is felt by 3 in 100 requests.
+	// Least is the minimum number of hosts announced, where there are so many: with 16 in
+	// each of two halls the loss of one host affects 3 in 100 requests.
 	Least = 32
-	// perHost is how many requests in flight a host named is to have. Fewer leave it
-	// with fewer connections to each server that it can use again, and with less
-	// knowledge of its own; 40 with prompts of 12 KB are 0.3 MB/s, a quarter of a
-	// link of 10 Mbit/s.
-	perHost = 40
+	// requestsPerHost is the intended number of requests in flight per announced host. With
+	// fewer, a host has fewer reusable connections to each server and observes less by
+	// itself; 40 with prompts of 12 KB are 0.3 MB/s, a quarter of a link of 10 Mbit/s.
+	requestsPerHost = 40
 )
 
-// Wanted returns how many hosts of a region callers are told of while it has so many
-// requests in flight: what the work needs, however many machines there are.
-func Wanted(inFlight int) int { return min(Most, max(Least, (inFlight+perHost-1)/perHost)) }
+// Wanted returns how many hosts of a region are announced while it has inFlight requests. The
+// number depends on the load, not on the number of hosts.
+func Wanted(inFlight int) int {
+	return min(Most, max(Least, (inFlight+requestsPerHost-1)/requestsPerHost))
+}
 
-// Choose returns at most so many of the hosts, in a fixed order. All halls have as
-// many among them as they can, so that the loss of a hall leaves callers the
-// others; within a hall the order is by a hash of the name. Whoever knows the same
-// hosts chooses the same ones, and a host that comes or goes changes one. The list
-// given stays as it is.
-func Choose(hosts []wheelgauge.FleetHost, most int) []wheelgauge.FleetHost {
+// Choose returns at most limit of the hosts, in a fixed order. Halls are represented as
+// evenly as possible, so that callers still have hosts after the loss of a hall; within a
+// hall the order is by a hash of the name. The same set of hosts always gives the same
+// choice, and adding or removing a host changes one. hosts is not modified.
+func Choose(hosts []wheelgauge.FleetHost, limit int) []wheelgauge.FleetHost {
 	queues := byHall(hosts)
-	out := make([]wheelgauge.FleetHost, 0, min(most, len(hosts)))
+	out := make([]wheelgauge.FleetHost, 0, min(limit, len(hosts)))
 	for round := 0; len(out) < cap(out); round++ {
 		for _, q := range queues {
 			if round < len(q) && len(out) < cap(out) {
@@ -46,14 +45,14 @@
 	return out
 }
 
-// Always returns those of a region's hosts that callers are told of however little
-// work there is: the first of the ones that are ready and stay.
+// Always returns those of a region's hosts that are announced even at the lowest load: the
+// first Least of those that are ready and not leaving.
 func Always(region []wheelgauge.FleetHost) []wheelgauge.FleetHost {
 	fits := slices.DeleteFunc(slices.Clone(region), func(h wheelgauge.FleetHost) bool { return !h.Ready || h.Leaving })
 	return Choose(fits, Least)
 }
 
-// byHall parts hosts by hall, the halls in order of their names.
+// byHall groups hosts by hall, with the halls sorted by name.
 func byHall(hosts []wheelgauge.FleetHost) [][]wheelgauge.FleetHost {
 	sorted := slices.Clone(hosts)
 	slices.SortFunc(sorted, func(a, b wheelgauge.FleetHost) int {
--- a/entryset/choose_test.go
+++ b/entryset/choose_test.go
@@ -7,7 +7,7 @@
 	"wheelgauge"
 )
 
-// fleet returns hosts of halls, so many each.
+// fleet returns the given number of hosts for each hall.
 func fleet(halls map[string]int) []wheelgauge.FleetHost {
 	var out []wheelgauge.FleetHost
 	for hall, n := range halls {
@@ -34,7 +34,7 @@
 	return out
 }
 
-func TestHallsAreNamedEvenly(t *testing.T) {
+func TestHallsAreRepresentedEvenly(t *testing.T) {
 	tests := []struct {
 		name  string
 		halls map[string]int
@@ -50,17 +50,17 @@
 		t.Run(tt.name, func(t *testing.T) {
 			got := perHall(Choose(fleet(tt.halls), Most))
 			if fmt.Sprint(got) != fmt.Sprint(tt.want) && len(got)+len(tt.want) > 0 {
-				t.Errorf("named %v, want %v", got, tt.want)
+				t.Errorf("got hosts per hall %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-// A host that goes is replaced by one, and all others stay.
-func TestLittleMoves(t *testing.T) {
+// A removed host is replaced by at most one, and all others stay.
+func TestFewHostsChange(t *testing.T) {
 	all := fleet(map[string]int{"a": 51, "b": 53})
 	before := names(Choose(all, Most))
-	for i, gone := range all {
+	for i, removed := range all {
 		without := append(append([]wheelgauge.FleetHost(nil), all[:i]...), all[i+1:]...)
 		moved := 0
 		for name := range names(Choose(without, Most)) {
@@ -68,16 +68,16 @@
 				moved++
 			}
 		}
-		if moved > 1 || moved == 1 && !before[gone.Name] {
-			t.Errorf("%s goes: %d others are named anew", gone.Name, moved)
+		if moved > 1 || moved == 1 && !before[removed.Name] {
+			t.Errorf("after removing %s: %d new hosts are chosen", removed.Name, moved)
 		}
 	}
 }
 
-// How many hosts callers are told of follows the work, not the number of machines.
+// The number of announced hosts follows the load, not the number of hosts.
 func TestWanted(t *testing.T) {
 	tests := []struct{ inFlight, want int }{
-		{0, Least}, {Least * perHost, Least}, {Least*perHost + 1, Least + 1}, {48 * perHost, 48}, {1 << 20, Most},
+		{0, Least}, {Least * requestsPerHost, Least}, {Least*requestsPerHost + 1, Least + 1}, {48 * requestsPerHost, 48}, {1 << 20, Most},
 	}
 	for _, tt := range tests {
 		if got := Wanted(tt.inFlight); got != tt.want {
@@ -88,7 +88,7 @@
 	more := names(Choose(all, Least+1))
 	for name := range names(Choose(all, Least)) {
 		if !more[name] {
-			t.Errorf("%s is no longer named when one more host is wanted", name)
+			t.Errorf("%s is no longer chosen when one more host is wanted", name)
 		}
 	}
 }
--- a/hosttable/peak.go
+++ b/hosttable/peak.go
@@ -6,27 +6,28 @@
 	"wheelgauge"
 )
 
-// peakFor is how long the most in flight is remembered, once or twice: the number of
-// hosts that callers are told of must not follow each wave.
-const peakFor = 30 * time.Second
+// peakWindow is the length of a window of which the peak is kept, also during the next
+// window: the number of hosts announced to callers must not follow each wave of requests.
+const peakWindow = 30 * time.Second
 
-// peak is the most that a region had in flight, in this span and the one before.
+// peak is the highest number of requests that a region had in flight, in this window and
+// the one before.
 type peak struct {
-	now, before int
-	began       time.Time
+	current, previous int
+	windowStart       time.Time
 }
 
-// after returns the peak with what is in flight now.
-func (p peak) after(services map[string]wheelgauge.ServiceUse, at time.Time) peak {
-	if at.Sub(p.began) >= peakFor {
-		p = peak{before: p.now, began: at}
+// update returns the peak with what is in flight now.
+func (p peak) update(services map[string]wheelgauge.ServiceUse, at time.Time) peak {
+	if at.Sub(p.windowStart) >= peakWindow {
+		p = peak{previous: p.current, windowStart: at}
 	}
 	running := 0
 	for _, u := range services {
 		running += u.Running
 	}
-	p.now = max(p.now, running)
+	p.current = max(p.current, running)
 	return p
 }
 
-func (p peak) most() int { return max(p.now, p.before) }
+func (p peak) highest() int { return max(p.current, p.previous) }
--- a/hosttable/sums.go
+++ b/hosttable/sums.go
@@ -6,11 +6,11 @@
 	"wheelgauge"
 )
 
-// relayPart of a region's hosts must be among those that stores told of: else what
-// the hosts told this store themselves is nearer the truth, though older.
-const relayPart = 0.9
+// minRelayed is the fraction of a region's hosts that the reports of stores must cover:
+// below it the hosts' own heartbeats to this store are more accurate, though older.
+const minRelayed = 0.9
 
-// load is what some hosts of a region have in flight by service.
+// load is what several hosts of a region have in flight, by service.
 type load struct {
 	hosts    int
 	services map[string]wheelgauge.ServiceUse
@@ -23,20 +23,20 @@
 	}
 }
 
-// byRegion is the load of each region.
-type byRegion map[string]*load
+// regionLoads maps regions to their load.
+type regionLoads map[string]*load
 
-func (b byRegion) add(region string, hosts int, uses []wheelgauge.ServiceUse) {
+func (b regionLoads) add(region string, hosts int, uses []wheelgauge.ServiceUse) {
 	if b[region] == nil {
 		b[region] = &load{services: map[string]wheelgauge.ServiceUse{}}
 	}
 	b[region].add(hosts, uses)
 }
 
-// atServers is what is in flight at each server, by region and instance.
-type atServers map[string]map[string]wheelgauge.ServerUse
+// serverUses is what is in flight at each server, by region and instance.
+type serverUses map[string]map[string]wheelgauge.ServerUse
 
-func (a atServers) add(region string, uses []wheelgauge.ServerUse) {
+func (a serverUses) add(region string, uses []wheelgauge.ServerUse) {
 	if a[region] == nil {
 		a[region] = map[string]wheelgauge.ServerUse{}
 	}
@@ -45,48 +45,48 @@
 	}
 }
 
-// sums is what the hosts of each region have in flight together: heard of all hosts
-// that beat here, own of those that take their news from this store, told of these
-// and of those of other stores.
+// sums is what the hosts of each region have in flight together: direct counts all hosts
+// that send heartbeats to this store, local those of which it is the primary, combined
+// these and the ones that other stores report. uses and localUses are the same by server.
 type sums struct {
-	heard   byRegion
-	own     byRegion
-	told    byRegion
-	uses    atServers
-	ownUses atServers
+	direct    regionLoads
+	local     regionLoads
+	combined  regionLoads
+	uses      serverUses
+	localUses serverUses
 }
 
 func newSums() sums {
-	return sums{heard: byRegion{}, own: byRegion{}, told: byRegion{}, uses: atServers{}, ownUses: atServers{}}
+	return sums{direct: regionLoads{}, local: regionLoads{}, combined: regionLoads{}, uses: serverUses{}, localUses: serverUses{}}
 }
 
 func (s *sums) add(e *entry) {
 	region := e.host.Region
-	s.heard.add(region, 1, e.totals)
+	s.direct.add(region, 1, e.totals)
 	if !e.primary {
 		return
 	}
-	s.own.add(region, 1, e.totals)
-	s.told.add(region, 1, e.totals)
+	s.local.add(region, 1, e.totals)
+	s.combined.add(region, 1, e.totals)
 	s.uses.add(region, e.uses)
-	s.ownUses.add(region, e.uses)
+	s.localUses.add(region, e.uses)
 }
 
-func (s *sums) relay(r relayed) {
+func (s *sums) addRelayed(r relayed) {
 	for _, l := range r.loads {
-		s.told.add(l.Region, l.Hosts, l.Uses)
+		s.combined.add(l.Region, l.Hosts, l.Uses)
 	}
 	s.uses.add(r.region, r.uses)
 }
 
 // regions returns the load of each region by service.
 func (s *sums) regions() map[string]map[string]wheelgauge.ServiceUse {
-	out := make(map[string]map[string]wheelgauge.ServiceUse, len(s.told))
-	for region, l := range s.told {
+	out := make(map[string]map[string]wheelgauge.ServiceUse, len(s.combined))
+	for region, l := range s.combined {
 		out[region] = maps.Clone(l.services)
 	}
-	for region, l := range s.heard {
-		if told := s.told[region]; told == nil || float64(told.hosts) < relayPart*float64(l.hosts) {
+	for region, l := range s.direct {
+		if combined := s.combined[region]; combined == nil || float64(combined.hosts) < minRelayed*float64(l.hosts) {
 			out[region] = maps.Clone(l.services)
 		}
 	}
--- a/hosttable/table.go
+++ b/hosttable/table.go
@@ -1,5 +1,5 @@
-// Package hosttable is a store's table of entry hosts: who beat lately, what
-// each has in flight, and the sums that other hosts are told.
+// Package hosttable is a store's table of entry hosts: which ones sent a heartbeat lately,
+// what each has in flight, and the sums that are sent to other hosts.
 package hosttable
 
 import (
@@ -13,35 +13,35 @@
 )
 
 const (
-	// missedBeats is how many intervals a host may be silent: one lost beat is no
-	// failure.
-	missedBeats = 2
-	// lateBeat is how late a beat may be over a lossy link besides.
-	lateBeat = 900 * time.Millisecond
-	// sumEvery is how old the sums told may be: a part of the shortest interval,
-	// so that a beat need not go over all hosts.
-	sumEvery = 100 * time.Millisecond
-	// relayLife is how long another store's word holds: it tells several times in
-	// that, and its hosts turn to another store after it has fallen silent.
-	relayLife = 800 * time.Millisecond
+	// missedIntervals is how many intervals a host may be silent: one lost heartbeat is
+	// not a failure.
+	missedIntervals = 2
+	// maxDelay is how much later a heartbeat may arrive over a lossy link.
+	maxDelay = 900 * time.Millisecond
+	// maxSumAge is the age up to which sums are reused, a fraction of the shortest interval,
+	// so that not every heartbeat iterates over all hosts.
+	maxSumAge = 100 * time.Millisecond
+	// relayTTL is how long another store's report is valid: it sends several in that time,
+	// and its hosts change to another store when it is silent.
+	relayTTL = 800 * time.Millisecond
 )
 
+// entry is the last heartbeat of a host.
 type entry struct {
 	host     wheelgauge.FleetHost
-	seen     time.Time
+	lastSeen time.Time
 	interval time.Duration
 	primary  bool
 	uses     []wheelgauge.ServerUse
 	totals   []wheelgauge.ServiceUse
 }
 
-// relayed is what another store told last of the hosts that beat to it as their
-// primary.
+// relayed is another store's last report of the hosts of which it is the primary.
 type relayed struct {
-	seen   time.Time
-	region string
-	loads  []wheelgauge.RegionLoad
-	uses   []wheelgauge.ServerUse
+	receivedAt time.Time
+	region     string
+	loads      []wheelgauge.RegionLoad
+	uses       []wheelgauge.ServerUse
 }
 
 // Table is safe for concurrent use.
@@ -49,26 +49,26 @@
 	mu      sync.Mutex
 	entries map[string]*entry
 	version uint64
-	// list is that of listed, an earlier version perhaps.
-	list   []wheelgauge.FleetHost
-	listed uint64
-	sums   sums
-	summed time.Time
-	// relays are other stores' words by address.
+	// list holds the hosts at listVersion, which may be older than version.
+	list        []wheelgauge.FleetHost
+	listVersion uint64
+	sums        sums
+	summedAt    time.Time
+	// relays holds the reports of other stores by address.
 	relays map[string]relayed
-	// busiest is the most that each region had in flight lately.
-	busiest map[string]peak
-	// lost is when a host of each region last left or fell silent.
-	lost map[string]time.Time
-	now  func() time.Time
+	// peaks holds the recent peak of requests in flight of each region.
+	peaks map[string]peak
+	// lastLoss is when a host of each region last left or became silent.
+	lastLoss map[string]time.Time
+	now      func() time.Time
 }
 
 // New returns an empty table that reads time from now.
 func New(now func() time.Time) *Table {
-	return &Table{entries: map[string]*entry{}, version: 1, relays: map[string]relayed{}, busiest: map[string]peak{}, lost: map[string]time.Time{}, now: now}
+	return &Table{entries: map[string]*entry{}, version: 1, relays: map[string]relayed{}, peaks: map[string]peak{}, lastLoss: map[string]time.Time{}, now: now}
 }
 
-// Take records a beat of a host that beats every interval.
+// Take records a heartbeat of a host that sends one every interval.
 func (t *Table) Take(b wheelgauge.Beat, interval time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,24 +81,24 @@
 		t.entries[b.Host.Name] = e
 	}
 	if b.Host.Leaving && !e.host.Leaving {
-		t.lost[b.Host.Region] = t.now()
+		t.lastLoss[b.Host.Region] = t.now()
 	}
-	e.host, e.seen, e.interval, e.primary = b.Host, t.now(), interval, b.Primary
+	e.host, e.lastSeen, e.interval, e.primary = b.Host, t.now(), interval, b.Primary
 	e.totals, e.uses = b.Totals, b.Uses
 }
 
-// refresh forgets hosts that were silent for too long and sums the others anew,
-// if that has not been done lately; the lock is held.
+// refresh removes hosts that were silent for too long and recomputes the sums, unless these
+// are recent; the lock is held.
 func (t *Table) refresh() {
 	now := t.now()
-	if !t.summed.IsZero() && now.Sub(t.summed) < sumEvery {
+	if !t.summedAt.IsZero() && now.Sub(t.summedAt) < maxSumAge {
 		return
 	}
-	t.summed = now
+	t.summedAt = now
 	for name, e := range t.entries {
-		if now.Sub(e.seen) > missedBeats*e.interval+lateBeat {
+		if now.Sub(e.lastSeen) > missedIntervals*e.interval+maxDelay {
 			delete(t.entries, name)
-			t.lost[e.host.Region] = now
+			t.lastLoss[e.host.Region] = now
 			t.version++
 		}
 	}
@@ -107,24 +107,24 @@
 		t.sums.add(e)
 	}
 	for from, r := range t.relays {
-		if now.Sub(r.seen) > relayLife {
+		if now.Sub(r.receivedAt) > relayTTL {
 			delete(t.relays, from)
 			continue
 		}
-		t.sums.relay(r)
+		t.sums.addRelayed(r)
 	}
 	for region, services := range t.sums.regions() {
-		t.busiest[region] = t.busiest[region].after(services, now)
+		t.peaks[region] = t.peaks[region].update(services, now)
 	}
 }
 
-// Hosts returns all live hosts by name, and a number that changes with them.
+// Hosts returns all live hosts sorted by name, and a version number of the list.
 // The list must not be changed.
 func (t *Table) Hosts() ([]wheelgauge.FleetHost, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refresh()
-	if t.listed == t.version {
+	if t.listVersion == t.version {
 		return t.list, t.version
 	}
 	t.list = make([]wheelgauge.FleetHost, 0, len(t.entries))
@@ -132,56 +132,57 @@
 		t.list = append(t.list, e.host)
 	}
 	slices.SortFunc(t.list, func(a, b wheelgauge.FleetHost) int { return cmp.Compare(a.Name, b.Name) })
-	t.listed = t.version
+	t.listVersion = t.version
 	return t.list, t.version
 }
 
-// Lost returns when a host of a region last left or fell silent; the zero time if
+// Lost returns when a host of a region last left or became silent; the zero time if
 // none ever did.
 func (t *Table) Lost(region string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refresh()
-	return t.lost[region]
+	return t.lastLoss[region]
 }
 
-// Relay records what another store tells of the hosts that take their news from it.
+// Relay records another store's report of the hosts of which it is the primary.
 func (t *Table) Relay(n wheelgauge.StoreNews) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.relays[n.Address] = relayed{seen: t.now(), region: n.Region, loads: n.Loads, uses: n.Uses}
+	t.relays[n.Address] = relayed{receivedAt: t.now(), region: n.Region, loads: n.Loads, uses: n.Uses}
 }
 
-// Own returns the load of the hosts that take their news from this store, by
-// region, and what those of one region have in flight at each server.
+// Own returns the load of the hosts of which this store is the primary, by region, and
+// what those of one region have in flight at each server.
 func (t *Table) Own(region string) ([]wheelgauge.RegionLoad, []wheelgauge.ServerUse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refresh()
 	var loads []wheelgauge.RegionLoad
-	for of, l := range t.sums.own {
-		loads = append(loads, wheelgauge.RegionLoad{Region: of, Hosts: l.hosts, Uses: slices.Collect(maps.Values(l.services))})
+	for name, l := range t.sums.local {
+		loads = append(loads, wheelgauge.RegionLoad{Region: name, Hosts: l.hosts, Uses: slices.Collect(maps.Values(l.services))})
 	}
-	return loads, slices.Collect(maps.Values(t.sums.ownUses[region]))
+	return loads, slices.Collect(maps.Values(t.sums.localUses[region]))
 }
 
-// Uses returns what the hosts of a region, but the named one, have in flight.
-func (t *Table) Uses(region, but string) []wheelgauge.ServerUse {
+// Uses returns what the hosts of a region have in flight at each server, without the host
+// named except.
+func (t *Table) Uses(region, except string) []wheelgauge.ServerUse {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refresh()
 	own := map[string]wheelgauge.ServerUse{}
-	if e := t.entries[but]; e != nil {
+	if e := t.entries[except]; e != nil {
 		for _, u := range e.uses {
 			own[u.Instance] = u
 		}
 	}
 	out := make([]wheelgauge.ServerUse, 0, len(t.sums.uses[region]))
 	for instance, sum := range t.sums.uses[region] {
-		// The host's own part is newer than the sum: never below nothing.
+		// The host's own share may be newer than the sum: negative differences become 0.
 		mine := own[instance]
 		if mine.Born != sum.Born {
-			mine = wheelgauge.ServerUse{} // of another start
+			mine = wheelgauge.ServerUse{} // of another instance
 		}
 		u := wheelgauge.ServerUse{
 			Instance: instance, Born: sum.Born, Running: max(0, sum.Running-mine.Running), Tokens: max(0, sum.Tokens-mine.Tokens), Work: sum.Work.Minus(mine.Work).Used(),
@@ -194,16 +195,16 @@
 	return out
 }
 
-// Busiest returns the most requests that a region's hosts had in flight in the last
-// minute or so.
+// Busiest returns the peak of requests that a region's hosts had in flight in this window of
+// peakWindow and the one before, which is up to a minute.
 func (t *Table) Busiest(region string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refresh()
-	return t.busiest[region].most()
+	return t.peaks[region].highest()
 }
 
-// Regions returns what each region has in flight by service.
+// Regions returns what each region has in flight, by service.
 func (t *Table) Regions() map[string]map[string]wheelgauge.ServiceUse {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/hosttable/table_test.go
+++ b/hosttable/table_test.go
@@ -10,7 +10,7 @@
 
 const interval = time.Second
 
-func beatOf(name, region string, primary bool) wheelgauge.Beat {
+func heartbeatOf(name, region string, primary bool) wheelgauge.Beat {
 	return wheelgauge.Beat{
 		Host: wheelgauge.FleetHost{Name: name, Region: region, Ready: true}, Primary: primary,
 		Uses:   []wheelgauge.ServerUse{{Instance: "i", Running: 2, Tokens: 10}},
@@ -18,30 +18,30 @@
 	}
 }
 
-func TestSilentHostsAreForgotten(t *testing.T) {
+func TestSilentHostsAreRemoved(t *testing.T) {
 	at := time.Unix(0, 0)
 	table := New(func() time.Time { return at })
-	table.Take(beatOf("a", "north", true), interval)
-	table.Take(beatOf("b", "south", false), interval)
+	table.Take(heartbeatOf("a", "north", true), interval)
+	table.Take(heartbeatOf("b", "south", false), interval)
 	hosts, first := table.Hosts()
 	if len(hosts) != 2 {
 		t.Fatalf("%d hosts, want 2", len(hosts))
 	}
 	at = at.Add(2 * interval)
-	table.Take(beatOf("a", "north", true), interval)
+	table.Take(heartbeatOf("a", "north", true), interval)
 	if hosts, again := table.Hosts(); len(hosts) != 2 || again != first {
-		t.Errorf("one lost beat: %d hosts at %d, want 2 at %d", len(hosts), again, first)
+		t.Errorf("after one lost heartbeat: %d hosts at version %d, want 2 at %d", len(hosts), again, first)
 	}
 	at = at.Add(interval)
 	hosts, again := table.Hosts()
 	if len(hosts) != 1 || hosts[0].Name != "a" || again == first {
-		t.Errorf("after silence: %v at %d", hosts, again)
+		t.Errorf("after silence: got hosts %v at version %d, want host a at a new version", hosts, again)
 	}
 	if left := table.Uses("south", "nobody"); len(left) != 0 {
-		t.Errorf("the silent host still uses %v", left)
+		t.Errorf("the silent host still counts as using %v", left)
 	}
 	if left := table.Uses("north", "nobody"); len(left) != 1 {
-		t.Errorf("the host that beats uses %v", left)
+		t.Errorf("the live host uses %v, want one server", left)
 	}
 }
 
@@ -49,34 +49,34 @@
 	at := time.Unix(0, 0)
 	table := New(func() time.Time { return at })
 	for _, name := range []string{"a", "b", "c"} {
-		table.Take(beatOf(name, "north", true), interval)
+		table.Take(heartbeatOf(name, "north", true), interval)
 	}
-	table.Take(beatOf("d", "south", true), interval)
+	table.Take(heartbeatOf("d", "south", true), interval)
 	uses := table.Uses("north", "a")
 	if len(uses) != 1 || !reflect.DeepEqual(uses[0], wheelgauge.ServerUse{Instance: "i", Running: 4, Tokens: 20}) {
-		t.Errorf("others of the region use %v", uses)
+		t.Errorf("the other hosts of the region use %v, want 4 requests and 20 tokens at i", uses)
 	}
 	if got := table.Regions()["north"]["s"]; got.Running != 9 || got.Tokens != 21 {
-		t.Errorf("the region uses %+v", got)
+		t.Errorf("the region uses %+v, want 9 requests and 21 tokens", got)
 	}
 }
 
-// In a region of two stores each is the primary of some hosts. What the hosts of
-// the other one have in flight comes from that store; with the primary's alone,
-// hosts did not see what half of the region sent to a server.
+// In a region of two stores each is the primary of some hosts. What the hosts of the other
+// one have in flight must be included from that store's reports; without them hosts do not
+// see what half of the region sends to a server.
 func TestLoadOfOtherStores(t *testing.T) {
 	at := time.Unix(0, 0)
 	table := New(func() time.Time { return at })
-	table.Take(beatOf("a", "north", true), interval)
-	silent := beatOf("b", "north", false)
-	silent.Uses = nil // hosts tell it to their primary only
+	table.Take(heartbeatOf("a", "north", true), interval)
+	silent := heartbeatOf("b", "north", false)
+	silent.Uses = nil // hosts report it to their primary only
 	table.Take(silent, interval)
-	word := wheelgauge.StoreNews{
+	report := wheelgauge.StoreNews{
 		Address: "other", Region: "north",
 		Loads: []wheelgauge.RegionLoad{{Region: "north", Hosts: 1, Uses: []wheelgauge.ServiceUse{{Service: "s", Running: 30, Tokens: 70}}}},
 		Uses:  []wheelgauge.ServerUse{{Instance: "i", Running: 20, Tokens: 100}},
 	}
-	table.Relay(word)
+	table.Relay(report)
 	check := func(what string, atServer, inRegion int) {
 		t.Helper()
 		got := 0
@@ -84,18 +84,18 @@
 			got += u.Running
 		}
 		if region := table.Regions()["north"]["s"].Running; got != atServer || region != inRegion {
-			t.Errorf("%s: others have %d at the server, the region %d, want %d and %d", what, got, region, atServer, inRegion)
+			t.Errorf("%s: other hosts have %d in flight at the server, the region %d, want %d and %d", what, got, region, atServer, inRegion)
 		}
 	}
 	check("told", 20, 33)
 	if loads, uses := table.Own("north"); loads[0].Hosts != 1 || uses[0].Running != 2 {
-		t.Errorf("passes on %v %v, want the own hosts' only", loads, uses)
+		t.Errorf("reports %v %v, want those of its own hosts only", loads, uses)
 	}
-	at = at.Add(relayLife + sumEvery)
-	// The store is silent: what hosts told themselves is all there is.
+	at = at.Add(relayTTL + maxSumAge)
+	// The store is silent: only the hosts' own heartbeats are left.
 	check("silent", 0, 6)
-	word.Loads[0].Hosts = 0
-	table.Relay(word)
-	at = at.Add(sumEvery)
-	check("told of too few hosts", 20, 6)
+	report.Loads[0].Hosts = 0
+	table.Relay(report)
+	at = at.Add(maxSumAge)
+	check("report covers too few hosts", 20, 6)
 }
--- a/membership/hub.go
+++ b/membership/hub.go
@@ -1,11 +1,11 @@
-// Package membership tells the hosts of a region of each other, of the backend
-// servers' load and of the other regions.
+// Package membership distributes to the hosts of a region the state of the other
+// hosts, the load of the backend servers and summaries of the other regions.
 //
-// Each host sends one heartbeat an interval to the region's hub and gets back
-// what changed; hubs exchange one summary a region. The traffic of a host does
-// not grow with the number of hosts. The hub is the region's store host, which
-// may be set aside; while it is not reached, a gateway that all agree on by
-// rendezvous hashing stands in.
+// Each host sends one heartbeat per interval to the region's hub and gets back
+// what changed; hubs exchange one summary per region. The traffic of a host does
+// not grow with the number of hosts. The hub is the region's store host; while that
+// is unreachable or taken out of service, a gateway that all hosts select by
+// rendezvous hashing takes its place.
 package membership
 
 import (
@@ -23,46 +23,49 @@
 )
 
 const (
-	// missedBeats is how many intervals without a sign of life mean failure.
-	missedBeats = 3
-	// handoverBeats is how many intervals more the last reports on a server hold
-	// while nobody polls it: one until other hosts hear that its pollers are dead,
-	// one until they have polled, one for a beat that is late.
-	handoverBeats = 3
-	// spareFraction of the slots of a region may be used before it grants none.
-	spareFraction = 0.95
+	// missedIntervals is how many intervals without a heartbeat, report or summary mean failure.
+	missedIntervals = 3
+	// handoverIntervals is how many intervals longer the last reports on a server are valid
+	// while no host polls it: one until other hosts learn that its pollers are dead,
+	// one until they have polled it, one for a late heartbeat.
+	handoverIntervals = 3
+	// grantableFraction is the fraction of a region's slots up to which it grants spare
+	// ones to other regions.
+	grantableFraction = 0.95
 )
 
-// hostRow and serverRow are the tables of a hub.
+// hostRow is a hub's record of a host.
 type hostRow struct {
-	entry   wheelgauge.HostEntry
-	boot    uint64
-	asks    map[string]int
-	seen    time.Time
-	version uint64
+	entry       wheelgauge.HostEntry
+	boot        uint64
+	forwardable map[string]int
+	lastSeen    time.Time
+	version     uint64
 }
 
+// serverRow is a hub's record of a backend server.
 type serverRow struct {
 	entry wheelgauge.ServerEntry
-	// number stands for the name on the wire, since the version born.
-	number int
-	born   uint64
-	// told is the version at which the ready models last changed.
-	told    uint64
-	reports map[string]report
-	version uint64
+	// number replaces the name on the wire; createdVersion is the version that assigned it.
+	number         int
+	createdVersion uint64
+	// modelsVersion is the version at which the ready models last changed.
+	modelsVersion uint64
+	reports       map[string]report
+	version       uint64
 }
 
-// report is what one polling host said of a server.
+// report is the last status of a server that one polling host sent.
 type report struct {
-	entry wheelgauge.ServerEntry
-	at    time.Time
+	entry      wheelgauge.ServerEntry
+	receivedAt time.Time
 }
 
+// regionRow is a hub's record of another region.
 type regionRow struct {
-	summary wheelgauge.RegionSummary
-	seen    time.Time
-	version uint64
+	summary  wheelgauge.RegionSummary
+	lastSeen time.Time
+	version  uint64
 }
 
 // Hub holds the tables of one region.
@@ -78,15 +81,15 @@
 	hosts    map[string]*hostRow
 	servers  map[string]*serverRow
 	regions  map[string]*regionRow
-	// crashes joins what the hosts of all regions noted.
+	// crashes merges what the hosts of all regions recorded.
 	crashes *quarantine.Table
-	// limits are those that servers named to the region's hosts, permits what is given of
-	// them.
+	// limits are the rate limits that servers announced to the region's hosts; permits issues
+	// shares of them.
 	limits  *serverlimit.Table
 	permits *permitissuer.Issuer
 }
 
-// NewHub returns an empty hub. current returns the configuration in force, nil
+// NewHub returns an empty hub. current returns the configuration in use, nil
 // while there is none.
 func NewHub(region string, boot uint64, interval time.Duration, current func() *catalog.Catalog, now func() time.Time) *Hub {
 	limits := serverlimit.New(now)
@@ -97,31 +100,32 @@
 	}
 }
 
-// Permit answers a host of the region that is to send a request to a server with a limit.
-func (h *Hub) Permit(ask wheelgauge.PermitAsk) wheelgauge.PermitAnswer { return h.permits.Answer(ask) }
+// Permit answers a host of the region that wants to send a request to a server with a rate
+// limit.
+func (h *Hub) Permit(r wheelgauge.PermitAsk) wheelgauge.PermitAnswer { return h.permits.Answer(r) }
 
-// Beat takes in a heartbeat and returns what its sender has not seen.
+// Beat processes a heartbeat and returns what changed since its sender's last view.
 func (h *Hub) Beat(b wheelgauge.Heartbeat) wheelgauge.View {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	h.takeHost(b, now)
+	h.updateHost(b, now)
 	for _, s := range b.Servers {
-		h.takeServer(b.Host, s, now)
+		h.updateServer(b.Host, s, now)
 	}
 	h.crashes.Merge(b.Crashes)
 	h.limits.Merge(b.Limits)
 	h.expire(now)
-	return h.since(b)
+	return h.viewSince(b)
 }
 
-func (h *Hub) takeHost(b wheelgauge.Heartbeat, now time.Time) {
+func (h *Hub) updateHost(b wheelgauge.Heartbeat, now time.Time) {
 	row := h.hosts[b.Host]
 	if row == nil {
 		row = &hostRow{}
 		h.hosts[b.Host] = row
 	}
-	row.boot, row.seen, row.asks = b.Boot, now, b.Asks
+	row.boot, row.lastSeen, row.forwardable = b.Boot, now, b.Asks
 	h.setHost(row, wheelgauge.HostEntry{Host: b.Host, Alive: true, Leaving: b.Leaving})
 }
 
@@ -133,36 +137,38 @@
 	row.entry, row.version = entry, h.version
 }
 
-func (h *Hub) takeServer(by string, s wheelgauge.ServerEntry, now time.Time) {
+func (h *Hub) updateServer(poller string, s wheelgauge.ServerEntry, now time.Time) {
 	row := h.servers[s.Server]
 	if row == nil {
-		row = &serverRow{number: len(h.servers), born: h.version + 1, reports: map[string]report{}}
+		row = &serverRow{number: len(h.servers), createdVersion: h.version + 1, reports: map[string]report{}}
 		h.servers[s.Server] = row
 	}
-	row.reports[by] = report{s, now}
+	row.reports[poller] = report{s, now}
 	h.setServer(row, row.merged(now, h.interval))
 }
 
-// merged takes the newest report; a server is alive if any host that polls it
-// lately reached it. While no host polls it, what its last pollers said holds on
-// until others have taken over: that these are silent says nothing of the server.
+// merged returns the newest report; a server is alive if any of its current pollers reached
+// it. While no host polls it, the last reports stay valid until others have taken over:
+// silent pollers say nothing about the server.
 func (r *serverRow) merged(now time.Time, interval time.Duration) wheelgauge.ServerEntry {
-	maps.DeleteFunc(r.reports, func(_ string, one report) bool { return now.Sub(one.at) > (missedBeats+handoverBeats)*interval })
-	fresh := func(one report) bool { return now.Sub(one.at) <= missedBeats*interval }
+	maps.DeleteFunc(r.reports, func(_ string, rep report) bool {
+		return now.Sub(rep.receivedAt) > (missedIntervals+handoverIntervals)*interval
+	})
+	recent := func(rep report) bool { return now.Sub(rep.receivedAt) <= missedIntervals*interval }
 	polled := false
-	for _, one := range r.reports {
-		polled = polled || fresh(one)
+	for _, rep := range r.reports {
+		polled = polled || recent(rep)
 	}
 	var newest report
 	alive := false
-	for _, one := range r.reports {
-		if polled && !fresh(one) {
+	for _, rep := range r.reports {
+		if polled && !recent(rep) {
 			continue
 		}
-		if one.entry.Alive && (one.at.After(newest.at) || !newest.entry.Alive) || newest.at.IsZero() {
-			newest = one
+		if rep.entry.Alive && (rep.receivedAt.After(newest.receivedAt) || !newest.entry.Alive) || newest.receivedAt.IsZero() {
+			newest = rep
 		}
-		alive = alive || one.entry.Alive
+		alive = alive || rep.entry.Alive
 	}
 	out := newest.entry
 	out.Alive = alive
@@ -179,19 +185,19 @@
 	}
 	h.version++
 	if row.entry.Models != entry.Models {
-		row.told = h.version
+		row.modelsVersion = h.version
 	}
 	row.entry, row.version = entry, h.version
 }
 
-// expire marks what has not been heard of in time.
+// expire marks hosts, servers and regions as dead from which nothing came in time.
 func (h *Hub) expire(now time.Time) {
-	limit := missedBeats * h.interval
+	maxSilence := missedIntervals * h.interval
 	for _, row := range h.hosts {
-		if now.Sub(row.seen) > limit {
+		if now.Sub(row.lastSeen) > maxSilence {
 			entry := row.entry
 			entry.Alive = false
-			row.asks = nil
+			row.forwardable = nil
 			h.setHost(row, entry)
 		}
 	}
@@ -199,13 +205,13 @@
 		h.setServer(row, row.merged(now, h.interval))
 	}
 	for name, row := range h.regions {
-		if now.Sub(row.seen) > limit && !row.summary.Gone {
+		if now.Sub(row.lastSeen) > maxSilence && !row.summary.Gone {
 			h.setRegion(row, wheelgauge.RegionSummary{Region: name, Gone: true})
 		}
 	}
 }
 
-func (h *Hub) since(b wheelgauge.Heartbeat) wheelgauge.View {
+func (h *Hub) viewSince(b wheelgauge.Heartbeat) wheelgauge.View {
 	from := b.Since
 	names, models := map[int]string{}, map[int]string{}
 	v := wheelgauge.View{Hub: h.boot, Version: h.version, Names: names, Models: models}
@@ -221,17 +227,17 @@
 		if row.version > from {
 			v.Loads = append(v.Loads, wheelgauge.NewServerLoad(row.number, row.entry))
 		}
-		if row.told > from {
+		if row.modelsVersion > from {
 			models[row.number] = row.entry.Models
 		}
-		if row.born > from {
+		if row.createdVersion > from {
 			names[row.number] = row.entry.Server
 		}
 	}
 	for _, row := range h.regions {
 		if row.version > from {
 			summary := row.summary
-			summary.Crashes = nil // hosts are told of what all regions noted together
+			summary.Crashes = nil // hosts get the merged crashes of all regions
 			v.Regions = append(v.Regions, summary)
 		}
 	}
@@ -247,7 +253,7 @@
 	return v
 }
 
-// Summary sums the region up and grants its spare capacity.
+// Summary returns the region's totals and grants its spare capacity to other regions.
 func (h *Hub) Summary() wheelgauge.RegionSummary {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -261,15 +267,15 @@
 			continue
 		}
 		s.Hosts++
-		for pool, asks := range row.asks {
-			s.Asks[pool] += asks
+		for pool, n := range row.forwardable {
+			s.Asks[pool] += n
 		}
 	}
 	c := h.catalog()
 	if c == nil {
 		return s
 	}
-	s.Down = h.down(c)
+	s.Down = h.downHosts(c)
 	for _, row := range h.servers {
 		spec := c.Server(row.entry.Server)
 		if spec == nil || !row.entry.Alive || row.entry.Leaving || spec.Leaving {
@@ -288,14 +294,14 @@
 	return s
 }
 
-// down names the configured hosts that take no work. A hub that has just
-// started does not know yet of hosts it has not heard.
-func (h *Hub) down(c *catalog.Catalog) []string {
-	settled := h.now().Sub(h.started) > settledViews*h.interval
+// downHosts returns the configured hosts that accept no requests, sorted. A hub that has just
+// started does not count hosts as down from which no heartbeat came yet.
+func (h *Hub) downHosts(c *catalog.Catalog) []string {
+	warmedUp := h.now().Sub(h.started) > warmUpViews*h.interval
 	var out []string
 	for _, host := range c.Hosts(h.region) {
 		row := h.hosts[host.Name]
-		if row == nil && settled || row != nil && (!row.entry.Alive || row.entry.Leaving) {
+		if row == nil && warmedUp || row != nil && (!row.entry.Alive || row.entry.Leaving) {
 			out = append(out, host.Name)
 		}
 	}
@@ -303,37 +309,37 @@
 	return out
 }
 
-// grants splits the spare slots of a pool among the regions that ask, in
-// proportion. While nobody asks each region may have all of them: the first to
-// need them should not wait for a round of asking, and a gateway here turns back
-// what comes when no slot is free.
+// grants splits the spare slots of a pool among the other regions in proportion to their
+// demand. Without any demand each region is granted all of them: the first to need slots
+// should not wait for an exchange of summaries, and gateways of this region refuse requests
+// when no slot is free.
 func (h *Hub) grants(pool string, p wheelgauge.PoolSummary) map[string]int {
-	spare := int(math.Round(spareFraction*float64(p.Slots))) - p.Running - p.Waiting
+	spare := int(math.Round(grantableFraction*float64(p.Slots))) - p.Running - p.Waiting
 	if spare <= 0 || len(h.regions) == 0 {
 		return nil
 	}
-	asks := 0
+	demand := 0
 	for _, row := range h.regions {
-		asks += row.summary.Asks[pool]
+		demand += row.summary.Asks[pool]
 	}
 	out := make(map[string]int, len(h.regions))
 	for name, row := range h.regions {
-		part := spare
-		if asks > 0 {
-			part = spare * row.summary.Asks[pool] / asks
+		share := spare
+		if demand > 0 {
+			share = spare * row.summary.Asks[pool] / demand
 		}
-		out[name] = part
+		out[name] = share
 	}
 	return out
 }
 
-// Exchange takes in another region's summary and returns this region's.
+// Exchange processes another region's summary and returns this region's.
 func (h *Hub) Exchange(s wheelgauge.RegionSummary) wheelgauge.RegionSummary {
 	h.TakeRegion(s)
 	return h.Summary()
 }
 
-// TakeRegion takes in another region's summary.
+// TakeRegion processes another region's summary.
 func (h *Hub) TakeRegion(s wheelgauge.RegionSummary) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -345,7 +351,7 @@
 		row = &regionRow{}
 		h.regions[s.Region] = row
 	}
-	row.seen = h.now()
+	row.lastSeen = h.now()
 	h.crashes.Merge(s.Crashes)
 	h.setRegion(row, s)
 }
--- a/membership/node.go
+++ b/membership/node.go
@@ -30,15 +30,15 @@
 const (
 	pollersPerServer = 2
 	maxPolls         = 16
-	// retryBetter is how many intervals pass before a better hub is tried again.
-	retryBetter = 5
-	// settledViews is how many views of a hub must have come before a host that
-	// it does not name counts as dead.
-	settledViews = 2 * missedBeats
-	// returnRamp is how long a backend server that came back takes to get its
-	// whole share again: its caches are cold.
-	returnRamp  = 20 * time.Second
-	rampMinimum = 0.2
+	// hubRetryIntervals is how many intervals pass before a preferred hub is tried again.
+	hubRetryIntervals = 5
+	// warmUpViews is how many views a hub must have sent before a host that is missing
+	// from them counts as dead.
+	warmUpViews = 2 * missedIntervals
+	// returnRamp is the time in which a recovered backend server is brought back to its
+	// full share of requests: its caches are cold.
+	returnRamp = 20 * time.Second
+	minRamp    = 0.2
 )
 
 // Options of a Node.
@@ -50,44 +50,45 @@
 	Interval time.Duration
 	Client   *peerhttp.Client
 	Catalog  func() *catalog.Catalog
-	// Poll asks a backend server for its load.
+	// Poll requests the load of a backend server.
 	Poll func(ctx context.Context, s *catalog.Server) (wheelgauge.LoadReport, error)
-	// Asks returns the work that waits here and may go away, by pool.
+	// Asks returns the number of waiting requests that may be forwarded to another region,
+	// by pool.
 	Asks func() map[string]int
-	// Crashes are those that this host noted, and keeps of what all hosts did.
+	// Crashes holds those that this host recorded, and those kept of all hosts.
 	Crashes *quarantine.Table
-	// Limits are those that servers have named to this host, and what others heard.
+	// Limits holds those that servers announced to this host or to others.
 	Limits *serverlimit.Table
-	// Clock judges who is heard; the steady one when nil.
+	// Clock is used for the age of heartbeats and reports; the monotonic clock when nil.
 	Clock wheelgauge.Clock
 	Log   logr.Logger
 }
 
-// Node is the member of one gateway.
+// Node takes part in membership for one gateway.
 type Node struct {
 	options Options
 	hub     *Hub
 
-	mu      sync.RWMutex
-	leaving bool
-	hosts   map[string]wheelgauge.HostEntry
-	servers map[string]*ServerState
-	names   map[int]string
-	models  map[int]string
-	regions map[string]wheelgauge.RegionSummary
-	viewHub uint64
-	version uint64
-	at      int
-	beats   int
-	views   int // from this hub
-	// crashes is the last change of the host's own that the hub knows of, crashesAt
-	// names the list held of all hosts'.
-	crashes   uint64
-	crashesAt uint64
-	// limits and limitsAt are the same of the limits of servers.
-	limits   uint64
-	limitsAt uint64
-	target   string
+	mu          sync.RWMutex
+	leaving     bool
+	hosts       map[string]wheelgauge.HostEntry
+	servers     map[string]*ServerState
+	names       map[int]string
+	models      map[int]string
+	regions     map[string]wheelgauge.RegionSummary
+	hubBoot     uint64
+	viewVersion uint64
+	hubIndex    int
+	ticks       int
+	views       int // received from this hub
+	// crashesAcked is the last change of this host's own crashes that the hub knows,
+	// crashesVersion identifies the list last received of all hosts' crashes.
+	crashesAcked   uint64
+	crashesVersion uint64
+	// limitsAcked and limitsVersion are the same for servers' rate limits.
+	limitsAcked   uint64
+	limitsVersion uint64
+	hubAddress    string
 
 	cancel context.CancelFunc
 	done   chan error
@@ -114,16 +115,17 @@
 	return n
 }
 
-// Hub returns the hub that stands in while the region's store host is away.
+// Hub returns this gateway's own hub, which is used while the region's store host is
+// unreachable.
 func (n *Node) Hub() *Hub { return n.hub }
 
-// Close stops the heartbeats and waits.
+// Close stops the heartbeats and waits for the last one.
 func (n *Node) Close() error {
 	n.cancel()
 	return <-n.done
 }
 
-// Leave says in the next heartbeats that this host takes no new work.
+// Leave announces in the next heartbeats that this host accepts no new requests.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -135,21 +137,22 @@
 	return every.Interval(ctx, n.options.Interval, n.tick)
 }
 
-// tick runs the systems of one interval over the tables.
+// tick polls servers, sends the heartbeat and exchanges summaries for one interval.
 func (n *Node) tick(ctx context.Context) {
 	c := n.options.Catalog()
 	if c == nil {
 		return
 	}
-	limit, cancel := context.WithTimeout(ctx, n.options.Interval)
+	tickCtx, cancel := context.WithTimeout(ctx, n.options.Interval)
 	defer cancel()
-	polled := n.poll(limit, c)
-	n.beat(limit, c, polled)
-	n.exchange(limit, c)
+	polled := n.poll(tickCtx, c)
+	n.sendHeartbeat(tickCtx, c, polled)
+	n.exchange(tickCtx, c)
 }
 
-// assigned returns the servers of this hall that this host polls: those it is
-// among the best live hosts for. A hall without live hosts is served by the region.
+// assigned returns the servers that this host polls: those of its hall for which it is among
+// the pollersPerServer live hosts of the highest rendezvous score. Servers of a hall without
+// live hosts are polled by hosts of the whole region.
 func (n *Node) assigned(c *catalog.Catalog) []*catalog.Server {
 	halls := map[string][]string{}
 	var all []string
@@ -188,9 +191,9 @@
 }
 
 func (n *Node) pollOne(ctx context.Context, s *catalog.Server) wheelgauge.ServerEntry {
-	limit, cancel := context.WithTimeout(ctx, n.options.Interval*3/4)
+	pollCtx, cancel := context.WithTimeout(ctx, n.options.Interval*3/4)
 	defer cancel()
-	load, err := n.options.Poll(limit, s)
+	load, err := n.options.Poll(pollCtx, s)
 	if err != nil {
 		return wheelgauge.ServerEntry{Server: s.Name}
 	}
@@ -198,7 +201,7 @@
 }
 
 // hubs returns the addresses to try, best first: the region's stores, then
-// gateways in an order that all hosts agree on. self is empty.
+// gateways in an order that all hosts agree on. This host's own address is empty.
 func (n *Node) hubs(c *catalog.Catalog) []string {
 	var out, names []string
 	for _, h := range c.Hosts(n.options.Region) {
@@ -218,28 +221,28 @@
 	return out
 }
 
-func (n *Node) beat(ctx context.Context, c *catalog.Catalog, polled []wheelgauge.ServerEntry) {
+func (n *Node) sendHeartbeat(ctx context.Context, c *catalog.Catalog, polled []wheelgauge.ServerEntry) {
 	hubs := n.hubs(c)
 	n.mu.Lock()
-	n.beats++
-	if n.beats%retryBetter == 0 {
-		n.at = 0
+	n.ticks++
+	if n.ticks%hubRetryIntervals == 0 {
+		n.hubIndex = 0
 	}
-	at := min(n.at, len(hubs)-1)
+	index := min(n.hubIndex, len(hubs)-1)
 	b := wheelgauge.Heartbeat{
 		Host: n.options.Host, Boot: n.options.Boot, Leaving: n.leaving, Generation: c.Generation(),
-		Asks: n.options.Asks(), Servers: polled, Since: n.version, Hub: n.viewHub, CrashesAt: n.crashesAt, LimitsAt: n.limitsAt,
+		Asks: n.options.Asks(), Servers: polled, Since: n.viewVersion, Hub: n.hubBoot, CrashesAt: n.crashesVersion, LimitsAt: n.limitsVersion,
 	}
-	var told, heard uint64
-	b.Crashes, told = n.options.Crashes.Since(n.crashes)
-	b.Limits, heard = n.options.Limits.Heard(n.limits)
+	var crashChange, limitChange uint64
+	b.Crashes, crashChange = n.options.Crashes.Since(n.crashesAcked)
+	b.Limits, limitChange = n.options.Limits.Heard(n.limitsAcked)
 	n.mu.Unlock()
-	for ; at >= 0 && at < len(hubs); at++ {
-		view, err := n.send(ctx, hubs[at], b)
+	for ; index >= 0 && index < len(hubs); index++ {
+		view, err := n.send(ctx, hubs[index], b)
 		if err == nil {
-			n.take(view, hubs[at], at)
-			n.takeCrashes(view, told)
-			n.takeLimits(view, heard)
+			n.applyView(view, hubs[index], index)
+			n.applyCrashes(view, crashChange)
+			n.applyLimits(view, limitChange)
 			return
 		}
 		if ctx.Err() != nil {
@@ -248,29 +251,29 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.at = min(at+1, len(hubs)-1)
-	n.applyOwn(polled)
+	n.hubIndex = min(index+1, len(hubs)-1)
+	n.applyServers(polled)
 }
 
 func (n *Node) send(ctx context.Context, address string, b wheelgauge.Heartbeat) (wheelgauge.View, error) {
 	if address == "" {
 		return n.hub.Beat(b), nil
 	}
-	limit, cancel := context.WithTimeout(ctx, n.options.Interval/2)
+	callCtx, cancel := context.WithTimeout(ctx, n.options.Interval/2)
 	defer cancel()
 	var v wheelgauge.View
-	err := n.options.Client.Call(limit, http.MethodPost, address, PathBeat, b, &v)
+	err := n.options.Client.Call(callCtx, http.MethodPost, address, PathBeat, b, &v)
 	return v, err
 }
 
-func (n *Node) take(v wheelgauge.View, hub string, at int) {
+func (n *Node) applyView(v wheelgauge.View, hub string, index int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.target != hub {
+	if n.hubAddress != hub {
 		n.options.Log.Info("Heartbeats go to another hub.", "hub", hub)
-		n.target = hub
+		n.hubAddress = hub
 	}
-	n.at, n.viewHub, n.version = at, v.Hub, v.Version
+	n.hubIndex, n.hubBoot, n.viewVersion = index, v.Hub, v.Version
 	n.views++
 	if v.Full {
 		n.views = 0
@@ -281,46 +284,47 @@
 	for _, h := range v.Hosts {
 		n.hosts[h.Host] = h
 	}
-	n.applyOwn(n.unpack(v))
+	n.applyServers(n.unpack(v))
 	for _, r := range v.Regions {
 		n.regions[r.Region] = r
 	}
 }
 
-// takeCrashes keeps what a hub tells of the crashes of all hosts. One that has just begun
-// to answer knows nothing yet: it is told all again, and takes nothing back.
-func (n *Node) takeCrashes(v wheelgauge.View, told uint64) {
+// applyCrashes keeps the crashes of all hosts that a hub sends. A hub that has just begun to
+// answer does not know all of them yet: it is sent all of this host's again, and those missing
+// from its list are kept.
+func (n *Node) applyCrashes(v wheelgauge.View, acked uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.crashes = told
+	n.crashesAcked = acked
 	if v.Full {
-		n.crashes = 0
+		n.crashesAcked = 0
 	}
-	if v.CrashesAt == n.crashesAt && !v.Full {
+	if v.CrashesAt == n.crashesVersion && !v.Full {
 		return
 	}
-	if n.views < settledViews {
-		n.crashesAt = 0 // to be told once more
+	if n.views < warmUpViews {
+		n.crashesVersion = 0 // requests the list again
 		n.options.Crashes.KeepBesides(v.Crashes)
 		return
 	}
-	n.crashesAt = v.CrashesAt
+	n.crashesVersion = v.CrashesAt
 	n.options.Crashes.Keep(v.Crashes)
 }
 
-// takeLimits takes what a hub tells of the limits of servers. One that has just begun to
-// answer is told all again.
-func (n *Node) takeLimits(v wheelgauge.View, heard uint64) {
+// applyLimits merges the rate limits of servers that a hub sends. A hub that has just begun
+// to answer is sent all of this host's again.
+func (n *Node) applyLimits(v wheelgauge.View, acked uint64) {
 	n.options.Limits.Merge(v.Limits)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.limits, n.limitsAt = heard, v.LimitsAt
+	n.limitsAcked, n.limitsVersion = acked, v.LimitsAt
 	if v.Full {
-		n.limits = 0
+		n.limitsAcked = 0
 	}
 }
 
-// unpack gives loads the names that go with their numbers at the hub.
+// unpack returns the loads of a view with the names that the hub's numbers stand for.
 func (n *Node) unpack(v wheelgauge.View) []wheelgauge.ServerEntry {
 	for number, name := range v.Names {
 		n.names[number] = name
@@ -335,8 +339,8 @@
 	return out
 }
 
-// applyOwn puts entries into the server table.
-func (n *Node) applyOwn(entries []wheelgauge.ServerEntry) {
+// applyServers puts entries into the server table; the lock is held.
+func (n *Node) applyServers(entries []wheelgauge.ServerEntry) {
 	now := n.options.Clock.Now()
 	for _, e := range entries {
 		s := n.servers[e.Server]
@@ -352,13 +356,13 @@
 	}
 }
 
-// exchange sends this region's summary to the others while this host stands in
-// as hub.
+// exchange sends this region's summary to the others while this host is the region's
+// hub.
 func (n *Node) exchange(ctx context.Context, c *catalog.Catalog) {
 	n.mu.RLock()
-	mine := n.target == ""
+	isHub := n.hubAddress == ""
 	n.mu.RUnlock()
-	if mine {
+	if isHub {
 		Exchange(ctx, n.hub, c, n.options.Client)
 	}
 }
@@ -372,14 +376,14 @@
 			continue
 		}
 		group.Go(func() error {
-			exchangeOne(ctx, hub, c, client, region, summary)
+			exchangeRegion(ctx, hub, c, client, region, summary)
 			return nil
 		})
 	}
-	_ = group.Wait() // a region that is not reached expires by itself
+	_ = group.Wait() // an unreachable region expires by itself
 }
 
-func exchangeOne(ctx context.Context, hub *Hub, c *catalog.Catalog, client *peerhttp.Client, region string, summary wheelgauge.RegionSummary) {
+func exchangeRegion(ctx context.Context, hub *Hub, c *catalog.Catalog, client *peerhttp.Client, region string, summary wheelgauge.RegionSummary) {
 	for _, h := range c.Hosts(region) {
 		if h.Store == "" {
 			continue
--- a/membership/state.go
+++ b/membership/state.go
@@ -11,15 +11,15 @@
 // ServerState is what a node knows of a backend server.
 type ServerState struct {
 	wheelgauge.ServerEntry
-	// Known is false until a report came.
+	// Known is false until the first report.
 	Known bool
-	// Since is when it was first seen alive after being down.
+	// Since is when the server was first seen alive after being down.
 	Since time.Time
-	// Reported counts the reports, so that a reader sees when a new one came.
+	// Reported counts the reports, so that a reader can detect a new one.
 	Reported uint64
 }
 
-// HostAlive tells whether the hub hears a host and it is not leaving.
+// HostAlive reports whether a host is alive by the hub's view and not leaving.
 func (n *Node) HostAlive(name string) bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -27,13 +27,13 @@
 	return ok && h.Alive && !h.Leaving
 }
 
-// mayBeAlive tells whether the hub has not had the time to hear a host. Without
-// this every host would poll every backend server when it starts.
+// mayBeAlive reports whether the hub may not have received a host's first heartbeat yet.
+// Without this every host would poll every backend server when it starts.
 func (n *Node) mayBeAlive(name string) bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	_, known := n.hosts[name]
-	return !known && n.views <= settledViews
+	return !known && n.views <= warmUpViews
 }
 
 // Server returns what is known of a backend server.
@@ -46,26 +46,26 @@
 	return ServerState{}
 }
 
-// Ready tells whether the server reports a version of a model as ready; any
+// Ready reports whether the server has a version of a model as ready; any
 // version when version is empty.
 func (s *ServerState) Ready(model, version string) bool {
-	for one := range strings.SplitSeq(s.Models, ",") {
-		name, at, _ := strings.Cut(one, "@")
-		if name == model && (version == "" || at == version) {
+	for entry := range strings.SplitSeq(s.Models, ",") {
+		name, reported, _ := strings.Cut(entry, "@")
+		if name == model && (version == "" || reported == version) {
 			return true
 		}
 	}
 	return false
 }
 
-// Ramp returns the part of its slots that a server gets: less than 1 for a
-// while after it came back.
+// Ramp returns the fraction of a server's slots that may be used: less than 1 for
+// returnRamp after it recovered.
 func (s *ServerState) Ramp(now time.Time) float64 {
 	if s.Since.IsZero() {
 		return 1
 	}
-	part := float64(now.Sub(s.Since)) / float64(returnRamp)
-	return min(1, max(rampMinimum, part))
+	fraction := float64(now.Sub(s.Since)) / float64(returnRamp)
+	return min(1, max(minRamp, fraction))
 }
 
 // Region returns the last summary of another region.
@@ -75,15 +75,15 @@
 	return n.regions[name]
 }
 
-// RegionGone tells whether a region was heard of and is not any more.
+// RegionGone reports whether a region that was known has become unreachable.
 func (n *Node) RegionGone(name string) bool { return n.Region(name).Gone }
 
-// HostDown tells whether another region says that one of its hosts takes no work.
+// HostDown reports whether another region lists one of its hosts as accepting no requests.
 func (n *Node) HostDown(region, host string) bool {
 	return slices.Contains(n.Region(region).Down, host)
 }
 
-// RegionKnown tells whether a region was ever heard of.
+// RegionKnown reports whether a summary of a region was ever received.
 func (n *Node) RegionKnown(name string) bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -91,9 +91,9 @@
 	return ok
 }
 
-// HubAddress returns the hub in use; empty is this host itself.
+// HubAddress returns the address of the hub in use, empty for this host itself.
 func (n *Node) HubAddress() string {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	return n.target
+	return n.hubAddress
 }
--- a/peerset/table.go
+++ b/peerset/table.go
@@ -1,5 +1,5 @@
-// Package peerset is a host's table of the gateways of other regions and of
-// how much work those regions have.
+// Package peerset is a host's table of the gateways of other regions and of the load of
+// those regions.
 package peerset
 
 import (
@@ -14,18 +14,18 @@
 )
 
 const (
-	// connsToPeer bounds the connections to one gateway of another region.
-	connsToPeer = 256
-	// pauseTime keeps work off a gateway that was not reached or refused.
+	// maxConnsPerPeer bounds the connections to one gateway of another region.
+	maxConnsPerPeer = 256
+	// pauseTime is how long a gateway gets no requests after it refused one or was unreachable.
 	pauseTime = time.Second
-	// silentTime keeps work off a region of which a gateway was silent: the
-	// link to it is cut more likely than not.
+	// silentTime is how long a region gets no requests after one of its gateways did not
+	// answer: most likely the link to the region is down.
 	silentTime = 1500 * time.Millisecond
-	// firstWay is how long the way to another region and back is taken to be
-	// until a call there was measured: a long one, so that little goes there.
-	firstWay = 200 * time.Millisecond
-	// wayWeight is the weight of a new measurement in the running mean.
-	wayWeight = 0.2
+	// initialRoundTrip is the round-trip time assumed for a region until a call there was
+	// measured: a long one, so that few requests are forwarded there.
+	initialRoundTrip = 200 * time.Millisecond
+	// roundTripWeight is the weight of a new measurement in the running mean.
+	roundTripWeight = 0.2
 )
 
 // Peer is a gateway of another region.
@@ -33,11 +33,11 @@
 	host   wheelgauge.FleetHost
 	pool   *serverconn.Pool
 	paused time.Time
-	// backoffs is until when the servers of a service back off as far as this gateway has to do
-	// with them.
+	// backoffs is the time until which the servers of a service back off, as reported by this
+	// gateway.
 	backoffs map[string]time.Time
-	// named is set while the callers of its region are told of it.
-	named bool
+	// announced is set while it is among the hosts announced to callers of its region.
+	announced bool
 }
 
 // Name returns the gateway's name.
@@ -49,11 +49,11 @@
 // Pool returns the connections to the gateway.
 func (p *Peer) Pool() *serverconn.Pool { return p.pool }
 
-// use is the load of a service in another region, with what this host has sent
-// there since.
-type use struct {
-	told wheelgauge.ServiceUse
-	sent wheelgauge.Work
+// serviceLoad is the last reported load of a service in another region, and what this host
+// has sent there since.
+type serviceLoad struct {
+	reported wheelgauge.ServiceUse
+	sent     wheelgauge.Work
 }
 
 // Table is safe for concurrent use.
@@ -61,31 +61,31 @@
 	mu     sync.Mutex
 	region string
 	peers  map[string]*Peer
-	uses   map[string]map[string]*use
-	// silent is until when a region counts as cut off.
-	silent map[string]time.Time
-	// ways are the running means of calls to regions, reached when one was last
-	// answered.
-	ways    map[string]time.Duration
-	reached map[string]time.Time
-	// opened counts the requests to each region that found no idle connection, since
-	// connections were last opened ahead.
-	opened map[string]int
-	// silence is how long a region that is in touch may answer no call.
-	silence time.Duration
-	now     func() time.Time
+	loads  map[string]map[string]*serviceLoad
+	// silentUntil is the time until which a region counts as unreachable.
+	silentUntil map[string]time.Time
+	// roundTrips are the running means of the round-trip times of calls to regions,
+	// lastAnswers the times at which one was last answered.
+	roundTrips  map[string]time.Duration
+	lastAnswers map[string]time.Time
+	// idleMisses counts the requests to each region that found no idle connection since
+	// connections were last opened ahead of use.
+	idleMisses map[string]int
+	// maxSilence is how long a reachable region may leave all calls unanswered.
+	maxSilence time.Duration
+	now        func() time.Time
 }
 
-// New returns an empty table of a host in region. silence is how long a region
-// that is in touch may answer no call.
-func New(region string, silence time.Duration, now func() time.Time) *Table {
+// New returns an empty table of a host in region. maxSilence is how long a reachable
+// region may leave all calls unanswered.
+func New(region string, maxSilence time.Duration, now func() time.Time) *Table {
 	return &Table{
-		region: region, peers: map[string]*Peer{}, uses: map[string]map[string]*use{}, silent: map[string]time.Time{},
-		ways: map[string]time.Duration{}, reached: map[string]time.Time{}, opened: map[string]int{}, silence: silence, now: now,
+		region: region, peers: map[string]*Peer{}, loads: map[string]map[string]*serviceLoad{}, silentUntil: map[string]time.Time{},
+		roundTrips: map[string]time.Duration{}, lastAnswers: map[string]time.Time{}, idleMisses: map[string]int{}, maxSilence: maxSilence, now: now,
 	}
 }
 
-// SetHosts takes the live hosts of all regions.
+// SetHosts sets the live hosts of all regions.
 func (t *Table) SetHosts(hosts []wheelgauge.FleetHost) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,7 +95,7 @@
 			continue
 		}
 		seen[h.Name] = true
-		t.peers[h.Name] = renewed(t.peers[h.Name], h, t.now)
+		t.peers[h.Name] = updated(t.peers[h.Name], h, t.now)
 	}
 	for name, p := range t.peers {
 		if !seen[name] {
@@ -103,94 +103,95 @@
 			delete(t.peers, name)
 		}
 	}
-	t.name(hosts)
+	t.markAnnounced(hosts)
 }
 
-// name marks the gateways that callers of their regions are told of; the lock is held.
-func (t *Table) name(hosts []wheelgauge.FleetHost) {
+// markAnnounced marks the gateways that are announced to callers of their regions; the lock
+// is held.
+func (t *Table) markAnnounced(hosts []wheelgauge.FleetHost) {
 	regions := map[string][]wheelgauge.FleetHost{}
 	for _, h := range hosts {
 		regions[h.Region] = append(regions[h.Region], h)
 	}
-	named := map[string]bool{}
+	announced := map[string]bool{}
 	for _, list := range regions {
 		for _, h := range entryset.Always(list) {
-			named[h.Name] = true
+			announced[h.Name] = true
 		}
 	}
 	for name, p := range t.peers {
-		p.named = named[name]
+		p.announced = announced[name]
 	}
 }
 
-// renewed returns the peer for what a host tells of itself. A peer in use never
-// changes: dispatches read it without the lock.
-func renewed(p *Peer, h wheelgauge.FleetHost, now func() time.Time) *Peer {
+// updated returns the peer for a host's current description. A peer in use is never
+// modified, as dispatches read it without the lock.
+func updated(p *Peer, h wheelgauge.FleetHost, now func() time.Time) *Peer {
 	switch {
 	case p == nil:
 	case p.host == h:
 		return p
 	case p.host.Peer == h.Peer && p.host.Boot == h.Boot:
-		return &Peer{host: h, pool: p.pool, paused: p.paused, backoffs: p.backoffs, named: p.named}
+		return &Peer{host: h, pool: p.pool, paused: p.paused, backoffs: p.backoffs, announced: p.announced}
 	default:
 		p.pool.Close()
 	}
-	return &Peer{host: h, pool: serverconn.New(h.Peer, connsToPeer, serverconn.Far(now))}
+	return &Peer{host: h, pool: serverconn.New(h.Peer, maxConnsPerPeer, serverconn.Far(now))}
 }
 
-// SetUses takes the load of all regions.
+// SetUses sets the load of all regions.
 func (t *Table) SetUses(regions []wheelgauge.RegionUse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before := t.uses
-	t.uses = map[string]map[string]*use{}
+	before := t.loads
+	t.loads = map[string]map[string]*serviceLoad{}
 	for _, r := range regions {
-		services := map[string]*use{}
+		services := map[string]*serviceLoad{}
 		for _, u := range r.Uses {
-			if was := before[r.Region][u.Service]; was != nil && u.Servers > was.told.Servers {
+			if was := before[r.Region][u.Service]; was != nil && u.Servers > was.reported.Servers {
 				t.endBackoffs(r.Region, u.Service)
 			}
-			services[u.Service] = &use{told: u}
+			services[u.Service] = &serviceLoad{reported: u}
 		}
-		t.uses[r.Region] = services
+		t.loads[r.Region] = services
 	}
 }
 
-// Regions returns the other regions that have live gateways and, as far as is
-// known, servers of the service which take work.
+// Regions returns the other regions that have live gateways and, as far as is known,
+// servers of the service that accept requests.
 func (t *Table) Regions(service string) []string {
-	return t.regions(service, stays, func(uses map[string]*use) bool { return offers(uses[service]) })
+	return t.regions(service, staying, func(uses map[string]*serviceLoad) bool { return hasServers(uses[service]) })
 }
 
-// LimitedRegions returns those that have live gateways, and of the service only servers
-// that have named a limit.
+// LimitedRegions returns the other regions that have live gateways, and only servers of the
+// service that have announced a rate limit.
 func (t *Table) LimitedRegions(service string) []string {
-	return t.regions(service, stays, func(uses map[string]*use) bool {
+	return t.regions(service, staying, func(uses map[string]*serviceLoad) bool {
 		u := uses[service]
-		return !offers(u) && u != nil && u.told.Limited > 0
+		return !hasServers(u) && u != nil && u.reported.Limited > 0
 	})
 }
 
-// LeavingRegions returns those whose gateways leave: a last resort for what may
-// run nowhere else, as they still take what they can finish.
+// LeavingRegions returns the other regions with gateways that are leaving: a last resort for
+// requests that may run nowhere else, as these gateways still accept what they can finish.
 func (t *Table) LeavingRegions(service string) []string {
-	return t.regions(service, func(p *Peer) bool { return p.host.Leaving }, func(uses map[string]*use) bool { return offers(uses[service]) })
+	return t.regions(service, func(p *Peer) bool { return p.host.Leaving }, func(uses map[string]*serviceLoad) bool { return hasServers(uses[service]) })
 }
 
-func stays(p *Peer) bool { return !p.host.Leaving }
+func staying(p *Peer) bool { return !p.host.Leaving }
 
-func offers(u *use) bool { return u != nil && u.told.Servers > 0 }
+func hasServers(u *serviceLoad) bool { return u != nil && u.reported.Servers > 0 }
 
-func (t *Table) regions(service string, fits func(p *Peer) bool, serves func(uses map[string]*use) bool) []string {
+func (t *Table) regions(service string, fits func(p *Peer) bool, serves func(uses map[string]*serviceLoad) bool) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
 	for _, p := range t.peers {
-		if !fits(p) || slices.Contains(out, p.host.Region) || !p.takes(service, t.now()) || t.now().Before(t.silent[p.host.Region]) {
+		if !fits(p) || slices.Contains(out, p.host.Region) || !p.accepts(service, t.now()) || t.now().Before(t.silentUntil[p.host.Region]) {
 			continue
 		}
-		// A region whose load is not known yet may be tried.
-		uses, known := t.uses[p.host.Region]
+		// A region whose load is not known yet is included.
+		uses, known := t.loads[p.host.Region]
 		if !known || serves(uses) {
 			out = append(out, p.host.Region)
 		}
@@ -199,19 +200,19 @@
 	return out
 }
 
-// Busiest returns the other region with the most requests in flight, of those
-// in touch; empty when there is none.
+// Busiest returns the reachable other region with the most requests in flight; empty when
+// there is none.
 func (t *Table) Busiest() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	best, most := "", -1
-	for region, services := range t.uses {
-		if region == t.region || !t.inTouch(region) {
+	for region, services := range t.loads {
+		if region == t.region || !t.reachable(region) {
 			continue
 		}
 		running := 0
 		for _, u := range services {
-			running += u.told.Running
+			running += u.reported.Running
 		}
 		if running > most || running == most && region < best {
 			best, most = region, running
@@ -220,52 +221,52 @@
 	return best
 }
 
-// Load returns the load of a service in a region, with the tokens that this
-// host has sent there since it was told.
+// Load returns the last reported load of a service in a region, with the requests and tokens
+// that this host has sent there since.
 func (t *Table) Load(region, service string) wheelgauge.ServiceUse {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.uses[region][service]
+	u := t.loads[region][service]
 	if u == nil {
 		return wheelgauge.ServiceUse{Service: service}
 	}
-	load := u.told
+	sum := u.reported
 	running, tokens := u.sent.Total()
-	load.Running += running
-	load.Tokens += tokens
-	load.Work = load.Work.Plus(u.sent)
-	return load
+	sum.Running += running
+	sum.Tokens += tokens
+	sum.Work = sum.Work.Plus(u.sent)
+	return sum
 }
 
-// Choose returns a live gateway of a region, none of those tried; nil when
-// there is none. One that leaves is the last resort: it still takes what it can
-// finish, and with planned stops one after another a region may have no other for
-// seconds. One with an idle connection goes first: opening another takes a
-// whole way there and back. rank and tokens are those of the prompt that will be sent.
+// Choose returns a live gateway of a region, none of those tried; nil when there is none.
+// A leaving one is the last resort: it still accepts what it can finish, and during a rolling
+// restart a region may have no other for seconds. One with an idle connection is
+// preferred: opening a connection takes another round trip. rank and tokens are those of
+// the prompt that will be sent.
 func (t *Table) Choose(region, service string, rank, tokens int, tried []string) *Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fit := t.fit(region, service, tried)
-	if len(fit) == 0 {
+	fitting := t.candidates(region, service, tried)
+	if len(fitting) == 0 {
 		return nil
 	}
-	if u := t.uses[region][service]; u != nil {
+	if u := t.loads[region][service]; u != nil {
 		u.sent = u.sent.Add(rank, 1, tokens)
 	}
-	p := fit[rand.IntN(len(fit))]
+	p := fitting[rand.IntN(len(fitting))]
 	if !p.pool.Idle() {
-		t.opened[region]++
+		t.idleMisses[region]++
 	}
 	return p
 }
 
-// fit returns the best gateways of a region for a service, none of those tried; the lock
-// is held.
-func (t *Table) fit(region, service string, tried []string) []*Peer {
+// candidates returns the gateways of a region of the highest rank for a service, none of
+// those tried; the lock is held.
+func (t *Table) candidates(region, service string, tried []string) []*Peer {
 	var best []*Peer
 	top := -1
 	for _, p := range t.peers {
-		if p.host.Region != region || slices.Contains(tried, p.host.Name) || !p.takes(service, t.now()) {
+		if p.host.Region != region || slices.Contains(tried, p.host.Name) || !p.accepts(service, t.now()) {
 			continue
 		}
 		rank := p.rank()
@@ -279,8 +280,8 @@
 	return best
 }
 
-// rank is higher for gateways that go first. Those that callers are told of go
-// before the others of a large region: they have connections to its servers.
+// rank is higher for preferred gateways. In a large region those announced to callers are
+// preferred to the others: they already have connections to its servers.
 func (p *Peer) rank() int {
 	rank := 0
 	if !p.host.Leaving {
@@ -289,34 +290,34 @@
 	if p.pool.Idle() {
 		rank += 2
 	}
-	if p.named {
+	if p.announced {
 		rank++
 	}
 	return rank
 }
 
-// takes tells whether the gateway may get requests for a service.
-func (p *Peer) takes(service string, now time.Time) bool {
+// accepts reports whether the gateway may get requests for a service.
+func (p *Peer) accepts(service string, now time.Time) bool {
 	return !now.Before(p.paused) && !now.Before(p.backoffs[service])
 }
 
-// BackOff keeps requests for a service off a gateway that has no server for them but some that
-// back off.
+// BackOff stops requests for a service to a gateway for some time, as all servers that it
+// could use for them back off.
 func (t *Table) BackOff(p *Peer, service string, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.peers[p.host.Name]
-	if now == nil {
+	current := t.peers[p.host.Name]
+	if current == nil {
 		return
 	}
-	if now.backoffs == nil {
-		now.backoffs = map[string]time.Time{}
+	if current.backoffs == nil {
+		current.backoffs = map[string]time.Time{}
 	}
-	now.backoffs[service] = t.now().Add(wait)
+	current.backoffs[service] = t.now().Add(wait)
 }
 
-// endBackoffs lets requests for a service go again to the gateways of a region that has
-// servers more of it. The lock is held.
+// endBackoffs allows requests for a service to the gateways of a region again, as the region
+// has more servers of it. The lock is held.
 func (t *Table) endBackoffs(region, service string) {
 	for _, p := range t.peers {
 		if p.host.Region == region {
@@ -325,8 +326,8 @@
 	}
 }
 
-// BackoffEnds returns after which time the first gateway of some regions takes requests for a
-// service again whose servers back off; ok is false if none has said that they do.
+// BackoffEnds returns the time after which the first backed-off gateway of some regions
+// accepts requests for a service again; ok is false if no gateway there is backed off.
 func (t *Table) BackoffEnds(service string, in func(region string) bool) (after time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -343,60 +344,61 @@
 	return after, ok
 }
 
-// Refused tells that a gateway did not take a request. It gets no work for a
-// while, unless it leaves: it refuses some requests then and takes others.
+// Refused records that a gateway refused a request. It gets no requests for pauseTime,
+// unless it is leaving: then it refuses some requests and accepts others.
 func (t *Table) Refused(p *Peer) {
 	if !p.host.Leaving {
 		t.Pause(p)
 	}
 }
 
-// Pause keeps work off a gateway for a while.
+// Pause stops requests to a gateway for pauseTime.
 func (t *Table) Pause(p *Peer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now := t.peers[p.host.Name]; now != nil {
-		now.paused = t.now().Add(pauseTime)
+	if current := t.peers[p.host.Name]; current != nil {
+		current.paused = t.now().Add(pauseTime)
 	}
 }
 
-// Reached takes how long a call to a region took.
+// Reached records the round-trip time of an answered call to a region.
 func (t *Table) Reached(region string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	was, ok := t.ways[region]
+	was, ok := t.roundTrips[region]
 	if !ok {
 		was = took
 	}
-	t.ways[region] = was + time.Duration(wayWeight*float64(took-was))
-	t.reached[region] = t.now()
+	t.roundTrips[region] = was + time.Duration(roundTripWeight*float64(took-was))
+	t.lastAnswers[region] = t.now()
 }
 
-// inTouch tells whether a region answered a call lately, or was never called;
+// reachable reports whether a region answered a call lately, or no call was ever answered;
 // the lock is held.
-func (t *Table) inTouch(region string) bool {
-	last, ok := t.reached[region]
-	return !ok || t.now().Sub(last) < t.silence
+func (t *Table) reachable(region string) bool {
+	last, ok := t.lastAnswers[region]
+	return !ok || t.now().Sub(last) < t.maxSilence
 }
 
-// Way returns how long the way to a region and back takes.
+// Way returns the mean round-trip time to a region.
 func (t *Table) Way(region string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if way, ok := t.ways[region]; ok {
-		return way
+	if roundTrip, ok := t.roundTrips[region]; ok {
+		return roundTrip
 	}
-	return firstWay
+	return initialRoundTrip
 }
 
-// Silent keeps work off the whole region of a gateway that said nothing.
+// Silent stops requests to the whole region of a gateway that did not answer, for
+// silentTime.
 func (t *Table) Silent(p *Peer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.silent[p.host.Region] = t.now().Add(silentTime)
+	t.silentUntil[p.host.Region] = t.now().Add(silentTime)
 }
 
-// Prune closes idle connections.
+// Prune closes connections that have been idle for too long.
 func (t *Table) Prune() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/peerset/table_test.go
+++ b/peerset/table_test.go
@@ -44,35 +44,35 @@
 		{"no servers there", func(tb *Table, _ *time.Time) {
 			tb.SetUses([]wheelgauge.RegionUse{uses("north", 2, 1), uses("east", 0, 0)})
 		}, []string{"north"}},
-		{"one gateway of two paused", func(tb *Table, _ *time.Time) { tb.Pause(tb.peers["n1"]) }, []string{"east", "north"}},
+		{"one of two gateways paused", func(tb *Table, _ *time.Time) { tb.Pause(tb.peers["n1"]) }, []string{"east", "north"}},
 		{"all gateways back off", func(tb *Table, _ *time.Time) {
 			tb.BackOff(tb.peers["n1"], service, time.Minute)
 			tb.BackOff(tb.peers["n2"], service, time.Minute)
 		}, []string{"east"}},
-		{"one gateway of two backs off", func(tb *Table, _ *time.Time) { tb.BackOff(tb.peers["n1"], service, time.Minute) }, []string{"east", "north"}},
+		{"one of two gateways backs off", func(tb *Table, _ *time.Time) { tb.BackOff(tb.peers["n1"], service, time.Minute) }, []string{"east", "north"}},
 		{"for another service", func(tb *Table, _ *time.Time) {
 			tb.BackOff(tb.peers["n1"], "other", time.Minute)
 			tb.BackOff(tb.peers["n2"], "other", time.Minute)
 		}, []string{"east", "north"}},
-		{"all gateways backed off a while ago", func(tb *Table, at *time.Time) {
+		{"the back-off of all gateways has ended", func(tb *Table, at *time.Time) {
 			tb.BackOff(tb.peers["n1"], service, time.Minute)
 			tb.BackOff(tb.peers["n2"], service, time.Minute)
 			*at = at.Add(time.Minute)
 		}, []string{"east", "north"}},
-		{"all gateways back off, then there are more servers", func(tb *Table, _ *time.Time) {
+		{"all gateways back off, then servers are added", func(tb *Table, _ *time.Time) {
 			tb.SetUses([]wheelgauge.RegionUse{uses("north", 2, 1), uses("east", 1, 0)})
 			tb.BackOff(tb.peers["n1"], service, time.Minute)
 			tb.BackOff(tb.peers["n2"], service, time.Minute)
 			tb.SetUses([]wheelgauge.RegionUse{uses("north", 3, 1), uses("east", 1, 0)})
 		}, []string{"east", "north"}},
-		{"all gateways back off, and the servers stay", func(tb *Table, _ *time.Time) {
+		{"all gateways back off, and the number of servers is unchanged", func(tb *Table, _ *time.Time) {
 			tb.SetUses([]wheelgauge.RegionUse{uses("north", 2, 1), uses("east", 1, 0)})
 			tb.BackOff(tb.peers["n1"], service, time.Minute)
 			tb.BackOff(tb.peers["n2"], service, time.Minute)
 			tb.SetUses([]wheelgauge.RegionUse{uses("north", 2, 5), uses("east", 1, 0)})
 		}, []string{"east"}},
 		{"a silent region", func(tb *Table, _ *time.Time) { tb.Silent(tb.peers["n1"]) }, []string{"east"}},
-		{"silent, but a while ago", func(tb *Table, at *time.Time) {
+		{"a region that was silent a while ago", func(tb *Table, at *time.Time) {
 			tb.Silent(tb.peers["n1"])
 			*at = at.Add(silentTime)
 		}, []string{"east", "north"}},
@@ -92,47 +92,47 @@
 	tb, _ := table()
 	tb.SetUses([]wheelgauge.RegionUse{uses("north", 2, 3), uses("east", 2, 9)})
 	if tb.Busiest() != "east" {
-		t.Errorf("busiest %q", tb.Busiest())
+		t.Errorf("busiest region is %q, want east", tb.Busiest())
 	}
 	if p := tb.Choose("north", service, 1, 500, []string{"n1"}); p == nil || p.Name() != "n2" {
 		t.Fatalf("chose %v, want n2", p)
 	}
 	if got := tb.Load("north", service); got.Running != 4 || got.Tokens != 500 {
-		t.Errorf("load %+v", got)
+		t.Errorf("load is %+v, want 4 requests and 500 tokens", got)
 	}
 	if tb.Choose("north", service, 1, 1, []string{"n1", "n2"}) != nil {
-		t.Error("a gateway that was tried is chosen again")
+		t.Error("a gateway that was tried before is chosen again")
 	}
 }
 
-func TestWayIsMeasured(t *testing.T) {
+func TestRoundTripIsMeasured(t *testing.T) {
 	tb, _ := table()
-	if tb.Way("north") != firstWay {
-		t.Errorf("unknown way %s", tb.Way("north"))
+	if tb.Way("north") != initialRoundTrip {
+		t.Errorf("round-trip time of a region that was never called is %s", tb.Way("north"))
 	}
 	tb.Reached("north", 100*time.Millisecond)
 	tb.Reached("north", 150*time.Millisecond)
 	if got := tb.Way("north"); got != 110*time.Millisecond {
-		t.Errorf("way %s, want 110ms", got)
+		t.Errorf("mean round-trip time is %s, want 110ms", got)
 	}
 }
 
-// What a host tells anew must not change a peer that a dispatch holds.
+// A host's new description must not modify a peer that a dispatch holds.
 func TestPeersInUseDoNotChange(t *testing.T) {
 	tb, _ := table()
 	held := tb.Choose("east", service, 1, 1, nil)
 	pool := held.Pool()
 	tb.SetHosts([]wheelgauge.FleetHost{{Name: "e1", Region: "east", Hall: "moved", Ready: true}})
 	if held.host.Hall != "" || tb.peers["e1"] == held {
-		t.Error("a peer in use was changed")
+		t.Error("a peer in use was modified")
 	}
 	if tb.peers["e1"].Pool() != pool {
-		t.Error("its connections were given up")
+		t.Error("the connections were not kept")
 	}
 }
 
-// A region that answers no call is cut off: its servers cannot be asked for
-// parts of prompts.
+// A region that answers no call is unreachable: cached prefixes of prompts cannot be fetched
+// from its servers.
 func TestBusiest(t *testing.T) {
 	tests := []struct {
 		name string
@@ -167,10 +167,9 @@
 	}
 }
 
-// In a region of more gateways than callers are told of, forwarded requests go to
-// those that callers use: the others would open connections of their own to every
-// server.
-func TestChoosePrefersNamedGateways(t *testing.T) {
+// In a region with more gateways than are announced to callers, forwarded requests go to the
+// announced ones: the others would have to open connections of their own to every server.
+func TestChoosePrefersAnnouncedGateways(t *testing.T) {
 	tb, _ := table()
 	var hosts []wheelgauge.FleetHost
 	for i := range 100 {
@@ -182,11 +181,11 @@
 		used[tb.Choose("north", service, 1, 0, nil).Name()] = true
 	}
 	if len(used) != entryset.Least {
-		t.Errorf("%d gateways used, want the %d that callers are told of", len(used), entryset.Least)
+		t.Errorf("%d gateways used, want the %d that are announced to callers", len(used), entryset.Least)
 	}
 }
 
-// A gateway to which a connection rests goes before one that must be connected.
+// A gateway with an idle connection is preferred to one that must be connected first.
 func TestChoosePrefersIdleConnections(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -216,11 +215,11 @@
 	connected.Pool().Put(c, head, body)
 	for range 20 {
 		if p := tb.Choose("north", service, 1, 0, nil); p.Name() != "n7" {
-			t.Fatalf("chose %s, to which there is no connection", p.Name())
+			t.Fatalf("chose %s, which has no idle connection", p.Name())
 		}
 	}
 	if p := tb.Choose("north", service, 1, 0, []string{"n7"}); p == nil {
-		t.Error("no gateway besides the connected one")
+		t.Error("no gateway is chosen when the connected one was tried")
 	}
 }
 
@@ -228,29 +227,29 @@
 func answerOnce(l net.Listener) {
 	c, err := l.Accept()
 	if err != nil {
-		return // the test sees that nothing is answered
+		return // the test fails as no answer comes
 	}
 	_, _ = c.Read(make([]byte, 1024))
 	_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 }
 
-// Regions whose servers of the service have all named limits are told apart: they are a
-// resort for what can run nowhere else.
+// Regions in which all servers of the service have announced limits are listed separately:
+// they are a last resort for requests that can run nowhere else.
 func TestLimitedRegions(t *testing.T) {
 	tb, _ := table()
 	north, east := uses("north", 0, 0), uses("east", 1, 0)
 	north.Uses[0].Limited, east.Uses[0].Limited = 2, 2
 	tb.SetUses([]wheelgauge.RegionUse{north, east})
 	if got := tb.Regions(service); !slices.Equal(got, []string{"east"}) {
-		t.Errorf("regions are %v", got)
+		t.Errorf("regions without limits are %v, want east", got)
 	}
 	if got := tb.LimitedRegions(service); !slices.Equal(got, []string{"north"}) {
-		t.Errorf("limited regions are %v", got)
+		t.Errorf("limited regions are %v, want north", got)
 	}
 }
 
-// A region whose gateways all leave is no choice among others, but is there for
-// what may run nowhere else; a refusal there does not keep the next request off.
+// A region whose gateways are all leaving is used only for requests that may run nowhere
+// else; a refusal there does not stop the next request.
 func TestLeavingRegions(t *testing.T) {
 	tb, _ := table()
 	if got := tb.LeavingRegions(service); !slices.Equal(got, []string{"south"}) {
@@ -262,7 +261,7 @@
 	}
 	tb.Refused(p)
 	if tb.Choose("south", service, 1, 1, nil) == nil {
-		t.Error("a gateway that leaves gets nothing after a refusal")
+		t.Error("a leaving gateway gets no request after a refusal")
 	}
 	tb.SetHosts([]wheelgauge.FleetHost{{Name: "s1", Region: "south", Ready: true, Leaving: true}, {Name: "s2", Region: "south", Ready: true}})
 	if p := tb.Choose("south", service, 1, 1, nil); p.Name() != "s2" {
--- a/peerset/warm.go
+++ b/peerset/warm.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// spareConns is how many connections to each other region rest at least: a request
-	// that has to open one waits for another whole way there and back.
-	spareConns = 2
-	// openAtOnce bounds the connections to a region that are opened in one round.
-	openAtOnce = 4
-	// openTimeout bounds one: as long as a dispatch would wait.
+	// minIdleConns is the number of idle connections kept to each other region: a request
+	// that has to open one waits for another round trip.
+	minIdleConns = 2
+	// maxOpensPerRound bounds the connections to a region that are opened in one round.
+	maxOpensPerRound = 4
+	// openTimeout bounds the opening of one: as long as a dispatch would wait.
 	openTimeout = 400 * time.Millisecond
 )
 
-// Warm opens connections to other regions ahead of their use, for as many requests
-// as had to open their own since the last call, and the spare ones. It returns when
-// all are open or failed; a region that is silent is left alone.
+// Warm opens connections to other regions ahead of use: as many as requests had to open
+// since the last call, and minIdleConns more. It returns when all are open or failed; silent
+// regions are skipped.
 func (t *Table) Warm(ctx context.Context) {
-	limit, cancel := context.WithTimeout(ctx, openTimeout)
+	openCtx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	var group sync.WaitGroup
-	for _, p := range t.lacking() {
+	for _, p := range t.missingConns() {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			if p.pool.Open(limit) != nil {
-				// Requests that go there find out for themselves.
+			if p.pool.Open(openCtx) != nil {
+				// The error is not examined: requests sent there later find its cause.
 				t.Pause(p)
 			}
 		}()
@@ -37,28 +37,28 @@
 	group.Wait()
 }
 
-// lacking returns the gateways to which connections are to be opened, one each.
-func (t *Table) lacking() []*Peer {
+// missingConns returns a gateway for each connection that is to be opened.
+func (t *Table) missingConns() []*Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fit, resting := map[string][]*Peer{}, map[string]int{}
+	announced, idle := map[string][]*Peer{}, map[string]int{}
 	for _, p := range t.peers {
 		region := p.host.Region
-		if p.host.Leaving || t.now().Before(p.paused) || t.now().Before(t.silent[region]) {
+		if p.host.Leaving || t.now().Before(p.paused) || t.now().Before(t.silentUntil[region]) {
 			continue
 		}
-		resting[region] += p.pool.Resting()
-		if p.named {
-			fit[region] = append(fit[region], p)
+		idle[region] += p.pool.Resting()
+		if p.announced {
+			announced[region] = append(announced[region], p)
 		}
 	}
 	var out []*Peer
-	for region, list := range fit {
-		missing := min(openAtOnce, spareConns+t.opened[region]-resting[region])
+	for region, list := range announced {
+		missing := min(maxOpensPerRound, minIdleConns+t.idleMisses[region]-idle[region])
 		for range missing {
 			out = append(out, list[rand.IntN(len(list))])
 		}
 	}
-	clear(t.opened)
+	clear(t.idleMisses)
 	return out
 }
--- a/peerset/warm_test.go
+++ b/peerset/warm_test.go
@@ -7,7 +7,7 @@
 	"wheelgauge"
 )
 
-// listener takes connections and keeps them.
+// listener accepts connections and keeps them open.
 func listener(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,8 +31,8 @@
 	return l
 }
 
-// A request to another region finds a connection that rests there: opening one takes
-// a whole way there and back more.
+// A request to another region finds an idle connection, as opening one takes another round
+// trip.
 func TestConnectionsAreOpenedAhead(t *testing.T) {
 	l := listener(t)
 	tb, _ := table()
@@ -42,27 +42,27 @@
 	})
 	north := tb.peers["n1"].Pool()
 	tb.Warm(t.Context())
-	if north.Resting() != spareConns {
-		t.Fatalf("%d connections rest, want %d", north.Resting(), spareConns)
+	if north.Resting() != minIdleConns {
+		t.Fatalf("%d idle connections, want %d", north.Resting(), minIdleConns)
 	}
 	tb.Warm(t.Context())
-	if north.Dialed() != spareConns {
-		t.Errorf("%d opened though none was used", north.Dialed())
+	if north.Dialed() != minIdleConns {
+		t.Errorf("%d connections opened in total, though none was used", north.Dialed())
 	}
-	for range spareConns + 2 {
+	for range minIdleConns + 2 {
 		p := tb.Choose("north", service, 1, 0, nil)
 		if _, err := p.Pool().Get(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	// Two requests found none; the next wave is as large, and some more.
+	// Two requests found no idle connection, so that two more are opened for the next wave.
 	tb.Warm(t.Context())
-	if north.Resting() != spareConns+2 {
-		t.Errorf("%d connections rest after a wave, want %d", north.Resting(), spareConns+2)
+	if north.Resting() != minIdleConns+2 {
+		t.Errorf("%d idle connections after a wave of requests, want %d", north.Resting(), minIdleConns+2)
 	}
 	tb.Silent(tb.peers["n1"])
-	if lacking := tb.lacking(); len(lacking) != 0 {
-		t.Errorf("connects to a silent region: %v", lacking)
+	if missing := tb.missingConns(); len(missing) != 0 {
+		t.Errorf("connections are to be opened to a silent region: %v", missing)
 	}
 	tb.Close()
 	if err := north.Open(t.Context()); err == nil {
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous ranks names for a key by highest random weight, so that
-// all who know the same names agree without talking, and a name that comes or
-// goes moves only its own share of keys.
+// Package rendezvous ranks names for a key by highest random weight, so that processes
+// that know the same names agree without communication, and adding or removing a name moves
+// only its own share of the keys.
 //
 // Source: Thaler and Ravishankar, "Using name-based mappings to increase hit
 // rates", IEEE/ACM Transactions on Networking 6(1), 1998.
@@ -14,10 +14,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash hashes a name or key.
+// Hash returns the hash of a name or key, for Score and Weighted.
 func Hash(s string) uint64 { return xxhash.Sum64String(s) }
 
-// Score mixes two hashes into a weight.
+// Score returns the pseudo-random weight of a name for a key, both given as hashes.
 func Score(key, name uint64) uint64 {
 	x := key ^ (name * 0x9e3779b97f4a7c15)
 	x ^= x >> 30
@@ -27,8 +27,8 @@
 	return x ^ (x >> 31)
 }
 
-// Weighted returns a weight that gives a name its part of the keys in
-// proportion to share, which is more than 0.
+// Weighted returns a weight by which a name ranks highest for a number of keys in proportion
+// to share, which must be greater than 0.
 func Weighted(key, name uint64, share float64) float64 {
 	unit := (float64(Score(key, name)>>11) + 0.5) / (1 << 53)
 	return -share / math.Log(unit)
--- a/serverlist/table.go
+++ b/serverlist/table.go
@@ -1,6 +1,6 @@
-// Package serverlist is a store's list of backend servers. It comes in parts of a
-// region each: those that the store reads itself, and those that other stores read
-// and pass on.
+// Package serverlist is a store's list of backend servers. It is made of one list per
+// region: the store reads some itself and receives the others from the stores that read
+// them.
 package serverlist
 
 import (
@@ -12,68 +12,69 @@
 	"wheelgauge"
 )
 
-// coldSlack is how far the time that a server stays cold may be off the countdown
-// from one reading to the next before it counts as news.
-const coldSlack = 150 * time.Millisecond
+// coldTolerance is how far the remaining time of a cold server may deviate from the
+// countdown between two readings before it counts as a change.
+const coldTolerance = 150 * time.Millisecond
 
-// part is the list of one region.
-type part struct {
-	list  []wheelgauge.Server
-	asked time.Time
-	// version changes with the list; store is the boot of the store that numbers it.
-	version uint64
-	store   uint64
+// regionList is the list of one region.
+type regionList struct {
+	list        []wheelgauge.Server
+	requestedAt time.Time
+	// version changes with the list; storeBoot is the boot number of the store that assigns it.
+	version   uint64
+	storeBoot uint64
 }
 
 // Table is safe for concurrent use.
 type Table struct {
-	boot  uint64
-	mu    sync.Mutex
-	parts map[string]part
-	// version changes with any part, reads with any list that this store read anew.
-	version uint64
-	reads   uint64
-	// all joins the parts; nil after a change.
+	boot    uint64
+	mu      sync.Mutex
+	regions map[string]regionList
+	// version changes with any region's list, readVersion with any changed list that this
+	// store read.
+	version     uint64
+	readVersion uint64
+	// all joins the lists of all regions; nil after a change.
 	all []wheelgauge.Server
 	now func() time.Time
 }
 
-// New returns an empty table of a store that started as boot.
+// New returns an empty table of the store with a boot number.
 func New(boot uint64, now func() time.Time) *Table {
-	return &Table{boot: boot, parts: map[string]part{}, now: now}
+	return &Table{boot: boot, regions: map[string]regionList{}, now: now}
 }
 
-// Read takes the list of a region as this store read it at a moment.
-func (t *Table) Read(region string, list []wheelgauge.Server, asked time.Time) {
+// Read sets the list of a region that this store requested at a given time.
+func (t *Table) Read(region string, list []wheelgauge.Server, requestedAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	was, known := t.parts[region]
-	p := part{list: list, asked: asked, version: was.version, store: t.boot}
-	if !known || was.store != t.boot || !same(was, list, asked) {
-		t.reads++
-		p.version = t.reads
+	was, known := t.regions[region]
+	p := regionList{list: list, requestedAt: requestedAt, version: was.version, storeBoot: t.boot}
+	if !known || was.storeBoot != t.boot || !same(was, list, requestedAt) {
+		t.readVersion++
+		p.version = t.readVersion
 	}
-	t.put(region, p)
+	t.set(region, p)
 }
 
-// put replaces a part; the lock is held.
-func (t *Table) put(region string, p part) {
-	was, known := t.parts[region]
-	if !known || !same(was, p.list, p.asked) {
+// set replaces a region's list; the lock is held.
+func (t *Table) set(region string, p regionList) {
+	was, known := t.regions[region]
+	if !known || !same(was, p.list, p.requestedAt) {
 		t.version++
 	}
-	t.parts[region] = p
+	t.regions[region] = p
 	t.all = nil
 }
 
-// same tells whether a list says what a part says: a countdown is no news. While
-// servers are cold, news of the whole list would go to all hosts at each reading.
-func same(was part, list []wheelgauge.Server, asked time.Time) bool {
-	passed := asked.Sub(was.asked)
+// same reports whether a list is unchanged: the countdown of a cold server is no change, or
+// the whole list would be sent to all hosts at each reading while servers are cold.
+func same(was regionList, list []wheelgauge.Server, requestedAt time.Time) bool {
+	passed := requestedAt.Sub(was.requestedAt)
 	return slices.EqualFunc(was.list, list, func(a, b wheelgauge.Server) bool {
 		if a.ColdMS > 0 && b.ColdMS > 0 {
 			expected := time.Duration(a.ColdMS)*time.Millisecond - passed
-			if off := time.Duration(b.ColdMS)*time.Millisecond - expected; off.Abs() > coldSlack {
+			if off := time.Duration(b.ColdMS)*time.Millisecond - expected; off.Abs() > coldTolerance {
 				return false
 			}
 			a.ColdMS = b.ColdMS
@@ -82,61 +83,61 @@
 	})
 }
 
-// Take takes a part that another store read and sent now; false means that it
-// must be sent whole.
+// Take sets a region's list that another store read and has just sent; false means that it
+// must be sent in full.
 func (t *Table) Take(store uint64, m wheelgauge.ServerPart) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	asked := t.now().Add(-time.Duration(m.AgeMS) * time.Millisecond)
-	was, known := t.parts[m.Region]
-	if known && asked.Before(was.asked) {
-		return true // what is held is newer
+	requestedAt := t.now().Add(-time.Duration(m.AgeMS) * time.Millisecond)
+	was, known := t.regions[m.Region]
+	if known && requestedAt.Before(was.requestedAt) {
+		return true // the list held is newer
 	}
-	p := part{list: m.Servers, asked: asked, version: m.Version, store: store}
+	p := regionList{list: m.Servers, requestedAt: requestedAt, version: m.Version, storeBoot: store}
 	if m.Same {
-		if !known || was.store != store || was.version != m.Version {
+		if !known || was.storeBoot != store || was.version != m.Version {
 			return false
 		}
 		p.list = was.list
 	}
-	t.put(m.Region, p)
+	t.set(m.Region, p)
 	return true
 }
 
-// Part returns what this store tells another one of a region, and when it read that;
-// ok is false when it was not read here. A part of the version held there goes
-// without its list.
-func (t *Table) Part(region string, held uint64) (m wheelgauge.ServerPart, asked time.Time, ok bool) {
+// Part returns a region's list as this store sends it to another one, and when it requested
+// that; ok is false when it was not read here. The servers are left out if the other store
+// already holds this version.
+func (t *Table) Part(region string, held uint64) (m wheelgauge.ServerPart, requestedAt time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p, ok := t.parts[region]
-	if !ok || p.store != t.boot {
-		return m, asked, false
+	p, ok := t.regions[region]
+	if !ok || p.storeBoot != t.boot {
+		return m, requestedAt, false
 	}
-	m = wheelgauge.ServerPart{Region: region, Version: p.version, AgeMS: t.now().Sub(p.asked).Milliseconds()}
+	m = wheelgauge.ServerPart{Region: region, Version: p.version, AgeMS: t.now().Sub(p.requestedAt).Milliseconds()}
 	if m.Same = p.version == held; !m.Same {
 		m.Servers = p.list
 	}
-	return m, p.asked, true
+	return m, p.requestedAt, true
 }
 
-// Age is how long ago the list of a region was asked for; ok is false when it is
+// Age returns the time since the list of a region was requested; ok is false when it is
 // not known.
 func (t *Table) Age(region string) (age time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p, ok := t.parts[region]
-	return t.now().Sub(p.asked), ok
+	p, ok := t.regions[region]
+	return t.now().Sub(p.requestedAt), ok
 }
 
-// All returns the servers of all regions, and a number that changes with them; 0
-// when no list is known. The list must not be changed.
+// All returns the servers of all regions, and the version of the list, 0 when no list is
+// known. The list must not be changed.
 func (t *Table) All() ([]wheelgauge.Server, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.all == nil {
-		for _, region := range slices.Sorted(maps.Keys(t.parts)) {
-			t.all = append(t.all, t.parts[region].list...)
+		for _, region := range slices.Sorted(maps.Keys(t.regions)) {
+			t.all = append(t.all, t.regions[region].list...)
 		}
 	}
 	return t.all, t.version
