--- a/beat/client.go
+++ b/beat/client.go
@@ -47,20 +47,19 @@
 // News receives updates from stores. Its methods are called one at a time.
 type News interface {
 	State(s wheelgauge.FleetState)
-	// SameState reports that no store is known to hold a newer state.
+	// Called when no store is known to hold a newer state.
 	SameState()
-	// Hosts and Regions receive what changed; a partial update may lack what the store
-	// has not received yet.
+	// A partial update may lack what the store has not received yet.
 	Hosts(hosts []wheelgauge.FleetHost, partial bool)
 	Servers(list []wheelgauge.Server, requestedAt time.Time)
-	// SameServers reports that the last list was unchanged when requested again.
+	// Called when the last list was unchanged on another request.
 	SameServers(requestedAt time.Time)
 	Uses(uses []wheelgauge.ServerUse)
 	Regions(regions []wheelgauge.RegionUse, partial bool)
-	// Crashes receives the crashes by which requests are quarantined, all of them unless
+	// Receives the crashes by which requests are quarantined, all of them unless
 	// partial.
 	Crashes(crashes []wheelgauge.Crash, partial bool)
-	// Reached receives the duration of an answered call to a store of a region.
+	// Receives the duration of an answered call to a store of a region.
 	Reached(region string, took time.Duration)
 }
 
--- a/peerset/table.go
+++ b/peerset/table.go
@@ -113,14 +113,14 @@
 	for _, h := range hosts {
 		regions[h.Region] = append(regions[h.Region], h)
 	}
-	announced := map[string]bool{}
+	names := map[string]bool{}
 	for _, list := range regions {
 		for _, h := range entryset.Always(list) {
-			announced[h.Name] = true
+			names[h.Name] = true
 		}
 	}
 	for name, p := range t.peers {
-		p.announced = announced[name]
+		p.announced = names[name]
 	}
 }
 
