--- a/acceptor/acceptor.go
+++ b/acceptor/acceptor.go
@@ -1,5 +1,5 @@
-// Package acceptor turns pending residency rules into accepted ones once every
-// configured host and every store has them.
+// Package acceptor accepts pending residency rules once every configured host and
+// every store has them.
 package acceptor
 
 import (
@@ -20,22 +20,22 @@
 	"wheelgauge/replica"
 )
 
-// PathInForce is answered by every store with what it has and was told.
+// PathInForce is the path at which a store returns its StoreReport.
 const PathInForce = "/store/inforce"
 
 const (
-	interval   = 250 * time.Millisecond
-	askTimeout = time.Second
+	checkInterval  = 250 * time.Millisecond
+	requestTimeout = time.Second
 )
 
-// StoreReport is what one store has and was told by hosts.
+// StoreReport has the generation of a store and those that hosts reported to it.
 type StoreReport struct {
 	Store      string               `json:"store"`
 	Generation uint64               `json:"generation"`
 	Hosts      []wheelgauge.InForce `json:"hosts"`
 }
 
-// Acceptor runs on every store and works on the leader.
+// Acceptor checks for pending rules on every store; only the leader accepts them.
 type Acceptor struct {
 	registry *registry.Registry
 	replica  *replica.Replica
@@ -46,15 +46,15 @@
 	done     chan error
 }
 
-// Start begins to watch for pending rules.
+// Start runs an Acceptor until it is closed.
 func Start(ctx context.Context, reg *registry.Registry, rep *replica.Replica, table *inforce.Table, client *peerhttp.Client, log logr.Logger) *Acceptor {
 	ctx, cancel := context.WithCancel(ctx)
 	a := &Acceptor{registry: reg, replica: rep, table: table, client: client, log: log, cancel: cancel, done: make(chan error, 1)}
-	go func() { a.done <- every.Interval(ctx, interval, a.tick) }()
+	go func() { a.done <- every.Interval(ctx, checkInterval, a.tick) }()
 	return a
 }
 
-// Close stops and waits.
+// Close stops the Acceptor and waits until it has ended.
 func (a *Acceptor) Close() error {
 	a.cancel()
 	return <-a.done
@@ -64,13 +64,13 @@
 	if !a.replica.Leading() {
 		return
 	}
-	pending := a.registry.PendingList()
+	pending := a.registry.PendingRules()
 	if len(pending) == 0 {
 		return
 	}
 	reports := a.Reports(ctx)
 	for _, r := range pending {
-		if len(a.Missing(r.PendingGen, reports)) == 0 {
+		if len(a.Lagging(r.PendingGen, reports)) == 0 {
 			a.accept(ctx, r)
 		}
 	}
@@ -80,37 +80,37 @@
 	change := wheelgauge.Change{Op: wheelgauge.OpAccept, Kind: r.Kind, Name: r.Name, Expected: &r.PendingGen}
 	command, err := json.Marshal(change)
 	if err != nil {
-		a.log.Error(err, "Acceptance is not encoded.")
+		a.log.Error(err, "Acceptance of a rule could not be encoded.")
 		return
 	}
-	limit, cancel := context.WithTimeout(ctx, askTimeout)
+	proposeCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	if _, err := a.replica.Propose(limit, command); err != nil {
-		a.log.Error(err, "Acceptance is not logged yet.", "rule", r.Name)
+	if _, err := a.replica.Propose(proposeCtx, command); err != nil {
+		a.log.Error(err, "Acceptance of a rule could not be committed; the next check retries.", "rule", r.Name)
 		return
 	}
 	a.log.Info("Rule is accepted: every host has it.", "rule", r.Name)
 }
 
-// Own returns this store's report.
-func (a *Acceptor) Own() StoreReport {
+// OwnReport returns the report of this store.
+func (a *Acceptor) OwnReport() StoreReport {
 	return StoreReport{Store: a.replica.Status().Self.Name, Generation: a.registry.Generation(), Hosts: a.table.List()}
 }
 
-// Reports asks all stores. One that does not answer is reported at generation 0.
+// Reports returns the reports of all stores. The report of a store that does not respond has generation 0.
 func (a *Acceptor) Reports(ctx context.Context) []StoreReport {
-	limit, cancel := context.WithTimeout(ctx, askTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	status := a.replica.Status()
 	out := make([]StoreReport, len(status.Members))
 	var group sync.WaitGroup
 	for i, m := range status.Members {
 		if m.ID == status.Self.ID {
-			out[i] = a.Own()
+			out[i] = a.OwnReport()
 			continue
 		}
 		group.Go(func() {
-			if err := a.client.Call(limit, http.MethodGet, m.Address, PathInForce, nil, &out[i]); err != nil {
+			if err := a.client.Call(callCtx, http.MethodGet, m.Address, PathInForce, nil, &out[i]); err != nil {
 				out[i] = StoreReport{}
 			}
 			out[i].Store = m.Name
@@ -120,8 +120,8 @@
 	return out
 }
 
-// Hosts merges what all stores were told.
-func Hosts(reports []StoreReport) []wheelgauge.InForce {
+// MergeHosts returns the latest report of each host.
+func MergeHosts(reports []StoreReport) []wheelgauge.InForce {
 	lists := make([][]wheelgauge.InForce, len(reports))
 	for i := range reports {
 		lists[i] = reports[i].Hosts
@@ -129,15 +129,15 @@
 	return inforce.Merge(lists...)
 }
 
-// Missing names the hosts and stores that do not have a generation yet.
-func (a *Acceptor) Missing(generation uint64, reports []StoreReport) []string {
-	has := map[string]bool{}
-	for _, h := range Hosts(reports) {
-		has[h.Host] = h.Generation >= generation
+// Lagging returns the names of the hosts and stores that do not have a generation yet.
+func (a *Acceptor) Lagging(generation uint64, reports []StoreReport) []string {
+	current := map[string]bool{}
+	for _, h := range MergeHosts(reports) {
+		current[h.Host] = h.Generation >= generation
 	}
 	var out []string
 	for _, h := range a.registry.List(wheelgauge.KindHost).Resources {
-		if !has[h.Name] {
+		if !current[h.Name] {
 			out = append(out, h.Name)
 		}
 	}
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog turns resources into the typed, immutable form that requests
-// are decided by.
+// Package catalog builds a typed, immutable view of the configured resources, as
+// needed to decide on requests.
 package catalog
 
 import (
@@ -13,17 +13,17 @@
 	"wheelgauge/rendezvous"
 )
 
-// classPrefix marks a residency rule for all clients of a class.
+// classPrefix starts the client name of a residency rule for all clients of a class.
 const classPrefix = "class:"
 
-// Host is an entry host.
+// Host is an entry host with the hash of its name for rendezvous hashing.
 type Host struct {
 	Name string
 	Hash uint64
 	wheelgauge.HostSpec
 }
 
-// Server is a backend server.
+// Server is a backend server with the hash of its name for rendezvous hashing.
 type Server struct {
 	Name string
 	Hash uint64
@@ -38,48 +38,49 @@
 	Engine bool
 }
 
-type place struct{ pool, region string }
+type poolRegion struct{ pool, region string }
 
-// rule is a residency rule; broken ones refuse every place.
+// rule is a residency rule; one that is unreadable forbids every region.
 type rule struct {
-	allowed []string
-	pending []string
-	broken  bool
+	allowed    []string
+	pending    []string
+	unreadable bool
 }
 
 // Catalog is one generation of the configuration.
 type Catalog struct {
-	generation uint64
-	resources  []wheelgauge.Resource
-	regions    map[string]wheelgauge.RegionSpec
-	hosts      map[string]*Host
-	byRegion   map[string][]*Host
-	servers    map[string]*Server
-	byPlace    map[place][]*Server
-	placed     map[string]map[string]string // version by server, by model
-	models     map[string]*Route
-	paths      []*Route
-	classes    map[string]wheelgauge.ClientClassSpec
-	rules      map[string][]rule
-	pools      map[string]string
-	faults     []error
-	// The names are sorted once, as requests ask for them.
+	generation    uint64
+	resources     []wheelgauge.Resource
+	regions       map[string]wheelgauge.RegionSpec
+	hosts         map[string]*Host
+	hostsByRegion map[string][]*Host
+	servers       map[string]*Server
+	byPoolRegion  map[poolRegion][]*Server
+	placements    map[string]map[string]string // version by model and server
+	models        map[string]*Route
+	paths         []*Route
+	classes       map[string]wheelgauge.ClientClassSpec
+	rules         map[string][]rule
+	pools         map[string]string
+	errs          []error
+	// The sorted names are built once, as every request uses them.
 	regionNames []string
 	poolNames   []string
 }
 
-// Build makes a catalog. A resource that cannot be read is left out and named
-// by Faults; a residency rule that cannot be read refuses every place.
+// Build returns a catalog of resources. It leaves out resources that cannot be
+// decoded and returns them from Faults; a residency rule that cannot be decoded
+// forbids every region.
 func Build(generation uint64, resources []wheelgauge.Resource) *Catalog {
 	c := &Catalog{
 		generation: generation, resources: resources,
-		regions: map[string]wheelgauge.RegionSpec{}, hosts: map[string]*Host{}, byRegion: map[string][]*Host{},
-		servers: map[string]*Server{}, byPlace: map[place][]*Server{}, placed: map[string]map[string]string{},
+		regions: map[string]wheelgauge.RegionSpec{}, hosts: map[string]*Host{}, hostsByRegion: map[string][]*Host{},
+		servers: map[string]*Server{}, byPoolRegion: map[poolRegion][]*Server{}, placements: map[string]map[string]string{},
 		models: map[string]*Route{}, classes: map[string]wheelgauge.ClientClassSpec{}, rules: map[string][]rule{}, pools: map[string]string{},
 	}
 	for i := range resources {
 		if err := c.add(&resources[i]); err != nil {
-			c.faults = append(c.faults, fmt.Errorf("%s %s: %w", resources[i].Kind, resources[i].Name, err))
+			c.errs = append(c.errs, fmt.Errorf("%s %s: %w", resources[i].Kind, resources[i].Name, err))
 		}
 	}
 	c.finish()
@@ -89,19 +90,19 @@
 func (c *Catalog) add(r *wheelgauge.Resource) error {
 	switch r.Kind {
 	case wheelgauge.KindRegion:
-		return read(r.Spec, func(s wheelgauge.RegionSpec) { c.regions[r.Name] = s })
+		return decodeSpec(r.Spec, func(s wheelgauge.RegionSpec) { c.regions[r.Name] = s })
 	case wheelgauge.KindPool:
-		return read(r.Spec, func(s wheelgauge.PoolSpec) { c.pools[r.Name] = s.Type })
+		return decodeSpec(r.Spec, func(s wheelgauge.PoolSpec) { c.pools[r.Name] = s.Type })
 	case wheelgauge.KindHost:
-		return read(r.Spec, func(s wheelgauge.HostSpec) { c.addHost(r.Name, s) })
+		return decodeSpec(r.Spec, func(s wheelgauge.HostSpec) { c.addHost(r.Name, s) })
 	case wheelgauge.KindBackendServer:
-		return read(r.Spec, func(s wheelgauge.BackendServerSpec) { c.addServer(r.Name, s) })
+		return decodeSpec(r.Spec, func(s wheelgauge.BackendServerSpec) { c.addServer(r.Name, s) })
 	case wheelgauge.KindPlacement:
-		return read(r.Spec, c.addPlacement)
+		return decodeSpec(r.Spec, c.addPlacement)
 	case wheelgauge.KindRoute:
-		return read(r.Spec, func(s wheelgauge.RouteSpec) { c.addRoute(r.Name, s) })
+		return decodeSpec(r.Spec, func(s wheelgauge.RouteSpec) { c.addRoute(r.Name, s) })
 	case wheelgauge.KindClientClass:
-		return read(r.Spec, func(s wheelgauge.ClientClassSpec) { c.classes[r.Name] = s })
+		return decodeSpec(r.Spec, func(s wheelgauge.ClientClassSpec) { c.classes[r.Name] = s })
 	case wheelgauge.KindResidencyRule:
 		return c.addRule(r)
 	default:
@@ -109,7 +110,7 @@
 	}
 }
 
-func read[T any](spec json.RawMessage, use func(T)) error {
+func decodeSpec[T any](spec json.RawMessage, use func(T)) error {
 	var s T
 	if err := json.Unmarshal(spec, &s); err != nil {
 		return fmt.Errorf("decode spec: %w", err)
@@ -124,23 +125,23 @@
 	}
 	h := &Host{Name: name, Hash: rendezvous.Hash(name), HostSpec: s}
 	c.hosts[name] = h
-	c.byRegion[s.Region] = append(c.byRegion[s.Region], h)
+	c.hostsByRegion[s.Region] = append(c.hostsByRegion[s.Region], h)
 }
 
 func (c *Catalog) addServer(name string, s wheelgauge.BackendServerSpec) {
 	server := &Server{Name: name, Hash: rendezvous.Hash(name), BackendServerSpec: s}
 	c.servers[name] = server
-	p := place{s.Pool, s.Region}
-	c.byPlace[p] = append(c.byPlace[p], server)
+	p := poolRegion{s.Pool, s.Region}
+	c.byPoolRegion[p] = append(c.byPoolRegion[p], server)
 }
 
 func (c *Catalog) addPlacement(s wheelgauge.PlacementSpec) {
 	model := s.Model
-	if c.placed[model] == nil {
-		c.placed[model] = map[string]string{}
+	if c.placements[model] == nil {
+		c.placements[model] = map[string]string{}
 	}
 	for _, server := range s.Servers {
-		c.placed[model][server] = s.Version
+		c.placements[model][server] = s.Version
 	}
 }
 
@@ -154,28 +155,28 @@
 }
 
 func (c *Catalog) addRule(r *wheelgauge.Resource) error {
-	var one rule
-	client, err := readRule(r.Spec, &one.allowed)
-	next, errPending := readRule(r.Pending, &one.pending)
+	var added rule
+	client, err := decodeRule(r.Spec, &added.allowed)
+	pendingClient, errPending := decodeRule(r.Pending, &added.pending)
 	if err != nil || errPending != nil {
-		one.broken = true
+		added.unreadable = true
 	}
-	for _, name := range []string{client, next} {
+	for _, name := range []string{client, pendingClient} {
 		if name != "" {
-			c.rules[name] = append(c.rules[name], one)
+			c.rules[name] = append(c.rules[name], added)
 		}
-		if client == next {
+		if client == pendingClient {
 			break
 		}
 	}
-	if client == "" && next == "" {
-		// Whom it protects is not known: nobody may be served past it.
-		c.rules[""] = append(c.rules[""], one)
+	if client == "" && pendingClient == "" {
+		// The client that the rule protects is unknown, so it applies to all clients.
+		c.rules[""] = append(c.rules[""], added)
 	}
 	return err
 }
 
-func readRule(spec json.RawMessage, regions *[]string) (string, error) {
+func decodeRule(spec json.RawMessage, regions *[]string) (string, error) {
 	if len(spec) == 0 {
 		return "", nil
 	}
@@ -202,13 +203,13 @@
 // Generation returns the generation of the configuration.
 func (c *Catalog) Generation() uint64 { return c.generation }
 
-// Resources returns what the catalog was built from.
+// Resources returns the resources that the catalog was built from.
 func (c *Catalog) Resources() []wheelgauge.Resource { return c.resources }
 
-// Faults returns the resources that could not be read.
-func (c *Catalog) Faults() []error { return c.faults }
+// Faults returns an error for each resource that could not be decoded.
+func (c *Catalog) Faults() []error { return c.errs }
 
-// PoolType returns the type of a pool; empty when it is not configured.
+// PoolType returns the type of a pool, or "" if it is not configured.
 func (c *Catalog) PoolType(pool string) string { return c.pools[pool] }
 
 // Pools returns the names of all pools, sorted.
@@ -224,39 +225,39 @@
 func (c *Catalog) Host(name string) *Host { return c.hosts[name] }
 
 // Hosts returns the hosts of a region.
-func (c *Catalog) Hosts(region string) []*Host { return c.byRegion[region] }
+func (c *Catalog) Hosts(region string) []*Host { return c.hostsByRegion[region] }
 
 // Server returns a backend server, or nil.
 func (c *Catalog) Server(name string) *Server { return c.servers[name] }
 
-// Servers returns the backend servers of a pool in a region that hold model;
-// model is empty for plain services. Without any placement of the model, every
-// server of the pool holds it.
+// Servers returns the backend servers of a pool in a region that should have the
+// model. model is empty for plain services. If the model has no placement, every
+// server of the pool has it.
 func (c *Catalog) Servers(pool, region, model string) []*Server {
-	all := c.byPlace[place{pool, region}]
-	placed, ok := c.placed[model]
+	all := c.byPoolRegion[poolRegion{pool, region}]
+	versions, ok := c.placements[model]
 	if !ok || model == "" {
 		return all
 	}
 	out := make([]*Server, 0, len(all))
 	for _, s := range all {
-		if _, ok := placed[s.Name]; ok {
+		if _, ok := versions[s.Name]; ok {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// Placed tells whether a model has placements, and the version that a server
-// should hold; ok is false when it should not hold the model.
+// Placed reports whether a model has placements, and returns the version that a
+// server should have; ok is false if the server should not have the model.
 func (c *Catalog) Placed(model, server string) (placed bool, version string, ok bool) {
-	at, placed := c.placed[model]
-	version, ok = at[server]
+	versions, placed := c.placements[model]
+	version, ok = versions[server]
 	return placed, version, ok
 }
 
 // Models returns the models that have placements, sorted.
-func (c *Catalog) Models() []string { return slices.Sorted(maps.Keys(c.placed)) }
+func (c *Catalog) Models() []string { return slices.Sorted(maps.Keys(c.placements)) }
 
 // Engines returns all backend servers of engine pools, sorted by name.
 func (c *Catalog) Engines() []*Server {
@@ -272,7 +273,7 @@
 // RegionServers returns all backend servers of a region.
 func (c *Catalog) RegionServers(region string) []*Server {
 	var out []*Server
-	for p, servers := range c.byPlace {
+	for p, servers := range c.byPoolRegion {
 		if p.region == region {
 			out = append(out, servers...)
 		}
@@ -280,8 +281,8 @@
 	return out
 }
 
-// RouteForModel returns the route of a model, or nil. A model name may carry
-// an adapter after a colon.
+// RouteForModel returns the route of a model, or nil. A model name may have an
+// adapter after a colon.
 func (c *Catalog) RouteForModel(model string) *Route {
 	base, _, _ := strings.Cut(model, ":")
 	return c.models[base]
@@ -297,14 +298,14 @@
 	return nil
 }
 
-// Class returns the limits of a class; ok is false when it is not configured.
+// Class returns the limits of a client class; ok is false if it is not configured.
 func (c *Catalog) Class(name string) (wheelgauge.ClientClassSpec, bool) {
 	s, ok := c.classes[name]
 	return s, ok
 }
 
-// ClaimStore returns the address of the store that keeps a region's claims;
-// empty when there is none.
+// ClaimStore returns the address of the store with a region's claims, or "" if
+// there is none.
 func (c *Catalog) ClaimStore(region string) string {
 	h := c.hosts[c.regions[region].Claims]
 	if h == nil {
@@ -313,8 +314,8 @@
 	return h.Store
 }
 
-// Allows tells whether a client's data may be processed in a region. Rules for
-// the client and for its class both hold, and so do pending ones.
+// Allows reports whether a client's data may be processed in a region. Rules for
+// the client and for its class must both allow it, pending rules included.
 func (c *Catalog) Allows(id wheelgauge.Identity, region string) bool {
 	for _, name := range [...]string{"", id.Client, classPrefix + id.Class} {
 		for i := range c.rules[name] {
@@ -327,7 +328,7 @@
 }
 
 func (r *rule) allows(region string) bool {
-	if r.broken {
+	if r.unreadable {
 		return false
 	}
 	if r.allowed != nil && !slices.Contains(r.allowed, region) {
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -86,6 +86,6 @@
 		}
 	}
 	if c.RouteForModel("none") != nil || c.RouteForPath("none") != nil || len(c.Servers("engines", "karachi", "small")) != 2 || len(c.Faults()) != 1 {
-		t.Error("what is not configured was found, or a fault was not told")
+		t.Error("expected no route for unknown names, two servers for a model without placements, and one fault")
 	}
 }
--- a/configlog/machine.go
+++ b/configlog/machine.go
@@ -1,6 +1,6 @@
-// Package configlog is the replicated state of the routes mode: one whole
-// configuration under an operator's version number, the drained halls, the last rollout of
-// each service, and the crashes by which requests are held back.
+// Package configlog implements the replicated state machine of the routes mode. Its state is
+// one complete configuration under an operator's version number, the drained halls, the last
+// rollout of each service, and the crashes that requests are quarantined for.
 package configlog
 
 import (
@@ -13,22 +13,23 @@
 	"wheelgauge/quarantine"
 )
 
-// Ops of a Command.
+// Operations of a Command.
 const (
 	OpPut    = "put"
 	OpDrain  = "drain"
 	OpResume = "resume"
-	// OpCrashes keeps crashes by which requests are held back, OpForget lets requests go.
+	// OpCrashes adds crashes that requests are quarantined for; OpForget removes all crashes
+	// of some requests.
 	OpCrashes = "crashes"
 	OpForget  = "forget"
-	// OpRollout begins a rollout, OpRolloutStep takes it on, OpRolloutAge notes how long it
-	// runs, for stores that start anew.
+	// OpRollout starts a rollout, OpRolloutStep changes its state, OpRolloutAge records how
+	// long it has run, so that a restart of the stores does not lose that.
 	OpRollout     = "rollout"
 	OpRolloutStep = "rollout-step"
 	OpRolloutAge  = "rollout-age"
 )
 
-// Command is one change.
+// Command is one change of the state.
 type Command struct {
 	Op      string          `json:"op"`
 	Version uint64          `json:"version,omitempty"`
@@ -37,23 +38,23 @@
 	// Crashes are those of OpCrashes, Requests those of OpForget.
 	Crashes  []wheelgauge.Crash       `json:"crashes,omitempty"`
 	Requests []wheelgauge.Fingerprint `json:"requests,omitempty"`
-	// Rollout is the one to begin, or what one of its number has become. Again begins one
-	// anew that was rolled back.
+	// Rollout is the rollout to start, or the new state of the rollout with its number. Retry
+	// allows the start of a rollout to a version that was rolled back.
 	Rollout *wheelgauge.Rollout `json:"rollout,omitempty"`
-	Again   bool                `json:"again,omitempty"`
+	Retry   bool                `json:"again,omitempty"`
 }
 
-// Result answers a Command.
+// Result is the result of a Command.
 type Result struct {
-	// Version is the one held after the change.
+	// Version is the configuration version after the change.
 	Version uint64 `json:"version"`
-	// Taken is false for a change that was there already, or is older.
-	Taken bool `json:"taken"`
-	// Rollout is the one of the service that is held after a change of rollouts.
+	// Applied is false if the change had no effect: it was made already, or is outdated.
+	Applied bool `json:"taken"`
+	// Rollout is the rollout of the service after a change of rollouts.
 	Rollout wheelgauge.Rollout `json:"rollout,omitzero"`
 }
 
-// Machine implements wheelgauge.StateMachine. It is safe for concurrent use.
+// Machine implements wheelgauge.StateMachine on a FleetState. It is safe for concurrent use.
 type Machine struct {
 	mu    sync.RWMutex
 	state wheelgauge.FleetState
@@ -65,7 +66,7 @@
 // Apply implements wheelgauge.StateMachine.
 func (m *Machine) Apply(_ uint64, data []byte) []byte {
 	var c Command
-	// A command that this release cannot read changes nothing at any replica.
+	// All replicas ignore a command that this release cannot decode.
 	if err := json.Unmarshal(data, &c); err != nil {
 		return []byte(`{}`)
 	}
@@ -79,25 +80,25 @@
 func (m *Machine) change(c Command) Result {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	taken := false
+	applied := false
 	switch c.Op {
 	case OpPut:
-		taken = m.put(c)
+		applied = m.put(c)
 	case OpDrain:
-		taken = m.drain(c.Hall)
+		applied = m.drain(c.Hall)
 	case OpResume:
-		taken = m.resume(c.Hall)
+		applied = m.resume(c.Hall)
 	case OpRollout, OpRolloutStep, OpRolloutAge:
 		return m.changeRollout(c)
 	case OpCrashes:
-		return m.keep(quarantine.Join(m.state.Crashes, c.Crashes))
+		return m.setCrashes(quarantine.Join(m.state.Crashes, c.Crashes))
 	case OpForget:
-		return m.keep(quarantine.Forget(m.state.Crashes, c.Requests))
+		return m.setCrashes(quarantine.Forget(m.state.Crashes, c.Requests))
 	}
-	if taken {
+	if applied {
 		m.state.Generation++
 	}
-	return Result{Version: m.state.Version, Taken: taken}
+	return Result{Version: m.state.Version, Applied: applied}
 }
 
 // changeRollout changes the rollout of a service.
@@ -105,27 +106,27 @@
 	if c.Rollout == nil {
 		return Result{Version: m.state.Version}
 	}
-	list, taken := rollouts{m.state.Rollouts}, false
+	list, applied := rollouts{m.state.Rollouts}, false
 	switch c.Op {
 	case OpRollout:
-		list, taken = list.begin(*c.Rollout, m.state.Generation+1, c.Again)
+		list, applied = list.begin(*c.Rollout, m.state.Generation+1, c.Retry)
 	case OpRolloutStep:
-		list, taken = list.step(*c.Rollout)
+		list, applied = list.advance(*c.Rollout)
 	case OpRolloutAge:
-		list, _ = list.age(*c.Rollout)
+		list, _ = list.setElapsed(*c.Rollout)
 	}
 	m.state.Rollouts = list.all
-	if taken {
+	if applied {
 		m.state.Generation++
 	}
-	return Result{Version: m.state.Version, Taken: taken, Rollout: list.of(c.Rollout.Service)}
+	return Result{Version: m.state.Version, Applied: applied, Rollout: list.forService(c.Rollout.Service)}
 }
 
-// keep takes the crashes to keep from now on. No generation is theirs: hosts are told of
-// them by their heartbeats, and need not fetch the state.
-func (m *Machine) keep(crashes []wheelgauge.Crash, changed bool) Result {
+// setCrashes replaces the crashes. It leaves the generation unchanged: hosts receive crashes in
+// heartbeat responses, and need not fetch the state again.
+func (m *Machine) setCrashes(crashes []wheelgauge.Crash, changed bool) Result {
 	m.state.Crashes = crashes
-	return Result{Version: m.state.Version, Taken: changed}
+	return Result{Version: m.state.Version, Applied: changed}
 }
 
 func (m *Machine) put(c Command) bool {
@@ -140,21 +141,21 @@
 	if slices.Contains(m.state.Drained, hall) {
 		return false
 	}
-	// A new slice: states handed out earlier keep theirs.
+	// Copy the slice: callers of State may still read the old one.
 	m.state.Drained = append(slices.Clone(m.state.Drained), hall)
 	return true
 }
 
 func (m *Machine) resume(hall string) bool {
-	at := slices.Index(m.state.Drained, hall)
-	if at < 0 {
+	i := slices.Index(m.state.Drained, hall)
+	if i < 0 {
 		return false
 	}
-	m.state.Drained = slices.Delete(slices.Clone(m.state.Drained), at, at+1)
+	m.state.Drained = slices.Delete(slices.Clone(m.state.Drained), i, i+1)
 	return true
 }
 
-// State returns the present state; its parts must not be changed.
+// State returns the current state. The caller must not change its slices.
 func (m *Machine) State() wheelgauge.FleetState {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/configlog/machine_test.go
+++ b/configlog/machine_test.go
@@ -22,7 +22,7 @@
 	steps := []struct {
 		name       string
 		command    Command
-		taken      bool
+		applied    bool
 		version    uint64
 		generation uint64
 	}{
@@ -40,12 +40,12 @@
 	m := New()
 	for _, s := range steps {
 		r := apply(t, m, s.command)
-		if r.Taken != s.taken || r.Version != s.version || m.State().Generation != s.generation {
+		if r.Applied != s.applied || r.Version != s.version || m.State().Generation != s.generation {
 			t.Errorf("%s: got %+v at generation %d", s.name, r, m.State().Generation)
 		}
 	}
 	if got := string(m.State().Body); got != `{"a":4}` {
-		t.Errorf("body %s", got)
+		t.Errorf("got body %s, want that of version 9", got)
 	}
 	snapshot, err := m.Snapshot()
 	if err != nil {
@@ -56,6 +56,6 @@
 		t.Fatal(err)
 	}
 	if other.State().Version != 9 || other.State().Generation != 4 {
-		t.Errorf("restored %+v", other.State())
+		t.Errorf("got restored state %+v, want version 9 at generation 4", other.State())
 	}
 }
--- a/configlog/rollouts.go
+++ b/configlog/rollouts.go
@@ -6,58 +6,59 @@
 	"wheelgauge"
 )
 
-// rollouts are the last ones of each service. Changes make new lists: states handed out
-// earlier keep theirs.
+// rollouts has the last rollout of each service. Changes copy the list, as callers of
+// Machine.State may still read the old one.
 type rollouts struct {
 	all []wheelgauge.Rollout
 }
 
-// of returns the rollout of a service; the zero value without one.
-func (l rollouts) of(service string) wheelgauge.Rollout {
+// forService returns the rollout of a service, or the zero value if it has none.
+func (l rollouts) forService(service string) wheelgauge.Rollout {
 	r, _ := wheelgauge.RolloutOf(l.all, service)
 	return r
 }
 
-// begin begins a rollout unless the service is in one, has the version already, or went back
-// from it and is not to try it again.
-func (l rollouts) begin(r wheelgauge.Rollout, number uint64, again bool) (rollouts, bool) {
-	was := l.of(r.Service)
-	same := was.Version == r.Version
+// begin starts a rollout unless one is running for the service, or the version is already
+// deployed, or it was rolled back and retry is false.
+func (l rollouts) begin(r wheelgauge.Rollout, number uint64, retry bool) (rollouts, bool) {
+	last := l.forService(r.Service)
+	same := last.Version == r.Version
 	switch {
-	case was.Running():
+	case last.Running():
 		return l, false
-	case same && was.State == wheelgauge.RolloutCompleted:
+	case same && last.State == wheelgauge.RolloutCompleted:
 		return l, false
-	case same && was.State == wheelgauge.RolloutRolledBack && !again:
+	case same && last.State == wheelgauge.RolloutRolledBack && !retry:
 		return l, false
 	}
-	return l.put(wheelgauge.Rollout{RolloutOrder: r.RolloutOrder, Number: number, State: wheelgauge.RolloutRunning}), true
+	return l.replace(wheelgauge.Rollout{RolloutOrder: r.RolloutOrder, Number: number, State: wheelgauge.RolloutRunning}), true
 }
 
-// step takes the rollout of a number on; one that has ended stays as it is.
-func (l rollouts) step(r wheelgauge.Rollout) (rollouts, bool) {
-	was := l.of(r.Service)
-	if was.Number != r.Number || !was.Running() {
+// advance changes the state of the running rollout with the same number; one that has ended
+// stays unchanged.
+func (l rollouts) advance(r wheelgauge.Rollout) (rollouts, bool) {
+	last := l.forService(r.Service)
+	if last.Number != r.Number || !last.Running() {
 		return l, false
 	}
-	next := was
+	next := last
 	next.State, next.Cause = r.State, r.Cause
-	next.Shifting = was.Shifting || r.Shifting
-	next.ElapsedMS = max(was.ElapsedMS, r.ElapsedMS)
-	return l.put(next), true
+	next.Shifting = last.Shifting || r.Shifting
+	next.ElapsedMS = max(last.ElapsedMS, r.ElapsedMS)
+	return l.replace(next), true
 }
 
-// age notes how long the rollout of a number has run.
-func (l rollouts) age(r wheelgauge.Rollout) (rollouts, bool) {
-	was := l.of(r.Service)
-	if was.Number != r.Number || r.ElapsedMS <= was.ElapsedMS {
+// setElapsed raises the elapsed time of the rollout with the same number.
+func (l rollouts) setElapsed(r wheelgauge.Rollout) (rollouts, bool) {
+	last := l.forService(r.Service)
+	if last.Number != r.Number || r.ElapsedMS <= last.ElapsedMS {
 		return l, false
 	}
-	was.ElapsedMS = r.ElapsedMS
-	return l.put(was), true
+	last.ElapsedMS = r.ElapsedMS
+	return l.replace(last), true
 }
 
-func (l rollouts) put(r wheelgauge.Rollout) rollouts {
-	all := slices.DeleteFunc(slices.Clone(l.all), func(was wheelgauge.Rollout) bool { return was.Service == r.Service })
+func (l rollouts) replace(r wheelgauge.Rollout) rollouts {
+	all := slices.DeleteFunc(slices.Clone(l.all), func(last wheelgauge.Rollout) bool { return last.Service == r.Service })
 	return rollouts{append(all, r)}
 }
--- a/confstore/caps.go
+++ b/confstore/caps.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// refusedEvery is how often refusals are logged, mostRefused of how many caps.
-	refusedEvery = time.Second
-	mostRefused  = 8
-	// capsEvery is how often the bank is told of a new configuration and of other stores:
-	// callers of a new workspace wait for neither.
-	capsEvery = 100 * time.Millisecond
+	// refusalLogInterval is how often refusals are logged, maxLoggedCaps for how many caps at most.
+	refusalLogInterval = time.Second
+	maxLoggedCaps      = 8
+	// capsUpdateInterval is how often the allocator gets a changed configuration and the list
+	// of stores. It is short so that callers of a new workspace need not wait.
+	capsUpdateInterval = 100 * time.Millisecond
 )
 
-// serveCaps answers an entry host that draws units; false means another path.
+// serveCaps handles entry hosts' requests for cap units; false means another path.
 func (n *Node) serveCaps(ctx *fasthttp.RequestCtx) bool {
-	return serve(ctx, cappurse.Path, func(ask wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
-		return n.bank.Draw(ask), nil
+	return serve(ctx, cappurse.Path, func(request wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
+		return n.caps.Draw(request), nil
 	})
 }
 
-// keepCaps tells the bank of the caps in force and of the other stores.
-func (n *Node) keepCaps(context.Context) {
-	n.bank.SetMembers(n.replica.MemberAddresses())
+// updateCaps passes the current caps and the list of stores to the allocator.
+func (n *Node) updateCaps(context.Context) {
+	n.caps.SetMembers(n.replica.MemberAddresses())
 	version := n.machine.State().Version
 	if version == n.capsVersion {
 		return
 	}
 	if set := n.routes(); set != nil {
-		n.bank.SetCaps(set.Workspaces)
+		n.caps.SetCaps(set.Workspaces)
 		n.capsVersion = version
 	}
 }
 
-// logCaps writes which caps refused something lately.
-func (n *Node) logCaps(context.Context) {
-	refusing := n.bank.Refusing()
-	for _, u := range refusing[:min(mostRefused, len(refusing))] {
+// logRefusals logs the caps that refused requests since the last call.
+func (n *Node) logRefusals(context.Context) {
+	refusing := n.caps.Refusing()
+	for _, u := range refusing[:min(maxLoggedCaps, len(refusing))] {
 		n.o.Log.Info("Cap refuses.", "workspace", u.Workspace, "share", u.Share, "rate", u.Rate, "level", int64(u.Level),
 			"demand", int64(u.Demand), "granted", int64(u.Granted), "refused", int64(u.Refused), "requests", u.Refusals, "caps", len(refusing))
 	}
--- a/confstore/crashes.go
+++ b/confstore/crashes.go
@@ -11,73 +11,74 @@
 )
 
 const (
-	// crashesEvery is how often a store looks whether there are crashes to keep: it is
-	// less than what hosts take to be told of them.
-	crashesEvery = 100 * time.Millisecond
-	// crashesTimeout bounds one attempt to keep them; the next one follows.
-	crashesTimeout = time.Second
-	// heldFor is how long a request is held back after this store first knew of it: a
-	// server's release that no longer ends by it is out within a day. Then it takes
-	// three servers anew to hold it back.
-	heldFor = 24 * time.Hour
+	// crashSyncInterval is how often a store checks for crashes to persist. It is shorter than
+	// the time in which hosts learn of them.
+	crashSyncInterval = 100 * time.Millisecond
+	// crashProposeTimeout bounds one attempt to persist them; the next check retries.
+	crashProposeTimeout = time.Second
+	// quarantineDuration is how long a request stays quarantined after this store first knew
+	// of it: a server release that no longer crashes on it is deployed within a day.
+	// Afterwards it takes crashes of three more servers to quarantine it again.
+	quarantineDuration = 24 * time.Hour
 )
 
-// keepCrashes has the group keep what hosts told of requests that end servers, so that
-// it outlasts the end of all processes at once.
-func (n *Node) keepCrashes(ctx context.Context) {
-	kept := n.machine.State().Crashes
-	n.crashes.Keep(kept)
+// syncCrashes commits the crashes reported by hosts to the replicated state, so that the
+// quarantine survives a restart of all processes at once.
+func (n *Node) syncCrashes(ctx context.Context) {
+	persisted := n.machine.State().Crashes
+	n.crashes.Keep(persisted)
 	n.crashes.Prune()
 	known := n.crashes.ToKeep()
-	limit, cancel := context.WithTimeout(ctx, crashesTimeout)
+	proposeCtx, cancel := context.WithTimeout(ctx, crashProposeTimeout)
 	defer cancel()
-	if _, news := quarantine.Join(kept, known); news {
-		n.propose(limit, configlog.Command{Op: configlog.OpCrashes, Crashes: known})
+	if _, changed := quarantine.Join(persisted, known); changed {
+		n.proposeCrashes(proposeCtx, configlog.Command{Op: configlog.OpCrashes, Crashes: known})
 	}
-	if old := n.heldLong(kept); len(old) > 0 && n.replica.Leading() {
-		n.propose(limit, configlog.Command{Op: configlog.OpForget, Requests: old})
+	if expired := n.expiredQuarantines(persisted); len(expired) > 0 && n.replica.Leading() {
+		n.proposeCrashes(proposeCtx, configlog.Command{Op: configlog.OpForget, Requests: expired})
 	}
 }
 
-func (n *Node) propose(ctx context.Context, c configlog.Command) {
-	res, err := n.change(ctx, c)
+func (n *Node) proposeCrashes(ctx context.Context, c configlog.Command) {
+	res, err := n.proposeChange(ctx, c)
 	if err != nil {
 		n.meter.Count("crashes.failed")
-		n.o.Log.Info("Crashes are not kept yet.", "order", c.Op, "crashes", len(c.Crashes), "cause", err.Error())
+		n.o.Log.Info("Crashes could not be persisted; the next check retries.", "order", c.Op, "crashes", len(c.Crashes), "cause", err.Error())
 		return
 	}
-	n.o.Log.Info("Crashes are kept.", "order", c.Op, "crashes", len(c.Crashes), "requests", c.Requests, "taken", res.Taken, "held", n.crashes.Condemned())
+	n.o.Log.Info("Crashes are kept.", "order", c.Op, "crashes", len(c.Crashes), "requests", c.Requests, "taken", res.Applied, "held", n.crashes.Condemned())
 }
 
-// heldLong returns the requests whose crashes were kept for long enough. Only keepCrashes
-// uses it.
-func (n *Node) heldLong(kept []wheelgauge.Crash) []wheelgauge.Fingerprint {
+// expiredQuarantines returns the requests whose crashes have been persisted for longer than
+// quarantineDuration. Only syncCrashes uses it.
+func (n *Node) expiredQuarantines(persisted []wheelgauge.Crash) []wheelgauge.Fingerprint {
 	now := n.now()
 	since := map[wheelgauge.Fingerprint]time.Time{}
-	var old []wheelgauge.Fingerprint
-	for _, c := range kept {
-		first, known := n.heldSince[c.Request]
+	var expired []wheelgauge.Fingerprint
+	for _, c := range persisted {
+		first, known := n.quarantinedSince[c.Request]
 		if !known {
 			first = now
 		}
 		since[c.Request] = first
-		if now.Sub(first) > heldFor && !slices.Contains(old, c.Request) {
-			old = append(old, c.Request)
+		if now.Sub(first) > quarantineDuration && !slices.Contains(expired, c.Request) {
+			expired = append(expired, c.Request)
 		}
 	}
-	n.heldSince = since
-	return old
+	n.quarantinedSince = since
+	return expired
 }
 
-// addCrashes adds the crashes of requests to hold back when they changed, and once more
-// when this store knows all that the group keeps.
+// addCrashes adds the crashes of quarantine candidates if they changed, and again once this
+// store knows all that the replica group has persisted. The lowest bit of the version marks
+// that it does not know them yet.
 func (n *Node) addCrashes(a *wheelgauge.BeatAnswer, b wheelgauge.Beat) {
-	serious, at := n.crashes.Serious()
-	a.CrashesAt = 2 * at
+	candidates, version := n.crashes.Serious()
+	a.CrashesAt = 2 * version
 	if a.Partial || !a.InTouch {
 		a.CrashesAt++
 	}
 	if b.Store != n.boot || b.CrashesAt != a.CrashesAt {
-		a.Crashes = serious
+		a.Crashes = candidates
 	}
 }
--- a/confstore/crashes_test.go
+++ b/confstore/crashes_test.go
@@ -9,47 +9,47 @@
 	"wheelgauge/quarantine"
 )
 
-// What a primary heartbeat is told of crashes: all of them when their number changed, and
-// once more when the store knows what the group keeps.
-func TestCrashesAreTold(t *testing.T) {
+// The response to a primary heartbeat has all crashes if they changed, and again once the
+// store knows what the replica group has persisted.
+func TestHeartbeatSendsChangedCrashes(t *testing.T) {
 	three := []wheelgauge.Crash{{Request: "p", Server: "a"}, {Request: "p", Server: "b"}, {Request: "p", Server: "c"}}
 	n := &Node{o: Options{Clock: wheelgauge.SteadyClock{}}, boot: 7, crashes: quarantine.New(time.Now)}
-	tell := func(b wheelgauge.Beat, touch bool) wheelgauge.BeatAnswer {
-		a := wheelgauge.BeatAnswer{InTouch: touch}
+	respond := func(b wheelgauge.Beat, connected bool) wheelgauge.BeatAnswer {
+		a := wheelgauge.BeatAnswer{InTouch: connected}
 		n.addCrashes(&a, b)
 		return a
 	}
 	n.crashes.Merge(three[:2])
-	if a := tell(wheelgauge.Beat{}, true); len(a.Crashes) > 0 {
-		t.Errorf("two ends are told: %v", a.Crashes)
+	if a := respond(wheelgauge.Beat{}, true); len(a.Crashes) > 0 {
+		t.Errorf("got crashes %v for a request that crashed two servers, want none", a.Crashes)
 	}
 	n.crashes.Merge(three)
-	early := tell(wheelgauge.Beat{}, false)
-	whole := tell(wheelgauge.Beat{Store: 7, CrashesAt: early.CrashesAt}, true)
-	same := tell(wheelgauge.Beat{Store: 7, CrashesAt: whole.CrashesAt}, true)
-	other := tell(wheelgauge.Beat{Store: 8, CrashesAt: whole.CrashesAt}, true)
-	for _, a := range []wheelgauge.BeatAnswer{early, whole, other} {
+	partial := respond(wheelgauge.Beat{}, false)
+	complete := respond(wheelgauge.Beat{Store: 7, CrashesAt: partial.CrashesAt}, true)
+	unchanged := respond(wheelgauge.Beat{Store: 7, CrashesAt: complete.CrashesAt}, true)
+	otherStore := respond(wheelgauge.Beat{Store: 8, CrashesAt: complete.CrashesAt}, true)
+	for _, a := range []wheelgauge.BeatAnswer{partial, complete, otherStore} {
 		if !slices.Equal(a.Crashes, three) {
-			t.Errorf("told %v, want %v", a.Crashes, three)
+			t.Errorf("got crashes %v, want %v", a.Crashes, three)
 		}
 	}
-	if same.CrashesAt != whole.CrashesAt || same.Crashes != nil {
-		t.Errorf("the same is told again: %v", same)
+	if unchanged.CrashesAt != complete.CrashesAt || unchanged.Crashes != nil {
+		t.Errorf("unchanged crashes are sent again: %v", unchanged)
 	}
 }
 
-func TestHeldRequestsAreLetGoInTime(t *testing.T) {
+func TestQuarantineExpires(t *testing.T) {
 	n := &Node{o: Options{Clock: wheelgauge.SteadyClock{}}}
-	kept := []wheelgauge.Crash{{Request: "p", Server: "a"}, {Request: "p", Server: "b"}, {Request: "q", Server: "a"}}
-	if old := n.heldLong(kept); len(old) > 0 {
-		t.Errorf("let go at once: %v", old)
+	persisted := []wheelgauge.Crash{{Request: "p", Server: "a"}, {Request: "p", Server: "b"}, {Request: "q", Server: "a"}}
+	if expired := n.expiredQuarantines(persisted); len(expired) > 0 {
+		t.Errorf("expired at once: %v", expired)
 	}
-	n.heldSince["p"] = time.Now().Add(-heldFor - time.Second)
-	if old := n.heldLong(kept); !slices.Equal(old, []wheelgauge.Fingerprint{"p"}) {
-		t.Errorf("let go %v, want p", old)
+	n.quarantinedSince["p"] = time.Now().Add(-quarantineDuration - time.Second)
+	if expired := n.expiredQuarantines(persisted); !slices.Equal(expired, []wheelgauge.Fingerprint{"p"}) {
+		t.Errorf("expired %v, want p", expired)
 	}
-	n.heldLong(nil)
-	if len(n.heldSince) > 0 {
-		t.Error("what is kept no more is still counted")
+	n.expiredQuarantines(nil)
+	if len(n.quarantinedSince) > 0 {
+		t.Error("quarantinedSince still has a request that is no longer persisted")
 	}
 }
--- a/confstore/entry.go
+++ b/confstore/entry.go
@@ -10,100 +10,100 @@
 	"wheelgauge/routetable"
 )
 
-// warmUp is how long a store that has just started waits for hosts' beats
-// before it says that a region has none.
-const warmUp = 2 * time.Second
+// warmUpPeriod is how long a store that has just started waits for heartbeats of
+// hosts before it reports that a region has none.
+const warmUpPeriod = 2 * time.Second
 
 const (
-	// briefHold is how long an answer holds while hosts of the region leave or
-	// fail: some callers keep it three times as long, and one that was named
-	// should be gone by then.
-	briefHold = 500 * time.Millisecond
-	// calmHold holds once none did for calmAfter: planned stops come one after
-	// another, some seconds apart.
-	calmHold  = 2 * time.Second
-	calmAfter = 10 * time.Second
-	// farHold holds for callers of other regions. They ask there when the stores
-	// of their own are silent, and each time wait for those first.
-	farHold = 3 * time.Second
+	// unstableTTL is the TTL of addresses while hosts of the region leave or fail:
+	// some callers keep an answer three times as long, and should drop the
+	// address of a lost host within that time.
+	unstableTTL = 500 * time.Millisecond
+	// stableTTL applies once no host has left or failed for stableAfter: planned
+	// shutdowns follow each other some seconds apart.
+	stableTTL   = 2 * time.Second
+	stableAfter = 10 * time.Second
+	// remoteTTL applies to callers of other regions. They ask here only when the
+	// stores of their own region do not respond, and wait for those first each time.
+	remoteTTL = 3 * time.Second
 )
 
-// EntryAddresses implements wheelgauge.Operations. It names the region's own
+// EntryAddresses implements wheelgauge.Operations. It returns the region's own
 // hosts, else those of regions where every route of the host name may run. Hosts
-// that leave refuse long requests, but are better than a region where some routes
-// may not run.
+// that shut down refuse long requests, but are preferred to a region where some
+// routes may not run.
 func (n *Node) EntryAddresses(name, region string) ([]string, time.Duration, error) {
 	hosts, _ := n.hosts.Hosts()
-	wanted := entryset.Wanted(n.hosts.Busiest(region))
-	if own := addresses(hosts, wanted, func(h wheelgauge.FleetHost) bool { return h.Region == region && !h.Leaving }); len(own) > 0 {
-		return own, n.hold(region), nil
+	count := entryset.Wanted(n.hosts.Busiest(region))
+	if own := chooseAddresses(hosts, count, func(h wheelgauge.FleetHost) bool { return h.Region == region && !h.Leaving }); len(own) > 0 {
+		return own, n.addressTTL(region), nil
 	}
-	if n.now().Sub(n.started) < warmUp {
-		return nil, 0, noEntry()
+	if n.now().Sub(n.started) < warmUpPeriod {
+		return nil, 0, noEntryHostError()
 	}
-	homes := n.homes(name)
-	fits := []func(wheelgauge.FleetHost) bool{
-		func(h wheelgauge.FleetHost) bool { return !h.Leaving && slices.Contains(homes, h.Region) },
+	homeRegions := n.homeRegions(name)
+	fallbacks := []func(wheelgauge.FleetHost) bool{
+		func(h wheelgauge.FleetHost) bool { return !h.Leaving && slices.Contains(homeRegions, h.Region) },
 		func(h wheelgauge.FleetHost) bool { return h.Region == region },
 		func(h wheelgauge.FleetHost) bool { return !h.Leaving },
 	}
-	for _, fit := range fits {
-		if some := addresses(hosts, entryset.Most, fit); len(some) > 0 {
-			return some, briefHold, nil
+	for _, match := range fallbacks {
+		if found := chooseAddresses(hosts, entryset.Most, match); len(found) > 0 {
+			return found, unstableTTL, nil
 		}
 	}
-	return nil, 0, noEntry()
+	return nil, 0, noEntryHostError()
 }
 
-// hold is how long the names of a region's own hosts hold.
-func (n *Node) hold(region string) time.Duration {
+// addressTTL returns how long callers may use the addresses of a region's own hosts.
+func (n *Node) addressTTL(region string) time.Duration {
 	switch {
 	case region != n.o.Region:
-		return farHold
-	case n.now().Sub(n.hosts.Lost(region)) < calmAfter:
-		return briefHold
+		return remoteTTL
+	case n.now().Sub(n.hosts.Lost(region)) < stableAfter:
+		return unstableTTL
 	}
-	return calmHold
+	return stableTTL
 }
 
-func noEntry() error {
+func noEntryHostError() error {
 	return wheelgauge.NewError(wheelgauge.ReasonNoServer, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable,
-		"no entry host is known here").WithRetryAfter(time.Second)
+		"no ready entry host is known to this store").WithRetryAfter(time.Second)
 }
 
-// addresses are those of hosts that fit, of so many at most.
-func addresses(hosts []wheelgauge.FleetHost, most int, fit func(wheelgauge.FleetHost) bool) []string {
-	var fits []wheelgauge.FleetHost
+// chooseAddresses returns the addresses of at most limit ready hosts that match.
+func chooseAddresses(hosts []wheelgauge.FleetHost, limit int, match func(wheelgauge.FleetHost) bool) []string {
+	var matching []wheelgauge.FleetHost
 	for _, h := range hosts {
-		if h.Ready && fit(h) {
-			fits = append(fits, h)
+		if h.Ready && match(h) {
+			matching = append(matching, h)
 		}
 	}
-	out := make([]string, 0, min(most, len(fits)))
-	for _, h := range entryset.Choose(fits, most) {
+	out := make([]string, 0, min(limit, len(matching)))
+	for _, h := range entryset.Choose(matching, limit) {
 		out = append(out, h.Caller)
 	}
 	return out
 }
 
-// routes returns the configuration held, decoded once for each version: a large
-// one takes a store some 20 ms, and all callers of a region whose hosts are gone
-// may ask within the same second. It is nil while none was taken.
+// routes returns the current configuration, or nil if there is none yet. Each
+// version is decoded once: a large configuration takes about 20 ms to decode, and
+// all callers of a region that lost its hosts may ask within the same second.
 func (n *Node) routes() *wheelgauge.RouteSet {
 	s := n.machine.State()
-	if set := n.decoded.Load(); set != nil && set.Version == s.Version {
+	if set := n.routeSet.Load(); set != nil && set.Version == s.Version {
 		return set
 	}
 	set, err := n.o.Decode(s.Body)
 	if err != nil {
 		return nil
 	}
-	n.decoded.Store(set)
+	n.routeSet.Store(set)
 	return set
 }
 
-// homes returns the regions in which every route of a host name may run.
-func (n *Node) homes(name string) []string {
+// homeRegions returns the regions in which every route of a host name may run.
+func (n *Node) homeRegions(name string) []string {
 	set := n.routes()
 	if set == nil {
 		return nil
--- a/confstore/entry_test.go
+++ b/confstore/entry_test.go
@@ -13,8 +13,8 @@
 	"wheelgauge/native"
 )
 
-// entryNode is a store with hosts and a route that may run in the north only.
-func entryNode(t *testing.T, started time.Time, hosts ...wheelgauge.FleetHost) *Node {
+// newEntryNode returns a store with hosts and a route that may run in the north only.
+func newEntryNode(t *testing.T, started time.Time, hosts ...wheelgauge.FleetHost) *Node {
 	t.Helper()
 	n := &Node{
 		o:       Options{Clock: wheelgauge.SteadyClock{}, Decode: native.Decode, Halls: map[string]string{"n1": "north", "s1": "south", "w1": "west"}},
@@ -28,7 +28,7 @@
 	return n
 }
 
-// putHomes applies a configuration of one route with homes.
+// putHomes applies a configuration with one route that has these home regions.
 func putHomes(t *testing.T, n *Node, version uint64, homes ...string) {
 	t.Helper()
 	body, err := json.Marshal(wheelgauge.RouteSet{Version: version, Routes: []wheelgauge.PathRoute{{Host: "h", Prefix: "/", Homes: homes}}})
@@ -46,25 +46,25 @@
 	host := func(name, region string, leaving bool) wheelgauge.FleetHost {
 		return wheelgauge.FleetHost{Name: name, Region: region, Caller: name, Leaving: leaving}
 	}
-	long := time.Now().Add(-time.Hour)
+	longAgo := time.Now().Add(-time.Hour)
 	tests := []struct {
 		name    string
 		started time.Time
 		hosts   []wheelgauge.FleetHost
 		want    []string
 	}{
-		{"own region", long, []wheelgauge.FleetHost{host("n", "north", false), host("s", "south", false)}, []string{"s"}},
-		{"leaving hosts are left out", long, []wheelgauge.FleetHost{host("s", "south", true), host("t", "south", false)}, []string{"t"}},
-		{"all of the region leave: homes first", long, []wheelgauge.FleetHost{host("s", "south", true), host("n", "north", false)}, []string{"n"}},
-		{"all of the region leave, no home is there", long, []wheelgauge.FleetHost{host("s", "south", true), host("w", "west", false)}, []string{"s"}},
-		{"none of the region: homes first", long, []wheelgauge.FleetHost{host("n", "north", false), host("w", "west", false)}, []string{"n"}},
-		{"no home either", long, []wheelgauge.FleetHost{host("w", "west", false)}, []string{"w"}},
+		{"own region", longAgo, []wheelgauge.FleetHost{host("n", "north", false), host("s", "south", false)}, []string{"s"}},
+		{"leaving hosts are left out", longAgo, []wheelgauge.FleetHost{host("s", "south", true), host("t", "south", false)}, []string{"t"}},
+		{"all of the region leave: homes first", longAgo, []wheelgauge.FleetHost{host("s", "south", true), host("n", "north", false)}, []string{"n"}},
+		{"all of the region leave, no home is there", longAgo, []wheelgauge.FleetHost{host("s", "south", true), host("w", "west", false)}, []string{"s"}},
+		{"none of the region: homes first", longAgo, []wheelgauge.FleetHost{host("n", "north", false), host("w", "west", false)}, []string{"n"}},
+		{"no home either", longAgo, []wheelgauge.FleetHost{host("w", "west", false)}, []string{"w"}},
 		{"a store that has just started does not know", time.Now(), []wheelgauge.FleetHost{host("n", "north", false)}, nil},
-		{"nobody", long, nil, nil},
+		{"nobody", longAgo, nil, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got, _, err := entryNode(t, tt.started, tt.hosts...).EntryAddresses("h", "south")
+			got, _, err := newEntryNode(t, tt.started, tt.hosts...).EntryAddresses("h", "south")
 			if !slices.Equal(got, tt.want) || (err != nil) != (tt.want == nil) {
 				t.Errorf("got %v, %v, want %v", got, err, tt.want)
 			}
@@ -72,9 +72,9 @@
 	}
 }
 
-// Callers read 64 addresses of an answer. In a region of two halls with 50 hosts
-// each these were the first by name: 50 of one hall and 14 of the other, so that
-// nearly all callers stood before dark hosts when the first hall was lost.
+// Callers read 64 addresses of an answer. If the first by name were returned, a region of
+// two halls with 50 hosts each would get 50 of one hall and 14 of the other, and nearly all
+// callers would try unreachable hosts when the first hall is lost.
 func TestEntryAddressesOfManyHosts(t *testing.T) {
 	var hosts []wheelgauge.FleetHost
 	for _, hall := range []string{"s1", "s2"} {
@@ -83,7 +83,7 @@
 			hosts = append(hosts, wheelgauge.FleetHost{Name: name, Region: "south", Hall: hall, Caller: name})
 		}
 	}
-	got, _, err := entryNode(t, time.Now().Add(-time.Hour), hosts...).EntryAddresses("h", "south")
+	got, _, err := newEntryNode(t, time.Now().Add(-time.Hour), hosts...).EntryAddresses("h", "south")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,11 +92,11 @@
 		halls[a[:2]]++
 	}
 	if halls["s1"] != 16 || halls["s2"] != 16 {
-		t.Errorf("named %v, want 16 of each hall", halls)
+		t.Errorf("got hosts by hall %v, want 16 of each hall", halls)
 	}
 }
 
-func TestHowLongEntryAnswersHold(t *testing.T) {
+func TestEntryAddressTTL(t *testing.T) {
 	north, south := wheelgauge.FleetHost{Name: "n", Region: "north"}, wheelgauge.FleetHost{Name: "s", Region: "south"}
 	leaving, other := north, north
 	leaving.Leaving, other.Name = true, "m"
@@ -106,27 +106,27 @@
 		hosts  []wheelgauge.FleetHost
 		want   time.Duration
 	}{
-		{"own region", "north", []wheelgauge.FleetHost{north}, calmHold},
-		{"own region, a host leaves", "north", []wheelgauge.FleetHost{north, other, leaving}, briefHold},
-		{"another region: its own stores are silent", "south", []wheelgauge.FleetHost{south}, farHold},
-		{"another region without hosts", "south", []wheelgauge.FleetHost{north}, briefHold},
+		{"own region", "north", []wheelgauge.FleetHost{north}, stableTTL},
+		{"own region, a host leaves", "north", []wheelgauge.FleetHost{north, other, leaving}, unstableTTL},
+		{"another region: its own stores are silent", "south", []wheelgauge.FleetHost{south}, remoteTTL},
+		{"another region without hosts", "south", []wheelgauge.FleetHost{north}, unstableTTL},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			n := entryNode(t, time.Now().Add(-time.Hour), tt.hosts...)
+			n := newEntryNode(t, time.Now().Add(-time.Hour), tt.hosts...)
 			n.o.Region = "north"
-			_, hold, err := n.EntryAddresses("h", tt.caller)
-			if err != nil || hold != tt.want {
-				t.Errorf("holds for %s (%v), want %s", hold, err, tt.want)
+			_, ttl, err := n.EntryAddresses("h", tt.caller)
+			if err != nil || ttl != tt.want {
+				t.Errorf("got TTL %s (%v), want %s", ttl, err, tt.want)
 			}
 		})
 	}
 }
 
-// A configuration is decoded once, however many callers ask where to go, and
-// the homes of the next one hold at once.
-func TestHomesOfTheVersionHeld(t *testing.T) {
-	n := entryNode(t, time.Now().Add(-time.Hour))
+// A configuration is decoded once for any number of calls, and the home regions of the
+// next version apply at once.
+func TestHomeRegionsFollowTheVersion(t *testing.T) {
+	n := newEntryNode(t, time.Now().Add(-time.Hour))
 	decoded := 0
 	n.o.Decode = func(body []byte) (*wheelgauge.RouteSet, error) {
 		decoded++
@@ -143,12 +143,12 @@
 	for _, v := range versions {
 		putHomes(t, n, v.version, v.homes...)
 		for range 10 {
-			if got := n.homes("h"); !slices.Equal(got, v.homes) {
-				t.Errorf("version %d: homes %v, want %v", v.version, got, v.homes)
+			if got := n.homeRegions("h"); !slices.Equal(got, v.homes) {
+				t.Errorf("version %d: got home regions %v, want %v", v.version, got, v.homes)
 			}
 		}
 	}
 	if decoded != len(versions) {
-		t.Errorf("%d configurations were decoded %d times", len(versions), decoded)
+		t.Errorf("want %d decodes, one for each version, got %d", len(versions), decoded)
 	}
 }
--- a/confstore/beat.go
+++ b/confstore/heartbeat.go
@@ -11,20 +11,20 @@
 	"wheelgauge/statefeed"
 )
 
-// serveBeat answers an entry host's heartbeat; false means another path.
-func (n *Node) serveBeat(ctx *fasthttp.RequestCtx) bool {
+// serveHeartbeat handles an entry host's heartbeat; false means another path.
+func (n *Node) serveHeartbeat(ctx *fasthttp.RequestCtx) bool {
 	return serve(ctx, beat.Path, func(b wheelgauge.Beat) (wheelgauge.BeatAnswer, error) {
 		n.meter.Count("beats")
 		n.hosts.Take(b, time.Duration(b.IntervalMS)*time.Millisecond)
-		n.bank.Seen(b.Host.Name, b.Host.Boot)
+		n.caps.Seen(b.Host.Name, b.Host.Boot)
 		n.crashes.Merge(b.Crashes)
 		n.limits.Merge(b.Limits)
-		n.director.Take(b.Host.Name, b.Host.Boot, b.Rollouts)
-		return n.answer(b), nil
+		n.rolloutController.Take(b.Host.Name, b.Host.Boot, b.Rollouts)
+		return n.heartbeatResponse(b), nil
 	})
 }
 
-// serveState answers an entry host that fetches the state; false means another path.
+// serveState handles requests of entry hosts for the state; false means another path.
 func (n *Node) serveState(ctx *fasthttp.RequestCtx) bool {
 	return serve(ctx, statefeed.Path, func(r wheelgauge.StateRequest) (wheelgauge.StatePart, error) {
 		n.meter.Count("state.parts")
@@ -32,8 +32,8 @@
 	})
 }
 
-// statePart gives a part of the state, and to a host that holds none which requests are held
-// back: it serves as soon as it has the state, from whichever store.
+// statePart returns a chunk of the state. A host that has no state also gets the crashes of
+// quarantined requests, since it serves as soon as it has the state, from whichever store.
 func (n *Node) statePart(r wheelgauge.StateRequest) (wheelgauge.StatePart, error) {
 	part, err := n.feed.Part(r)
 	if err == nil && r.Generation == 0 && part.Offset == 0 {
@@ -43,8 +43,8 @@
 	return part, err
 }
 
-// serve answers calls to one path by f; false means another path.
-func serve[Q, A any](ctx *fasthttp.RequestCtx, path string, f func(Q) (A, error)) bool {
+// serve handles calls to one path with f; false means another path.
+func serve[Req, Resp any](ctx *fasthttp.RequestCtx, path string, f func(Req) (Resp, error)) bool {
 	if string(ctx.Path()) != path {
 		return false
 	}
@@ -52,8 +52,8 @@
 	return true
 }
 
-func (n *Node) answer(b wheelgauge.Beat) wheelgauge.BeatAnswer {
-	a := n.withoutReplica(b)
+func (n *Node) heartbeatResponse(b wheelgauge.Beat) wheelgauge.BeatAnswer {
+	a := n.localResponse(b)
 	a.InTouch, a.Stores = n.replica.LeaderAddress() != "", n.replica.MemberAddresses()
 	if b.Primary {
 		n.addCrashes(&a, b)
@@ -61,24 +61,24 @@
 	return a
 }
 
-// withoutReplica is the answer but for what the replica says of its group.
-func (n *Node) withoutReplica(b wheelgauge.Beat) wheelgauge.BeatAnswer {
+// localResponse returns the heartbeat response without the fields that the replica provides.
+func (n *Node) localResponse(b wheelgauge.Beat) wheelgauge.BeatAnswer {
 	a := wheelgauge.BeatAnswer{Store: n.boot, Generation: n.machine.State().Generation, Region: n.o.Region, Hall: n.o.Hall}
 	if !b.Primary {
 		return a
 	}
-	same := b.Store == n.boot
-	hosts, at := n.hosts.Hosts()
-	a.Partial = n.now().Sub(n.started) < warmUp
-	// The table is told once more when it has become whole.
-	a.HostsAt = 2 * at
+	sameStore := b.Store == n.boot // versions count from one start of a store
+	hosts, version := n.hosts.Hosts()
+	a.Partial = n.now().Sub(n.started) < warmUpPeriod
+	// The lowest bit marks a partial table, so that hosts get the table again once it is complete.
+	a.HostsAt = 2 * version
 	if a.Partial {
 		a.HostsAt++
 	}
-	if !same || b.Hosts != a.HostsAt {
+	if !sameStore || b.Hosts != a.HostsAt {
 		a.Hosts = hosts
 	}
-	n.addServers(&a, b, same)
+	n.addServers(&a, b, sameStore)
 	n.addLimits(&a, b)
 	a.Uses = n.hosts.Uses(b.Host.Region, b.Host.Name)
 	a.Regions = n.regionUses()
--- a/confstore/size_test.go
+++ b/confstore/heartbeat_bench_test.go
@@ -12,8 +12,8 @@
 	"wheelgauge/serverlist"
 )
 
-// loadedNode is a store with hosts and busy servers of three regions.
-func loadedNode(hosts, servers int) (*Node, wheelgauge.Beat) {
+// newLoadedNode returns a store with hosts and busy servers of three regions, and the heartbeat of its first host.
+func newLoadedNode(hosts, servers int) (*Node, wheelgauge.Beat) {
 	regions := []string{"north", "south", "west"}
 	n := &Node{o: Options{Clock: wheelgauge.SteadyClock{}, Halls: map[string]string{}}, machine: configlog.New(), hosts: hosttable.New(time.Now), started: time.Now().Add(-time.Hour)}
 	n.servers = serverlist.New(0, time.Now)
@@ -41,7 +41,7 @@
 			Primary: true, IntervalMS: 500, Store: 1 << 60, Hosts: 20, Servers: 20,
 			Totals: []wheelgauge.ServiceUse{{Service: "lm", Running: 40, Tokens: 9000}},
 		}
-		// A host has work at some of the region's servers only.
+		// A host has requests at only some of the region's servers.
 		b.Uses = uses[:min(len(uses), 12)]
 		n.hosts.Take(b, time.Hour)
 		if i == 0 {
@@ -51,30 +51,30 @@
 	return n, first
 }
 
-// BenchmarkAnswer measures what one primary heartbeat costs a store when
-// nothing is new, and its size on the wire without heads.
+// BenchmarkAnswer measures the cost of one primary heartbeat to a store when nothing has
+// changed, and its size on the wire without headers.
 func BenchmarkAnswer(b *testing.B) {
 	sizes := []struct{ hosts, servers int }{{8, 15}, {58, 68}, {410, 600}}
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("%d_hosts_%d_servers", s.hosts, s.servers), func(b *testing.B) {
-			n, beat := loadedNode(s.hosts, s.servers)
-			_, at := n.hosts.Hosts()
-			_, listed := n.servers.All()
-			beat.Store, beat.Hosts, beat.Servers = n.boot, 2*at, listed
-			asked, err := json.Marshal(beat)
+			n, beat := newLoadedNode(s.hosts, s.servers)
+			_, hostsVersion := n.hosts.Hosts()
+			_, serversVersion := n.servers.All()
+			beat.Store, beat.Hosts, beat.Servers = n.boot, 2*hostsVersion, serversVersion
+			request, err := json.Marshal(beat)
 			if err != nil {
 				b.Fatal(err)
 			}
 			size := 0
 			for b.Loop() {
-				answer := n.withoutReplica(beat)
-				data, err := json.Marshal(answer)
+				response := n.localResponse(beat)
+				data, err := json.Marshal(response)
 				if err != nil {
 					b.Fatal(err)
 				}
 				size = len(data)
 			}
-			b.ReportMetric(float64(len(asked)), "bytes-asked")
+			b.ReportMetric(float64(len(request)), "bytes-asked")
 			b.ReportMetric(float64(size), "bytes-answered")
 		})
 	}
--- a/confstore/node.go
+++ b/confstore/node.go
@@ -1,6 +1,6 @@
-// Package confstore is the store of the routes mode: the replicated
-// configuration, the table of entry hosts, and the list of backend servers that
-// hosts are told of.
+// Package confstore implements the store of the routes mode. It holds the
+// replicated configuration and the table of entry hosts, and distributes the
+// list of backend servers to them.
 package confstore
 
 import (
@@ -37,28 +37,29 @@
 
 const (
 	folderReplica = "replica"
-	// servedPrefix tells calls that the store answers from those that it makes.
+	// servedPrefix marks, in metrics, calls that the store serves; calls that it makes have no prefix.
 	servedPrefix = "served"
-	// voters survive the loss of two disks at once.
+	// voters is the size of the quorum group: five voters survive the loss of two disks at once.
 	voters = 5
-	// wakeEvery is how often a store looks whether it stood still.
-	wakeEvery = 250 * time.Millisecond
-	// pruneEvery is how often limits of servers are looked through that nobody hears of.
-	pruneEvery = time.Minute
-	// listenerStop bounds the end of all listeners together: an order under way takes
-	// three seconds at most. One after another, four could take longer than the grace.
-	listenerStop = 3200 * time.Millisecond
+	// suspendCheckInterval is how often a store checks whether it was suspended or stalled.
+	suspendCheckInterval = 250 * time.Millisecond
+	// limitPruneInterval is how often limits of servers that are no longer reported are removed.
+	limitPruneInterval = time.Minute
+	// listenerCloseTimeout bounds the shutdown of all listeners, which close in parallel: an
+	// operation in progress takes three seconds at most, and four listeners closed one
+	// after another could exceed the shutdown grace period.
+	listenerCloseTimeout = 3200 * time.Millisecond
 )
 
-// Listener is a further listener of the store, for operators or callers, whose
-// handler a dialect gives.
+// Listener is an additional listener of the store, for operators or callers. The
+// dialect provides its handler.
 type Listener struct {
 	Address string
 	Handler func(o wheelgauge.Operations) fasthttp.RequestHandler
 	Options httpserve.Options
 }
 
-// Options of a Node.
+// Options configures a Node.
 type Options struct {
 	Name   string
 	Region string
@@ -66,20 +67,20 @@
 	// Halls gives the region of each hall.
 	Halls map[string]string
 	Dir   string
-	// Peer is the address of the peers' listener, Metrics that of the metrics.
+	// Peer is the address of the listener for other stores and hosts, Metrics that of the metrics listener.
 	Peer    string
 	Metrics string
-	// Seeds are peer addresses of stores, this one's among them perhaps.
+	// Seeds are peer addresses of stores; this store may be among them.
 	Seeds []string
-	// First is set when the whole system starts for the first time.
+	// First is set at the first start of the whole system: the seeds found the replica group.
 	First     bool
 	Tick      time.Duration
 	PollEvery time.Duration
-	// CapWindow, CapOverage and CapSlack are what caps are bounded by; see capbank.Options.
+	// CapWindow, CapOverage and CapSlack bound the use of caps; see capbank.Options.
 	CapWindow  time.Duration
 	CapOverage float64
 	CapSlack   float64
-	// Clock judges ages and leases; one that counts suspended time when nil.
+	// Clock measures ages and leases. If nil, a clock is used that counts suspended time.
 	Clock     wheelgauge.Clock
 	Decode    wheelgauge.RouteDecoder
 	List      wheelgauge.ServerList
@@ -94,37 +95,38 @@
 	started   time.Time
 	machine   *configlog.Machine
 	feed      *statefeed.Feed
-	decoded   atomic.Pointer[wheelgauge.RouteSet]
+	routeSet  atomic.Pointer[wheelgauge.RouteSet]
 	replica   *replica.Replica
 	hosts     *hosttable.Table
 	client    *peerhttp.Client
 	meter     *meter.Meter
 	listeners []*httpserve.Server
 	stop      context.CancelFunc
-	// tasks are what the store does again and again; each reports its end.
-	tasks []chan error
+	// taskResults has one channel for each periodic task; it receives the result when the task ends.
+	taskResults []chan error
 
 	servers *serverlist.Table
-	members members
-	bank    *capbank.Bank
+	peers   peerStores
+	caps    *capbank.Bank
 	crashes *quarantine.Table
-	// limits are those that servers have named, permits what is given of them.
+	// limits are the rate limits reported by servers; permits issues permits within them.
 	limits  *serverlimit.Table
 	permits *permitissuer.Issuer
-	// director decides how rollouts go on, ages tells how long they have run.
-	director *director.Director
-	ages     rolloutAges
-	// heldSince is when this store first knew of each request that is held back; only
-	// keepCrashes uses it.
-	heldSince map[wheelgauge.Fingerprint]time.Time
-	// capsVersion is that of the configuration whose caps the bank has; only keepCaps
-	// uses it.
+	// rolloutController decides the next step of each rollout; rolloutClock tracks elapsed times.
+	rolloutController *director.Director
+	rolloutClock      rolloutClock
+	// quarantinedSince is when this store first knew of each quarantined request; only
+	// syncCrashes uses it.
+	quarantinedSince map[wheelgauge.Fingerprint]time.Time
+	// capsVersion is the configuration version whose caps the allocator uses; only
+	// updateCaps uses it.
 	capsVersion uint64
-	// foreign are the entries of each region's list that named no server at its last
-	// reading; only poll uses it.
-	foreign map[string]wheelgauge.ForeignEntries
-	// passing are the calls that tell other stores; no more begin once the tasks ended.
-	passing sync.WaitGroup
+	// invalidEntries counts, by region, the entries of the server list that described no
+	// valid server at its last reading; only pollLists uses it.
+	invalidEntries map[string]wheelgauge.ForeignEntries
+	// updateCalls are the running calls that send updates to other stores; none starts once
+	// the tasks have ended.
+	updateCalls sync.WaitGroup
 }
 
 // Open starts a store.
@@ -137,43 +139,45 @@
 	n := &Node{
 		o: o, boot: uint64(time.Now().UnixNano()), started: now(), machine: configlog.New(), hosts: hosttable.New(now),
 		client: peerhttp.NewClient(nil, ""), meter: meter.New(), stop: stop,
-		foreign: map[string]wheelgauge.ForeignEntries{},
+		invalidEntries: map[string]wheelgauge.ForeignEntries{},
 	}
 	n.client.Watch(n.meter.Call)
 	n.feed = statefeed.New(n.fleetState)
-	n.director = director.New(func() wheelgauge.VersionJudge { return sequential.New() }, now)
+	n.rolloutController = director.New(func() wheelgauge.VersionJudge { return sequential.New() }, now)
 	n.servers = serverlist.New(n.boot, now)
 	n.crashes = quarantine.New(now)
 	n.limits = serverlimit.New(now)
 	n.permits = permitissuer.New(n.limits, now)
-	n.bank = capbank.New(capbank.Options{Self: o.Peer, Boot: n.boot, Window: o.CapWindow, Overage: o.CapOverage, Slack: o.CapSlack, Now: now})
+	n.caps = capbank.New(capbank.Options{Self: o.Peer, Boot: n.boot, Window: o.CapWindow, Overage: o.CapOverage, Slack: o.CapSlack, Now: now})
 	if err := n.open(ctx); err != nil {
 		stop()
 		return nil, err
 	}
-	n.task(func() error {
-		n.poll(ctx) // hosts that start together with this store wait for it
-		return every.Interval(ctx, o.PollEvery, n.poll)
+	n.runTask(func() error {
+		n.pollLists(ctx) // hosts that start together with this store wait for the first list
+		return every.Interval(ctx, o.PollEvery, n.pollLists)
 	})
-	n.task(func() error { return every.Interval(ctx, newsEvery, n.pass) })
-	n.task(func() error { return every.Interval(ctx, capsEvery, n.keepCaps) })
-	n.task(func() error { return every.Interval(ctx, refusedEvery, n.logCaps) })
-	n.task(func() error { return every.Interval(ctx, crashesEvery, n.keepCrashes) })
-	n.task(func() error { return every.Interval(ctx, rolloutsEvery, n.keepRollouts) })
-	n.task(func() error { return every.Interval(ctx, pruneEvery, n.pruneLimits) })
+	n.runTask(func() error { return every.Interval(ctx, updateInterval, n.sendUpdates) })
+	n.runTask(func() error { return every.Interval(ctx, capsUpdateInterval, n.updateCaps) })
+	n.runTask(func() error { return every.Interval(ctx, refusalLogInterval, n.logRefusals) })
+	n.runTask(func() error { return every.Interval(ctx, crashSyncInterval, n.syncCrashes) })
+	n.runTask(func() error { return every.Interval(ctx, rolloutInterval, n.advanceRollouts) })
+	n.runTask(func() error { return every.Interval(ctx, limitPruneInterval, n.pruneLimits) })
 	watch := wake.New(o.Clock, o.Log)
-	n.task(func() error { return every.Interval(ctx, wakeEvery, func(context.Context) { watch.Look(wakeEvery) }) })
+	n.runTask(func() error {
+		return every.Interval(ctx, suspendCheckInterval, func(context.Context) { watch.Look(suspendCheckInterval) })
+	})
 	o.Log.Info("Store serves.", "name", o.Name, "peer", o.Peer, "seeds", o.Seeds, "first", o.First)
 	return n, nil
 }
 
 func (n *Node) now() time.Time { return n.o.Clock.Now() }
 
-// task runs until the store stops.
-func (n *Node) task(run func() error) {
-	ended := make(chan error, 1)
-	n.tasks = append(n.tasks, ended)
-	go func() { ended <- run() }()
+// runTask starts a task that runs until the store stops.
+func (n *Node) runTask(run func() error) {
+	result := make(chan error, 1)
+	n.taskResults = append(n.taskResults, result)
+	go func() { result <- run() }()
 }
 
 func (n *Node) open(ctx context.Context) error {
@@ -214,7 +218,7 @@
 
 func (n *Node) servePeer(ctx *fasthttp.RequestCtx) {
 	received := len(ctx.Request.Body())
-	if !n.serveCaps(ctx) && !n.servePermits(ctx) && !n.serveBeat(ctx) && !n.serveState(ctx) && !n.serveNews(ctx) && !n.replica.Handle(ctx) {
+	if !n.serveCaps(ctx) && !n.servePermits(ctx) && !n.serveHeartbeat(ctx) && !n.serveState(ctx) && !n.serveUpdate(ctx) && !n.replica.Handle(ctx) {
 		peerhttp.NotFound(ctx)
 		return
 	}
@@ -224,32 +228,32 @@
 func (n *Node) serveMetrics(ctx *fasthttp.RequestCtx) {
 	n.meter.Gauge("generation", int64(n.machine.State().Generation))
 	n.meter.Gauge("log.bytes", n.replica.Status().Bytes)
-	refuses := int64(0)
+	refusesWrites := int64(0)
 	if n.replica.Refuses() {
-		refuses = 1
+		refusesWrites = 1
 	}
-	n.meter.Gauge("disk.refuses", refuses)
+	n.meter.Gauge("disk.refuses", refusesWrites)
 	ctx.SetContentType("application/json")
 	n.meter.WriteJSON(ctx)
 }
 
-// Done gives the error that ended the replica by itself.
+// Done receives the error if the replica ends by itself.
 func (n *Node) Done() <-chan error { return n.replica.Done() }
 
-// Close stops the store and waits.
+// Close stops the store and waits until it has ended.
 func (n *Node) Close() error {
 	n.stop()
 	var errs []error
-	for _, ended := range n.tasks {
-		errs = append(errs, <-ended)
+	for _, result := range n.taskResults {
+		errs = append(errs, <-result)
 	}
-	n.passing.Wait()
-	// A peer that is frozen keeps its connection open; it asks again elsewhere.
-	limit, cancel := context.WithTimeout(context.Background(), listenerStop)
+	n.updateCalls.Wait()
+	// A stalled peer keeps its connection open; it will retry at another store.
+	closeCtx, cancel := context.WithTimeout(context.Background(), listenerCloseTimeout)
 	defer cancel()
-	cut, err := httpserve.CloseAll(limit, n.listeners)
-	if len(cut) > 0 {
-		n.o.Log.Info("Listeners end with connections open.", "addresses", cut)
+	unfinished, err := httpserve.CloseAll(closeCtx, n.listeners)
+	if len(unfinished) > 0 {
+		n.o.Log.Info("Listeners closed with connections still open.", "addresses", unfinished)
 	}
 	errs = append(errs, err, n.replica.Close())
 	n.client.CloseIdle()
--- a/confstore/operations.go
+++ b/confstore/operations.go
@@ -12,9 +12,9 @@
 	"wheelgauge/routetable"
 )
 
-// orderTimeout bounds an operator's order; the same order sent again finds
-// what became of it.
-const orderTimeout = 3 * time.Second
+// operationTimeout bounds one operation. After a timeout the operator can send the same
+// operation again to learn its result.
+const operationTimeout = 3 * time.Second
 
 // PutRoutes implements wheelgauge.Operations.
 func (n *Node) PutRoutes(ctx context.Context, body []byte) (uint64, error) {
@@ -27,12 +27,12 @@
 		n.o.Log.Info("Configuration is invalid.", "cause", err.Error())
 		return 0, wheelgauge.NewError(wheelgauge.ReasonInvalid, wheelgauge.OutcomeNotRun, http.StatusBadRequest, err.Error())
 	}
-	res, err := n.change(ctx, configlog.Command{Op: configlog.OpPut, Version: set.Version, Body: body})
+	res, err := n.proposeChange(ctx, configlog.Command{Op: configlog.OpPut, Version: set.Version, Body: body})
 	if err != nil {
 		n.o.Log.Info("Configuration is not acknowledged.", "version", set.Version, "cause", err.Error())
 		return 0, err
 	}
-	n.o.Log.Info("Configuration is acknowledged.", "version", set.Version, "held", res.Version, "taken", res.Taken)
+	n.o.Log.Info("Configuration is acknowledged.", "version", set.Version, "held", res.Version, "taken", res.Applied)
 	return res.Version, nil
 }
 
@@ -45,36 +45,36 @@
 	if drained {
 		op = configlog.OpDrain
 	}
-	res, err := n.change(ctx, configlog.Command{Op: op, Hall: hall})
+	res, err := n.proposeChange(ctx, configlog.Command{Op: op, Hall: hall})
 	if err != nil {
-		n.o.Log.Info("Order for a hall is not acknowledged.", "hall", hall, "order", op, "cause", err.Error())
+		n.o.Log.Info("Drain or resume of a hall is not acknowledged.", "hall", hall, "order", op, "cause", err.Error())
 		return err
 	}
-	n.o.Log.Info("Order for a hall is acknowledged.", "hall", hall, "order", op, "taken", res.Taken)
+	n.o.Log.Info("Drain or resume of a hall is acknowledged.", "hall", hall, "order", op, "taken", res.Applied)
 	return nil
 }
 
-func (n *Node) change(ctx context.Context, c configlog.Command) (configlog.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+func (n *Node) proposeChange(ctx context.Context, c configlog.Command) (configlog.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	var res configlog.Result
 	command, err := json.Marshal(c)
 	if err != nil {
 		return res, fmt.Errorf("encode %s: %w", c.Op, err)
 	}
-	answer, err := n.replica.Propose(ctx, command)
+	reply, err := n.replica.Propose(ctx, command)
 	if err != nil {
 		return res, fmt.Errorf("%s: %w", c.Op, err)
 	}
-	if err := json.Unmarshal(answer, &res); err != nil {
-		return res, fmt.Errorf("decode answer of %s: %w", c.Op, err)
+	if err := json.Unmarshal(reply, &res); err != nil {
+		return res, fmt.Errorf("decode result of %s: %w", c.Op, err)
 	}
 	return res, nil
 }
 
 // Routes implements wheelgauge.Operations.
 func (n *Node) Routes(ctx context.Context) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	if err := n.replica.ReadBarrier(ctx); err != nil {
 		return nil, err
@@ -82,5 +82,5 @@
 	if body := n.machine.State().Body; body != nil {
 		return body, nil
 	}
-	return nil, wheelgauge.NewError(wheelgauge.ReasonNoConfiguration, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "no configuration was taken yet")
+	return nil, wheelgauge.NewError(wheelgauge.ReasonNoConfiguration, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "no configuration has been accepted yet")
 }
--- /dev/null
+++ b/confstore/peerstores.go
@@ -0,0 +1,98 @@
+package confstore
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"wheelgauge"
+)
+
+// peerStore is the state of the updates exchanged with another store.
+type peerStore struct {
+	region     string
+	lastUpdate time.Time
+	// acked has, by region, the version of this store's server list that the other store
+	// has acknowledged, sentAt when the list was last sent.
+	acked  map[string]uint64
+	sentAt map[string]time.Time
+	// inCall is set while an update is being sent.
+	inCall bool
+}
+
+// peerStores tracks the other stores. It is safe for concurrent use.
+type peerStores struct {
+	mu        sync.Mutex
+	byAddress map[string]*peerStore
+}
+
+// get returns the state of a store, created if needed. The caller holds the lock.
+func (m *peerStores) get(address string) *peerStore {
+	if m.byAddress == nil {
+		m.byAddress = map[string]*peerStore{}
+	}
+	if m.byAddress[address] == nil {
+		m.byAddress[address] = &peerStore{acked: map[string]uint64{}, sentAt: map[string]time.Time{}}
+	}
+	return m.byAddress[address]
+}
+
+// recordUpdate records that a store sent an update.
+func (m *peerStores) recordUpdate(address, region string, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	s := m.get(address)
+	s.region, s.lastUpdate = region, now
+}
+
+// beginCall marks the start of a call to a store and returns a copy of its state; false
+// while an earlier call is in progress.
+func (m *peerStores) beginCall(address string) (peerStore, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	s := m.get(address)
+	if s.inCall {
+		return peerStore{}, false
+	}
+	s.inCall = true
+	known := *s
+	known.acked, known.sentAt = maps.Clone(s.acked), maps.Clone(s.sentAt)
+	return known, true
+}
+
+// endCall marks the end of a call and records which server lists the store has now.
+func (m *peerStores) endCall(address string, sentAt time.Time, parts []wheelgauge.ServerPart, missing []string, err error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	s := m.get(address)
+	s.inCall = false
+	for _, part := range parts {
+		if err != nil || slices.Contains(missing, part.Region) {
+			delete(s.acked, part.Region)
+			delete(s.sentAt, part.Region)
+			continue
+		}
+		s.acked[part.Region], s.sentAt[part.Region] = part.Version, sentAt
+	}
+}
+
+// reader returns the address of the store that reads a region's list: the lowest address
+// of the stores in that region that sent an update since, or of all of them if the region
+// has none. The store itself, self in selfRegion, always counts.
+func (m *peerStores) reader(self, selfRegion, region string, since time.Time) string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	first, local := self, selfRegion == region
+	for address, s := range m.byAddress {
+		if s.lastUpdate.Before(since) {
+			continue
+		}
+		inRegion := s.region == region
+		if inRegion && !local || inRegion == local && strings.Compare(address, first) < 0 {
+			first, local = address, inRegion
+		}
+	}
+	return first
+}
--- a/confstore/permits.go
+++ b/confstore/permits.go
@@ -9,16 +9,16 @@
 	"wheelgauge/permitclient"
 )
 
-// servePermits answers an entry host that is to send a request to a server with a limit;
+// servePermits handles entry hosts' requests for permits to send to a rate-limited server;
 // false means another path.
 func (n *Node) servePermits(ctx *fasthttp.RequestCtx) bool {
-	return serve(ctx, permitclient.Path, func(ask wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error) {
-		return n.permit(ask), nil
+	return serve(ctx, permitclient.Path, func(request wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error) {
+		return n.requestPermit(request), nil
 	})
 }
 
-func (n *Node) permit(ask wheelgauge.PermitAsk) wheelgauge.PermitAnswer {
-	a := n.permits.Answer(ask)
+func (n *Node) requestPermit(request wheelgauge.PermitAsk) wheelgauge.PermitAnswer {
+	a := n.permits.Answer(request)
 	if a.Granted {
 		n.meter.Count("permits.granted")
 	} else {
@@ -32,11 +32,11 @@
 	n.permits.Prune()
 }
 
-// addLimits adds the limits that changed since the host was told last.
+// addLimits adds the limits that changed since the version that the host has.
 func (n *Node) addLimits(a *wheelgauge.BeatAnswer, b wheelgauge.Beat) {
 	since := b.LimitsAt
 	if b.Store != n.boot {
-		since = 0 // it counts by another start of a store
+		since = 0 // the version counts from another start of a store
 	}
 	a.Limits, a.LimitsAt = n.limits.Since(since)
 }
--- a/confstore/rollouts.go
+++ b/confstore/rollouts.go
@@ -15,59 +15,59 @@
 )
 
 const (
-	// rolloutsEvery is how often a leading store looks how rollouts go on.
-	rolloutsEvery = 100 * time.Millisecond
-	// rolloutTimeout bounds one attempt to note what was decided; the next one follows.
-	rolloutTimeout = time.Second
-	// ageEvery is how much of a rollout's time is forgotten at most when all stores end.
-	ageEvery = 2 * time.Second
-	// resendFor is how long after a rollout began the same order is taken for one whose
-	// answer was lost.
-	resendFor = 10 * time.Second
-	// longestRollout bounds an order's duration.
-	longestRollout = 7 * 24 * time.Hour
+	// rolloutInterval is how often the leader evaluates the running rollouts.
+	rolloutInterval = 100 * time.Millisecond
+	// rolloutProposeTimeout bounds one attempt to commit a decision; the next evaluation retries.
+	rolloutProposeTimeout = time.Second
+	// ageSaveInterval bounds how much of a rollout's elapsed time is lost when all stores restart.
+	ageSaveInterval = 2 * time.Second
+	// resendWindow is how long after the start of a rollout the same request counts as a
+	// retry of a request whose response was lost.
+	resendWindow = 10 * time.Second
+	// maxRolloutDuration bounds the duration that a request may ask for.
+	maxRolloutDuration = 7 * 24 * time.Hour
 )
 
-// rolloutAges tells how long rollouts have run, by this store's clock since it first knew of
-// each. It is safe for concurrent use.
-type rolloutAges struct {
-	mu    sync.Mutex
-	since map[string]rolloutSince
+// rolloutClock measures how long rollouts have run, by this store's clock since it first knew
+// of each. It is safe for concurrent use.
+type rolloutClock struct {
+	mu     sync.Mutex
+	starts map[string]rolloutStart
 }
 
-type rolloutSince struct {
+type rolloutStart struct {
 	number uint64
 	at     time.Time
 }
 
-// age returns how long a rollout has run.
-func (a *rolloutAges) age(r wheelgauge.Rollout, now time.Time) time.Duration {
+// elapsed returns how long a rollout has run.
+func (a *rolloutClock) elapsed(r wheelgauge.Rollout, now time.Time) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.since == nil {
-		a.since = map[string]rolloutSince{}
+	if a.starts == nil {
+		a.starts = map[string]rolloutStart{}
 	}
-	noted := now.Add(-time.Duration(r.ElapsedMS) * time.Millisecond)
-	s, ok := a.since[r.Service]
-	if !ok || s.number != r.Number || noted.Before(s.at) {
-		s = rolloutSince{r.Number, noted}
-		a.since[r.Service] = s
+	recorded := now.Add(-time.Duration(r.ElapsedMS) * time.Millisecond)
+	s, ok := a.starts[r.Service]
+	if !ok || s.number != r.Number || recorded.Before(s.at) {
+		s = rolloutStart{r.Number, recorded}
+		a.starts[r.Service] = s
 	}
 	return now.Sub(s.at)
 }
 
-// fleetState is the replicated state with the time that rollouts have run by now.
+// fleetState returns the replicated state with the current elapsed times of rollouts.
 func (n *Node) fleetState() wheelgauge.FleetState {
 	s := n.machine.State()
 	s.Rollouts = n.rollouts()
 	return s
 }
 
-// rollouts returns the last ones of each service with the time that each has run by now.
+// rollouts returns the last rollout of each service with its current elapsed time.
 func (n *Node) rollouts() []wheelgauge.Rollout {
 	list := slices.Clone(n.machine.State().Rollouts)
 	for i, r := range list {
-		list[i].ElapsedMS = n.ages.age(r, n.now()).Milliseconds()
+		list[i].ElapsedMS = n.rolloutClock.elapsed(r, n.now()).Milliseconds()
 	}
 	return list
 }
@@ -79,7 +79,7 @@
 	if err != nil {
 		cause = err.Error()
 	}
-	n.o.Log.Info("Rollout is ordered.", "service", order.Service, "target", order.Version, "duration_ms", order.DurationMS, "taken", err == nil, "cause", cause)
+	n.o.Log.Info("Rollout is requested.", "service", order.Service, "target", order.Version, "duration_ms", order.DurationMS, "taken", err == nil, "cause", cause)
 	return err
 }
 
@@ -87,29 +87,29 @@
 	if err := checkRollout(order); err != nil {
 		return wheelgauge.NewError(wheelgauge.ReasonInvalid, wheelgauge.OutcomeNotRun, http.StatusBadRequest, err.Error())
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
-	// A store that lags would not know a service that was added a moment ago.
+	// Without the barrier a lagging replica would reject a service that was just added.
 	if err := n.replica.ReadBarrier(ctx); err != nil {
 		return fmt.Errorf("start rollout: %w", err)
 	}
-	if err := n.hasService(order.Service); err != nil {
+	if err := n.requireService(order.Service); err != nil {
 		return err
 	}
-	held, known := wheelgauge.RolloutOf(n.rollouts(), order.Service)
-	again := known && !held.Running() && held.ElapsedMS > resendFor.Milliseconds()
-	res, err := n.change(ctx, configlog.Command{Op: configlog.OpRollout, Rollout: &wheelgauge.Rollout{RolloutOrder: order}, Again: again})
+	last, known := wheelgauge.RolloutOf(n.rollouts(), order.Service)
+	retry := known && !last.Running() && last.ElapsedMS > resendWindow.Milliseconds()
+	res, err := n.proposeChange(ctx, configlog.Command{Op: configlog.OpRollout, Rollout: &wheelgauge.Rollout{RolloutOrder: order}, Retry: retry})
 	if err != nil {
 		return err
 	}
 	switch {
-	case res.Taken || !res.Rollout.Running():
-		return nil // begun, or what was asked has ended already
+	case res.Applied || !res.Rollout.Running():
+		return nil // started, or the same rollout has already ended
 	case res.Rollout.RolloutOrder == order:
-		return wheelgauge.NewError(wheelgauge.ReasonUnderWay, wheelgauge.OutcomeNotRun, http.StatusConflict, "this rollout is under way")
+		return wheelgauge.NewError(wheelgauge.ReasonUnderWay, wheelgauge.OutcomeNotRun, http.StatusConflict, "this rollout is already in progress")
 	}
 	return wheelgauge.NewError(wheelgauge.ReasonInvalid, wheelgauge.OutcomeNotRun, http.StatusUnprocessableEntity,
-		"the service is being rolled out to version "+res.Rollout.Version)
+		"the service is already being rolled out to version "+res.Rollout.Version)
 }
 
 func checkRollout(o wheelgauge.RolloutOrder) error {
@@ -118,17 +118,17 @@
 		return errors.New("service: missing")
 	case o.Version == "":
 		return errors.New("target version: missing")
-	case o.DurationMS <= 0 || o.DurationMS > longestRollout.Milliseconds():
-		return fmt.Errorf("duration: got %d ms, expected more than 0 and %s at most", o.DurationMS, longestRollout)
+	case o.DurationMS <= 0 || o.DurationMS > maxRolloutDuration.Milliseconds():
+		return fmt.Errorf("duration: got %d ms, expected more than 0 and %s at most", o.DurationMS, maxRolloutDuration)
 	}
 	return nil
 }
 
-// hasService tells whether the configuration in force has a service.
-func (n *Node) hasService(name string) error {
+// requireService returns an error if the current configuration lacks a service.
+func (n *Node) requireService(name string) error {
 	set := n.routes()
 	if set == nil {
-		return wheelgauge.NewError(wheelgauge.ReasonNoConfiguration, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "no configuration was taken yet")
+		return wheelgauge.NewError(wheelgauge.ReasonNoConfiguration, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "no configuration has been accepted yet")
 	}
 	if !slices.ContainsFunc(set.Services, func(s wheelgauge.Service) bool { return s.Name == name }) {
 		return wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound, "no service of this name: "+name)
@@ -138,7 +138,7 @@
 
 // Rollout implements wheelgauge.Operations.
 func (n *Node) Rollout(ctx context.Context, service string) (wheelgauge.Rollout, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	if err := n.replica.ReadBarrier(ctx); err != nil {
 		return wheelgauge.Rollout{}, fmt.Errorf("read rollout: %w", err)
@@ -158,40 +158,40 @@
 	}
 	if r.Running() {
 		r.State, r.Cause = wheelgauge.RolloutRolledBack, "ended by an operator"
-		res, err := n.change(ctx, configlog.Command{Op: configlog.OpRolloutStep, Rollout: &r})
+		res, err := n.proposeChange(ctx, configlog.Command{Op: configlog.OpRolloutStep, Rollout: &r})
 		if err != nil {
 			return err
 		}
 		r = res.Rollout
 	}
-	n.o.Log.Info("Rollout is ended by an operator.", "service", service, "target", r.Version, "number", r.Number, "state", r.State)
+	n.o.Log.Info("Rollout is aborted by an operator.", "service", service, "target", r.Version, "number", r.Number, "state", r.State)
 	if r.State == wheelgauge.RolloutCompleted {
-		return wheelgauge.NewError(wheelgauge.ReasonInvalid, wheelgauge.OutcomeNotRun, http.StatusUnprocessableEntity, "the rollout is complete")
+		return wheelgauge.NewError(wheelgauge.ReasonInvalid, wheelgauge.OutcomeNotRun, http.StatusUnprocessableEntity, "the rollout has already completed")
 	}
 	return nil
 }
 
-// keepRollouts takes the rollouts on that are under way, as the leader of the group.
-func (n *Node) keepRollouts(ctx context.Context) {
+// advanceRollouts takes the next step of each running rollout if this store is the leader.
+func (n *Node) advanceRollouts(ctx context.Context) {
 	running := map[string]uint64{}
 	for _, r := range n.rollouts() {
 		if r.Running() {
 			running[r.Service] = r.Number
-			n.keepRollout(ctx, r)
+			n.advanceRollout(ctx, r)
 		}
 	}
-	n.director.Keep(running)
+	n.rolloutController.Keep(running)
 }
 
-func (n *Node) keepRollout(ctx context.Context, r wheelgauge.Rollout) {
-	if !n.replica.Leading() || n.now().Sub(n.started) < warmUp {
-		return // hosts may be there that it has not heard of
+func (n *Node) advanceRollout(ctx context.Context, r wheelgauge.Rollout) {
+	if !n.replica.Leading() || n.now().Sub(n.started) < warmUpPeriod {
+		return // not all hosts may have sent a heartbeat yet
 	}
-	d := n.director.Decide(r, n.view(r))
+	d := n.rolloutController.Decide(r, n.rolloutView(r))
 	next := r
 	switch d.Step {
 	case director.Wait:
-		n.noteAge(ctx, r)
+		n.saveElapsed(ctx, r)
 		return
 	case director.Shift:
 		next.Shifting = true
@@ -200,34 +200,34 @@
 	case director.RollBack:
 		next.State, next.Cause = wheelgauge.RolloutRolledBack, d.Cause
 	}
-	limit, cancel := context.WithTimeout(ctx, rolloutTimeout)
+	proposeCtx, cancel := context.WithTimeout(ctx, rolloutProposeTimeout)
 	defer cancel()
-	res, err := n.change(limit, configlog.Command{Op: configlog.OpRolloutStep, Rollout: &next})
+	res, err := n.proposeChange(proposeCtx, configlog.Command{Op: configlog.OpRolloutStep, Rollout: &next})
 	if err != nil {
-		n.o.Log.Info("Rollout does not go on yet.", "service", r.Service, "number", r.Number, "step", d.Step, "cause", err.Error())
+		n.o.Log.Info("Rollout step could not be committed; the next evaluation retries.", "service", r.Service, "number", r.Number, "step", d.Step, "cause", err.Error())
 		return
 	}
 	n.meter.Count("rollouts." + string(d.Step))
 	n.o.Log.Info("Rollout goes on.", "service", r.Service, "target", r.Version, "number", r.Number, "step", d.Step, "cause", d.Cause, "score", d.Score, "proof", d.Proof, "detects", d.Detects,
-		"answers", d.Answers, "waiting", d.Waiting, "left_ms", r.Left().Milliseconds(), "taken", res.Taken)
+		"answers", d.Answers, "waiting", d.Waiting, "left_ms", r.Left().Milliseconds(), "taken", res.Applied)
 }
 
-// noteAge has the group note how long a rollout has run, so that stores that all start anew
-// do not give it all its time again.
-func (n *Node) noteAge(ctx context.Context, r wheelgauge.Rollout) {
-	noted, _ := wheelgauge.RolloutOf(n.machine.State().Rollouts, r.Service)
-	if r.ElapsedMS-noted.ElapsedMS < ageEvery.Milliseconds() {
+// saveElapsed commits the elapsed time of a rollout, so that a restart of all stores does not
+// start its time limit anew.
+func (n *Node) saveElapsed(ctx context.Context, r wheelgauge.Rollout) {
+	saved, _ := wheelgauge.RolloutOf(n.machine.State().Rollouts, r.Service)
+	if r.ElapsedMS-saved.ElapsedMS < ageSaveInterval.Milliseconds() {
 		return
 	}
-	limit, cancel := context.WithTimeout(ctx, rolloutTimeout)
+	proposeCtx, cancel := context.WithTimeout(ctx, rolloutProposeTimeout)
 	defer cancel()
-	if _, err := n.change(limit, configlog.Command{Op: configlog.OpRolloutAge, Rollout: &r}); err != nil {
-		n.meter.Count("rollouts.age.failed") // the next look tries again
+	if _, err := n.proposeChange(proposeCtx, configlog.Command{Op: configlog.OpRolloutAge, Rollout: &r}); err != nil {
+		n.meter.Count("rollouts.age.failed") // the next evaluation retries
 	}
 }
 
-// view is what this store knows besides of a rollout.
-func (n *Node) view(r wheelgauge.Rollout) director.View {
+// rolloutView returns what this store knows about the hosts and servers of a rollout.
+func (n *Node) rolloutView(r wheelgauge.Rollout) director.View {
 	v := director.View{Left: r.Left(), Live: map[string]uint64{}}
 	hosts, _ := n.hosts.Hosts()
 	for _, h := range hosts {
@@ -242,9 +242,9 @@
 	return v
 }
 
-// offered tells whether a server takes requests as far as its version goes, so that regions
-// are compared by the servers that they can use.
-func offered(rollouts []wheelgauge.Rollout, s wheelgauge.Server) bool {
+// versionInUse reports whether the rollout of a server's service lets its version take
+// requests, so that regions are compared by the servers that they can use.
+func versionInUse(rollouts []wheelgauge.Rollout, s wheelgauge.Server) bool {
 	r, known := wheelgauge.RolloutOf(rollouts, s.Service)
 	completed := r.State == wheelgauge.RolloutCompleted
 	return !known || completed && r.Left() < -wheelgauge.RetiredAfter || (s.Version == r.Version) == completed
--- a/confstore/servers.go
+++ b/confstore/servers.go
@@ -9,19 +9,19 @@
 	"wheelgauge"
 )
 
-// staleReads is how many intervals old the list of a region may be before this store
-// reads it itself, whoever should: its reader, or the way there, is gone then.
-const staleReads = 2.5
+// staleIntervals is how many poll intervals old the list of a region may be before this
+// store reads it itself: the store that should read it is dead or unreachable then.
+const staleIntervals = 2.5
 
-// poll reads the lists that are this store's to read. Each region's is read by one
-// store, which passes it on: with all read by all, five stores made 28 calls a
-// second for 210 servers.
-func (n *Node) poll(ctx context.Context) {
-	limit, cancel := context.WithTimeout(ctx, 2*n.o.PollEvery)
+// pollLists reads the server lists of the regions that this store is the reader of. One
+// store reads each region's list and sends it to the others: when every store read every
+// list, five stores made 28 calls a second for 210 servers.
+func (n *Node) pollLists(ctx context.Context) {
+	pollCtx, cancel := context.WithTimeout(ctx, 2*n.o.PollEvery)
 	defer cancel()
 	for _, region := range n.regions() {
-		if n.reads(region) {
-			n.read(limit, region)
+		if n.isReader(region) {
+			n.readList(pollCtx, region)
 		}
 	}
 }
@@ -38,60 +38,61 @@
 	return out
 }
 
-// reads tells whether the list of a region is this store's to read: it is that
-// of the first store there, or of the first of all where there is none. A list
-// that has not come for a while is read by whoever lacks it.
-func (n *Node) reads(region string) bool {
-	limit := time.Duration(staleReads * float64(n.o.PollEvery))
-	if age, ok := n.servers.Age(region); !ok || age > limit {
+// isReader reports whether this store reads the list of a region. The reader is the
+// store of that region with the lowest address, or of all stores if the region has
+// none. Any store reads a list that it has not received for a while.
+func (n *Node) isReader(region string) bool {
+	maxAge := time.Duration(staleIntervals * float64(n.o.PollEvery))
+	if age, ok := n.servers.Age(region); !ok || age > maxAge {
 		return true
 	}
-	return n.members.first(n.o.Peer, n.o.Region, region, n.now().Add(-limit)) == n.o.Peer
+	return n.peers.reader(n.o.Peer, n.o.Region, region, n.now().Add(-maxAge)) == n.o.Peer
 }
 
-// read reads the list of a region; the last one holds if that fails.
-func (n *Node) read(ctx context.Context, region string) {
+// readList reads the list of a region. If that fails, the last list stays in use.
+func (n *Node) readList(ctx context.Context, region string) {
 	var halls []string
-	for hall, of := range n.o.Halls {
-		if of == region {
+	for hall, hallRegion := range n.o.Halls {
+		if hallRegion == region {
 			halls = append(halls, hall)
 		}
 	}
 	slices.Sort(halls)
-	asked := n.now()
-	list, foreign, err := n.o.List.Servers(ctx, halls)
+	readAt := n.now()
+	list, invalid, err := n.o.List.Servers(ctx, halls)
 	if err != nil {
 		n.meter.Count("list.failed")
-		n.o.Log.Info("List of servers is not read; the last one holds.", "region", region, "cause", err.Error())
+		n.o.Log.Info("Server list could not be read; the last one stays in use.", "region", region, "cause", err.Error())
 		return
 	}
-	n.noteForeign(region, foreign)
-	// Whoever gives the list may not part it by halls.
+	n.recordInvalidEntries(region, invalid)
+	// The provider of the list may ignore the halls asked for.
 	list = slices.DeleteFunc(list, func(s wheelgauge.Server) bool { return n.o.Halls[s.Hall] != region })
 	for i := range list {
 		list[i].Region = region
 	}
-	n.servers.Read(region, list, asked)
+	n.servers.Read(region, list, readAt)
 }
 
-// addServers adds the list of servers when it changed, unless the host holds a
-// newer one: those of the host's region for work, the others as holders of prompts.
-// Its age is that of the part of the host's region.
-func (n *Node) addServers(a *wheelgauge.BeatAnswer, b wheelgauge.Beat, same bool) {
+// addServers adds the server list if it changed, unless the host already has a newer
+// one. Servers of the host's region take its requests; those of other regions may have
+// its prompts cached. The age is that of the list of the host's region.
+func (n *Node) addServers(a *wheelgauge.BeatAnswer, b wheelgauge.Beat, sameStore bool) {
 	list, version := n.servers.All()
-	held := same && b.Servers == version
+	current := sameStore && b.Servers == version
 	since, ok := n.servers.Age(b.Host.Region)
 	age := since.Milliseconds()
-	if !ok || !held && b.ListAgeMS > 0 && age > b.ListAgeMS {
+	if !ok || !current && b.ListAgeMS > 0 && age > b.ListAgeMS {
 		return
 	}
 	a.ServersAt, a.ServersAgeMS = version, age
-	if !held {
+	if !current {
 		a.Servers = list
 	}
 }
 
-// regionUses joins what hosts have in flight with the servers there are.
+// regionUses returns the load and the capacity of each region: what hosts have in flight
+// there, and the servers in use.
 func (n *Node) regionUses() []wheelgauge.RegionUse {
 	sums := n.hosts.Regions()
 	state := n.fleetState()
@@ -99,7 +100,7 @@
 	limited := n.limits.Limited()
 	for _, s := range list {
 		region := n.o.Halls[s.Hall]
-		if s.Leaving || slices.Contains(state.Drained, s.Hall) || !offered(state.Rollouts, s) {
+		if s.Leaving || slices.Contains(state.Drained, s.Hall) || !versionInUse(state.Rollouts, s) {
 			continue
 		}
 		if sums[region] == nil {
@@ -108,7 +109,7 @@
 		u := sums[region][s.Service]
 		u.Service = s.Service
 		if limited[s.Life()] {
-			// It offers other regions little, however idle it is.
+			// A rate-limited server has little capacity for other regions even when idle.
 			u.Limited++
 		} else {
 			u.Servers, u.Slots = u.Servers+1, u.Slots+s.Slots
@@ -126,20 +127,20 @@
 	return out
 }
 
-// noteForeign counts the entries that name no server, and writes a line when there are
-// others than at the last reading.
-func (n *Node) noteForeign(region string, foreign wheelgauge.ForeignEntries) {
-	for fault, count := range foreign {
+// recordInvalidEntries sets the metrics of invalid list entries, by kind of fault, and logs
+// the counts if they differ from those of the last reading.
+func (n *Node) recordInvalidEntries(region string, invalid wheelgauge.ForeignEntries) {
+	for fault, count := range invalid {
 		n.meter.Gauge("list.foreign."+region+"."+string(fault), int64(count))
 	}
-	if maps.Equal(n.foreign[region], foreign) {
+	if maps.Equal(n.invalidEntries[region], invalid) {
 		return
 	}
-	for fault := range n.foreign[region] {
-		if foreign[fault] == 0 {
+	for fault := range n.invalidEntries[region] {
+		if invalid[fault] == 0 {
 			n.meter.Gauge("list.foreign."+region+"."+string(fault), 0)
 		}
 	}
-	n.foreign[region] = foreign
-	n.o.Log.Info("Entries of the list name no server; the others hold.", "region", region, "entries", foreign)
+	n.invalidEntries[region] = invalid
+	n.o.Log.Info("Server list has invalid entries; only the valid ones are used.", "region", region, "entries", invalid)
 }
--- a/confstore/servers_test.go
+++ b/confstore/servers_test.go
@@ -17,13 +17,13 @@
 	"wheelgauge/serverlist"
 )
 
-// What a primary heartbeat is told of the list of servers.
-func TestListIsTold(t *testing.T) {
+// The response to a primary heartbeat has the server list unless the host has this list or a newer one.
+func TestHeartbeatSendsServerList(t *testing.T) {
 	const age = 2 * time.Second
 	tests := []struct {
 		name   string
-		held   uint64 // the version of this store's list that the host holds
-		age    int64  // of the list that it holds, in ms
+		held   uint64 // the version of this store's list that the host has
+		age    int64  // age in ms of the list that the host has
 		listed bool
 		at     uint64
 	}{
@@ -42,19 +42,19 @@
 			var a wheelgauge.BeatAnswer
 			n.addServers(&a, wheelgauge.Beat{Host: wheelgauge.FleetHost{Region: "r"}, Primary: true, Store: 7, Servers: tt.held, ListAgeMS: tt.age}, true)
 			if (a.Servers != nil) != tt.listed || a.ServersAt != tt.at {
-				t.Errorf("told %v of version %d, want a list: %t, of version %d", a.Servers, a.ServersAt, tt.listed, tt.at)
+				t.Errorf("got %v of version %d, want a list: %t, of version %d", a.Servers, a.ServersAt, tt.listed, tt.at)
 			}
 		})
 	}
 }
 
-// countedList is a list of one server a hall that counts how often each hall is read.
-type countedList struct {
+// countingList lists one server for each hall and counts how often each hall is read.
+type countingList struct {
 	mu    sync.Mutex
 	reads map[string]int
 }
 
-func (l *countedList) Servers(_ context.Context, halls []string) ([]wheelgauge.Server, wheelgauge.ForeignEntries, error) {
+func (l *countingList) Servers(_ context.Context, halls []string) ([]wheelgauge.Server, wheelgauge.ForeignEntries, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []wheelgauge.Server
@@ -65,14 +65,14 @@
 	return out, nil, nil
 }
 
-func (l *countedList) counts() map[string]int {
+func (l *countingList) counts() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.reads)
 }
 
-// newsStore starts one of several stores that found their group together.
-func newsStore(t *testing.T, address, region string, seeds []string, l wheelgauge.ServerList) *Node {
+// startStore starts one of several stores that form a new replica group.
+func startStore(t *testing.T, address, region string, seeds []string, l wheelgauge.ServerList) *Node {
 	t.Helper()
 	n, err := Open(context.Background(), Options{
 		Name: address, Region: region, Halls: map[string]string{"n1": "north", "n2": "north", "s1": "south", "w1": "west"},
@@ -87,24 +87,24 @@
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("not seen: %s", what)
+	for deadline := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met within 20 s: %s", what)
 		}
 	}
 }
 
-// Each hall is read by one store for all; when that store is gone, by another.
-// With each store reading all, five of them made 28 calls a second to the list of
-// 210 servers, whose provider counts calls.
-func TestEachHallIsReadByOneStore(t *testing.T) {
+// Each hall is read by one store for all, and by another once that store is dead. If every
+// store read every hall, five of them would make 28 calls a second to the list of 210
+// servers, and the provider of the list counts calls.
+func TestEachHallIsPolledByOneStore(t *testing.T) {
 	seeds := []string{"127.0.93.1:8092", "127.0.93.2:8092", "127.0.93.3:8092", "127.0.93.4:8092"}
 	regions := []string{"north", "north", "south", "south"}
-	var lists []*countedList
+	var lists []*countingList
 	var nodes []*Node
 	for i, address := range seeds {
-		lists = append(lists, &countedList{reads: map[string]int{}})
-		nodes = append(nodes, newsStore(t, address, regions[i], seeds, lists[i]))
+		lists = append(lists, &countingList{reads: map[string]int{}})
+		nodes = append(nodes, startStore(t, address, regions[i], seeds, lists[i]))
 	}
 	stopped := map[int]bool{}
 	stop := func(i int) {
@@ -120,8 +120,8 @@
 			stop(i)
 		}
 	})
-	// settled tells whether, over some polls, only these stores read these halls.
-	settled := func(want map[string]int) bool {
+	// stable reports whether, over some polls, only the wanted stores read the halls.
+	stable := func(want map[string]int) bool {
 		var before []map[string]int
 		for _, l := range lists {
 			before = append(before, l.counts())
@@ -143,31 +143,31 @@
 		}
 		return true
 	}
-	eventually(t, "one reader a hall", func() bool { return settled(map[string]int{"n1": 0, "n2": 0, "s1": 2, "w1": 0}) })
+	eventually(t, "one reader for each hall", func() bool { return stable(map[string]int{"n1": 0, "n2": 0, "s1": 2, "w1": 0}) })
 	for i, n := range nodes {
 		list, _ := n.servers.All()
 		if len(list) != 4 {
-			t.Errorf("store %d lists %v", i, list)
+			t.Errorf("store %d: got servers %v, want 4", i, list)
 		}
 	}
 	stop(0)
-	eventually(t, "another reader where one is gone", func() bool { return settled(map[string]int{"n1": 1, "n2": 1, "s1": 2, "w1": 1}) })
+	eventually(t, "another reader once one has stopped", func() bool { return stable(map[string]int{"n1": 1, "n2": 1, "s1": 2, "w1": 1}) })
 	for _, i := range []int{1, 2, 3} {
 		for _, region := range []string{"north", "south", "west"} {
 			if age, ok := nodes[i].servers.Age(region); !ok || age > 5*time.Second {
-				t.Errorf("store %d holds a list of %s that is %s old", i, region, age)
+				t.Errorf("store %d: list of %s is %s old, want at most 5 s", i, region, age)
 			}
 		}
 	}
 }
 
 // A store that is cut off from the others reads everything itself.
-func TestStaleListIsReadByWhoeverLacksIt(t *testing.T) {
+func TestStaleListIsPolledByAnyStore(t *testing.T) {
 	n := &Node{
 		o: Options{Clock: wheelgauge.SteadyClock{}, Peer: "b", Region: "north", PollEvery: time.Second}, servers: serverlist.New(1, time.Now), hosts: hosttable.New(time.Now),
-		bank: capbank.New(capbank.Options{Self: "b", Boot: 1, Now: time.Now}),
+		caps: capbank.New(capbank.Options{Self: "b", Boot: 1, Now: time.Now}),
 	}
-	n.takeNews(wheelgauge.StoreNews{Store: 2, Address: "a", Region: "south"})
+	n.applyUpdate(wheelgauge.StoreNews{Store: 2, Address: "a", Region: "south"})
 	tests := []struct {
 		region string
 		age    time.Duration
@@ -176,17 +176,17 @@
 		{"north", 0, true},
 		{"south", 0, false},
 		{"south", 3 * time.Second, true},
-		{"west", 0, false}, // no store stands there: it is the first one's of all
+		{"west", 0, false}, // no store is in this region: the first of all stores reads it
 		{"west", 3 * time.Second, true},
 	}
 	for _, tt := range tests {
 		n.servers = serverlist.New(1, time.Now)
 		n.servers.Read(tt.region, nil, time.Now().Add(-tt.age))
-		if got := n.reads(tt.region); got != tt.want {
-			t.Errorf("%s, %s old: read here %t, want %t", tt.region, tt.age, got, tt.want)
+		if got := n.isReader(tt.region); got != tt.want {
+			t.Errorf("list of %s, %s old: got reader %t, want %t", tt.region, tt.age, got, tt.want)
 		}
 	}
-	if !n.reads("unknown") {
-		t.Error("a region that was never heard of is not read")
+	if !n.isReader("unknown") {
+		t.Error("a region without a known list is not read")
 	}
 }
--- a/inforce/table.go
+++ b/inforce/table.go
@@ -1,4 +1,4 @@
-// Package inforce remembers which generation each host said it obeys.
+// Package inforce records the configuration generation that each host reports as applied.
 package inforce
 
 import (
@@ -10,52 +10,52 @@
 	"wheelgauge"
 )
 
-type row struct {
+type report struct {
 	region     string
 	generation uint64
 	at         time.Time
 }
 
-// Table is safe for concurrent use.
+// Table has the last report of each host. It is safe for concurrent use.
 type Table struct {
-	mu   sync.Mutex
-	rows map[string]row
+	mu      sync.Mutex
+	reports map[string]report
 }
 
 // New returns an empty table.
-func New() *Table { return &Table{rows: map[string]row{}} }
+func New() *Table { return &Table{reports: map[string]report{}} }
 
-// Report takes in what a host says.
-func (t *Table) Report(host, region string, generation uint64) {
+// Record records the generation that a host has applied.
+func (t *Table) Record(host, region string, generation uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.rows[host] = row{region, generation, time.Now()}
+	t.reports[host] = report{region, generation, time.Now()}
 }
 
-// List returns all reports, sorted by host.
+// List returns the reports with their ages, sorted by host.
 func (t *Table) List() []wheelgauge.InForce {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make([]wheelgauge.InForce, 0, len(t.rows))
-	for host, r := range t.rows {
+	out := make([]wheelgauge.InForce, 0, len(t.reports))
+	for host, r := range t.reports {
 		out = append(out, wheelgauge.InForce{Host: host, Region: r.region, Generation: r.generation, AgeMS: time.Since(r.at).Milliseconds()})
 	}
 	slices.SortFunc(out, func(a, b wheelgauge.InForce) int { return strings.Compare(a.Host, b.Host) })
 	return out
 }
 
-// Merge keeps the newest report of each host.
+// Merge returns the newest report of each host, sorted by host.
 func Merge(lists ...[]wheelgauge.InForce) []wheelgauge.InForce {
-	best := map[string]wheelgauge.InForce{}
+	newest := map[string]wheelgauge.InForce{}
 	for _, list := range lists {
 		for _, f := range list {
-			if was, ok := best[f.Host]; !ok || f.AgeMS < was.AgeMS {
-				best[f.Host] = f
+			if known, ok := newest[f.Host]; !ok || f.AgeMS < known.AgeMS {
+				newest[f.Host] = f
 			}
 		}
 	}
-	out := make([]wheelgauge.InForce, 0, len(best))
-	for _, f := range best {
+	out := make([]wheelgauge.InForce, 0, len(newest))
+	for _, f := range newest {
 		out = append(out, f)
 	}
 	slices.SortFunc(out, func(a, b wheelgauge.InForce) int { return strings.Compare(a.Host, b.Host) })
--- a/operators/tokens.go
+++ b/operators/tokens.go
@@ -1,4 +1,4 @@
-// Package operators checks the tokens of operators and what they may do.
+// Package operators authenticates operators by token and checks their roles.
 package operators
 
 import (
@@ -22,20 +22,20 @@
 	RoleWrite = "write"
 )
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
 type operator struct {
-	name string
-	role string
-	sum  [sha256.Size]byte
+	name      string
+	role      string
+	tokenHash [sha256.Size]byte
 }
 
-// Tokens is the list of operators, read again when its file changes.
+// Tokens has the operators of a file, which it reads again when the file changes.
 type Tokens struct {
-	path  string
-	mu    sync.Mutex
-	stamp time.Time
-	list  []operator
+	path    string
+	mu      sync.Mutex
+	modTime time.Time
+	list    []operator
 }
 
 // Load reads an INI file with one section for each operator: token and role.
@@ -50,14 +50,14 @@
 func (t *Tokens) refresh() error {
 	info, err := os.Stat(t.path)
 	if err != nil {
-		return fmt.Errorf("find operators' file: %w", err)
+		return fmt.Errorf("stat operators file: %w", err)
 	}
-	if info.ModTime().Equal(t.stamp) {
+	if info.ModTime().Equal(t.modTime) {
 		return nil
 	}
 	file, err := ini.Load(t.path)
 	if err != nil {
-		return fmt.Errorf("read operators' file: %w", err)
+		return fmt.Errorf("read operators file: %w", err)
 	}
 	var list []operator
 	for _, s := range file.Sections() {
@@ -71,19 +71,20 @@
 		}
 		list = append(list, operator{s.Name(), role, sha256.Sum256([]byte(token))})
 	}
-	t.list, t.stamp = list, info.ModTime()
+	t.list, t.modTime = list, info.ModTime()
 	return nil
 }
 
-// Check returns the operator's name. header is the Authorization header.
+// Check returns the name of the operator that the Authorization header identifies. It
+// returns an error for an unknown token, or if write is set and the operator may only read.
 func (t *Tokens) Check(header string, write bool) (string, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_ = t.refresh() // a file being replaced leaves the earlier list in use
-	sum := sha256.Sum256([]byte(strings.TrimPrefix(header, bearer)))
+	_ = t.refresh() // if the file cannot be read, as during its replacement, the earlier list stays in use
+	sum := sha256.Sum256([]byte(strings.TrimPrefix(header, bearerPrefix)))
 	for i := range t.list {
 		o := &t.list[i]
-		if subtle.ConstantTimeCompare(sum[:], o.sum[:]) != 1 {
+		if subtle.ConstantTimeCompare(sum[:], o.tokenHash[:]) != 1 {
 			continue
 		}
 		if write && o.role != RoleWrite {
@@ -91,5 +92,5 @@
 		}
 		return o.name, nil
 	}
-	return "", wheelgauge.NewError(wheelgauge.ReasonUnauthorized, wheelgauge.OutcomeNotRun, http.StatusUnauthorized, "the token is not known")
+	return "", wheelgauge.NewError(wheelgauge.ReasonUnauthorized, wheelgauge.OutcomeNotRun, http.StatusUnauthorized, "unknown token")
 }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry is the state machine of the configuration: resources,
-// generations, the answers to changes, and the events that watches read.
+// Package registry implements the state machine of the configuration: resources,
+// generations, the results of changes, and the events for watches.
 package registry
 
 import (
@@ -14,10 +14,10 @@
 )
 
 const (
-	// keptEvents is how far back a watch may start before it is too old.
-	keptEvents = 4096
-	// keptAnswers is how many change IDs are remembered: six days at 1,300 a day.
-	keptAnswers = 8192
+	// maxEvents is how many events are stored; a watch cannot start before the oldest one.
+	maxEvents = 4096
+	// maxResults is how many results of changes with an ID are stored: those of six days at 1,300 changes a day.
+	maxResults = 8192
 )
 
 type key struct {
@@ -25,34 +25,34 @@
 	name string
 }
 
-// Registry is safe for concurrent use.
+// Registry implements wheelgauge.StateMachine on resources. It is safe for concurrent use.
 type Registry struct {
-	mu         sync.RWMutex
-	generation uint64
-	resources  map[key]wheelgauge.Resource
-	events     []wheelgauge.Event
-	answers    map[string]wheelgauge.ChangeResult
-	order      []string
-	changed    chan struct{}
+	mu          sync.RWMutex
+	generation  uint64
+	resources   map[key]wheelgauge.Resource
+	events      []wheelgauge.Event
+	results     map[string]wheelgauge.ChangeResult
+	resultOrder []string
+	changed     chan struct{}
 }
 
-// image is the snapshot form.
-type image struct {
+// snapshotData is the encoding of a snapshot.
+type snapshotData struct {
 	Generation uint64                    `json:"generation"`
 	Resources  []wheelgauge.Resource     `json:"resources"`
-	Answers    []wheelgauge.ChangeResult `json:"answers"`
+	Results    []wheelgauge.ChangeResult `json:"answers"`
 }
 
 // New returns an empty registry.
 func New() *Registry {
 	return &Registry{
 		resources: map[key]wheelgauge.Resource{},
-		answers:   map[string]wheelgauge.ChangeResult{},
+		results:   map[string]wheelgauge.ChangeResult{},
 		changed:   make(chan struct{}),
 	}
 }
 
-// Apply implements wheelgauge.StateMachine; command is a Change.
+// Apply implements wheelgauge.StateMachine; command is an encoded Change.
 func (r *Registry) Apply(_ uint64, command []byte) []byte {
 	var change wheelgauge.Change
 	result := wheelgauge.ChangeResult{}
@@ -71,8 +71,8 @@
 func (r *Registry) change(c wheelgauge.Change) wheelgauge.ChangeResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if was, ok := r.answers[c.ID]; ok && c.ID != "" {
-		return was
+	if first, ok := r.results[c.ID]; ok && c.ID != "" {
+		return first
 	}
 	result := r.decide(c)
 	result.ID = c.ID
@@ -106,15 +106,15 @@
 	if result.ID == "" {
 		return
 	}
-	r.answers[result.ID] = result
-	r.order = append(r.order, result.ID)
-	if len(r.order) > keptAnswers {
-		delete(r.answers, r.order[0])
-		r.order = r.order[1:]
+	r.results[result.ID] = result
+	r.resultOrder = append(r.resultOrder, result.ID)
+	if len(r.resultOrder) > maxResults {
+		delete(r.results, r.resultOrder[0])
+		r.resultOrder = r.resultOrder[1:]
 	}
 }
 
-// Check tells what a change would be answered, without making it.
+// Check returns the error that a change would get, without making it.
 func (r *Registry) Check(c wheelgauge.Change) error {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -131,78 +131,78 @@
 }
 
 func (r *Registry) prepare(c wheelgauge.Change) (wheelgauge.Resource, json.RawMessage, *wheelgauge.Error) {
-	was := r.resources[key{c.Kind, c.Name}]
-	if c.Expected != nil && *c.Expected != was.Generation {
-		return was, nil, conflict(c, was)
+	old := r.resources[key{c.Kind, c.Name}]
+	if c.Expected != nil && *c.Expected != old.Generation {
+		return old, nil, conflict(c, old)
 	}
 	if c.Op != wheelgauge.OpPut {
-		return was, nil, nil
+		return old, nil, nil
 	}
 	spec, err := validate.Spec(c.Kind, c.Name, c.Spec, r.exists)
 	if err != nil {
-		return was, nil, invalid(err)
+		return old, nil, invalid(err)
 	}
-	return was, spec, nil
+	return old, spec, nil
 }
 
 func (r *Registry) put(c wheelgauge.Change) (wheelgauge.ChangeResult, *wheelgauge.Error) {
-	was, spec, fault := r.prepare(c)
-	if fault != nil {
-		return wheelgauge.ChangeResult{}, fault
+	old, spec, err := r.prepare(c)
+	if err != nil {
+		return wheelgauge.ChangeResult{}, err
 	}
 	next := wheelgauge.Resource{Kind: c.Kind, Name: c.Name, Operator: c.Operator, Spec: spec}
 	if c.Kind != wheelgauge.KindResidencyRule {
-		if string(was.Spec) == string(spec) {
-			return wheelgauge.ChangeResult{Generation: was.Generation}, nil
+		if string(old.Spec) == string(spec) {
+			return wheelgauge.ChangeResult{Generation: old.Generation}, nil
 		}
-		r.store(next)
+		r.set(next)
 		return wheelgauge.ChangeResult{}, nil
 	}
-	return r.putRule(was, next)
+	return r.putRule(old, next)
 }
 
-// putRule stores a residency rule. One that takes rights away stays pending
-// until every host has it.
-func (r *Registry) putRule(was, next wheelgauge.Resource) (wheelgauge.ChangeResult, *wheelgauge.Error) {
-	if string(was.Spec) == string(next.Spec) && len(was.Pending) == 0 {
-		return wheelgauge.ChangeResult{Generation: was.Generation}, nil
+// putRule stores a residency rule. A rule that forbids a region that was allowed
+// stays pending until every host has it.
+func (r *Registry) putRule(old, next wheelgauge.Resource) (wheelgauge.ChangeResult, *wheelgauge.Error) {
+	if string(old.Spec) == string(next.Spec) && len(old.Pending) == 0 {
+		return wheelgauge.ChangeResult{Generation: old.Generation}, nil
 	}
-	takes, err := validate.TakesRights(was.Spec, next.Spec)
+	removes, err := validate.RemovesRegions(old.Spec, next.Spec)
 	if err != nil {
 		return wheelgauge.ChangeResult{}, invalid(err)
 	}
-	if !takes {
-		r.store(next)
+	if !removes {
+		r.set(next)
 		return wheelgauge.ChangeResult{}, nil
 	}
-	next.Pending, next.Spec = next.Spec, was.Spec
+	next.Pending, next.Spec = next.Spec, old.Spec
 	next.PendingGen = r.generation + 1
-	r.store(next)
+	r.set(next)
 	return wheelgauge.ChangeResult{Pending: true}, nil
 }
 
 func (r *Registry) remove(c wheelgauge.Change) *wheelgauge.Error {
-	was, _, fault := r.prepare(c)
-	if fault != nil {
-		return fault
+	old, _, err := r.prepare(c)
+	if err != nil {
+		return err
 	}
-	if was.Generation == 0 {
+	if old.Generation == 0 {
 		return wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound,
 			fmt.Sprintf("%s %s does not exist", c.Kind, c.Name))
 	}
-	if by := r.user(c.Kind, c.Name); by != "" {
+	if dependent := r.dependent(c.Kind, c.Name); dependent != "" {
 		return wheelgauge.NewError(wheelgauge.ReasonInvalid, wheelgauge.OutcomeNotRun, http.StatusUnprocessableEntity,
-			fmt.Sprintf("%s %s is used by %s", c.Kind, c.Name, by))
+			fmt.Sprintf("%s %s is used by %s", c.Kind, c.Name, dependent))
 	}
 	r.generation++
 	delete(r.resources, key{c.Kind, c.Name})
-	was.Generation, was.Operator = r.generation, c.Operator
-	r.publish(wheelgauge.Event{Generation: r.generation, Deleted: true, Resource: was})
+	old.Generation, old.Operator = r.generation, c.Operator
+	r.publish(wheelgauge.Event{Generation: r.generation, Deleted: true, Resource: old})
 	return nil
 }
 
-// user names a resource whose spec would be invalid without the named one.
-func (r *Registry) user(kind wheelgauge.Kind, name string) string {
+// dependent returns a resource whose spec would be invalid without the named one, or "".
+func (r *Registry) dependent(kind wheelgauge.Kind, name string) string {
 	without := func(k wheelgauge.Kind, n string) bool {
 		return (k != kind || n != name) && r.exists(k, n)
 	}
@@ -218,16 +218,16 @@
 }
 
 func (r *Registry) accept(c wheelgauge.Change) *wheelgauge.Error {
-	was := r.resources[key{c.Kind, c.Name}]
-	if len(was.Pending) == 0 || c.Expected == nil || *c.Expected != was.PendingGen {
-		return conflict(c, was)
+	old := r.resources[key{c.Kind, c.Name}]
+	if len(old.Pending) == 0 || c.Expected == nil || *c.Expected != old.PendingGen {
+		return conflict(c, old)
 	}
-	was.Spec, was.Pending, was.PendingGen = was.Pending, nil, 0
-	r.store(was)
+	old.Spec, old.Pending, old.PendingGen = old.Pending, nil, 0
+	r.set(old)
 	return nil
 }
 
-func (r *Registry) store(res wheelgauge.Resource) {
+func (r *Registry) set(res wheelgauge.Resource) {
 	r.generation++
 	res.Generation = r.generation
 	r.resources[key{res.Kind, res.Name}] = res
@@ -236,20 +236,20 @@
 
 func (r *Registry) publish(e wheelgauge.Event) {
 	r.events = append(r.events, e)
-	if len(r.events) > keptEvents {
-		r.events = slices.Clone(r.events[len(r.events)-keptEvents:])
+	if len(r.events) > maxEvents {
+		r.events = slices.Clone(r.events[len(r.events)-maxEvents:])
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-func conflict(c wheelgauge.Change, was wheelgauge.Resource) *wheelgauge.Error {
-	by := was.Operator
-	if by == "" {
-		by = "nobody"
+func conflict(c wheelgauge.Change, current wheelgauge.Resource) *wheelgauge.Error {
+	operator := current.Operator
+	if operator == "" {
+		operator = "nobody"
 	}
 	return wheelgauge.NewError(wheelgauge.ReasonConflict, wheelgauge.OutcomeNotRun, http.StatusConflict,
-		fmt.Sprintf("%s %s is at generation %d, last changed by %s", c.Kind, c.Name, was.Generation, by))
+		fmt.Sprintf("%s %s is at generation %d, last changed by %s", c.Kind, c.Name, current.Generation, operator))
 }
 
 func invalid(err error) *wheelgauge.Error {
@@ -271,7 +271,7 @@
 	return res, ok
 }
 
-// List returns all resources of a kind, or of every kind when it is empty, in
+// List returns all resources of a kind, or of every kind if it is empty, in
 // the order of Kinds and names.
 func (r *Registry) List(kind wheelgauge.Kind) wheelgauge.ListAnswer {
 	r.mu.RLock()
@@ -302,8 +302,8 @@
 	return out
 }
 
-// PendingList returns the resources that wait to be accepted.
-func (r *Registry) PendingList() []wheelgauge.Resource {
+// PendingRules returns the residency rules with a pending spec.
+func (r *Registry) PendingRules() []wheelgauge.Resource {
 	var out []wheelgauge.Resource
 	for _, res := range r.List(wheelgauge.KindResidencyRule).Resources {
 		if len(res.Pending) > 0 {
@@ -314,58 +314,58 @@
 }
 
 // Since returns the events after generation from, and a channel that is closed
-// at the next change. ok is false when from is too old for events.
-func (r *Registry) Since(from uint64) (answer wheelgauge.WatchAnswer, changed <-chan struct{}, ok bool) {
+// at the next change. ok is false if those events are no longer stored.
+func (r *Registry) Since(from uint64) (response wheelgauge.WatchAnswer, changed <-chan struct{}, ok bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	answer.Generation = r.generation
+	response.Generation = r.generation
 	if from >= r.generation {
-		return answer, r.changed, true
+		return response, r.changed, true
 	}
 	if len(r.events) == 0 || r.events[0].Generation > from+1 {
-		return answer, r.changed, false
+		return response, r.changed, false
 	}
 	first := slices.IndexFunc(r.events, func(e wheelgauge.Event) bool { return e.Generation > from })
-	answer.Events = slices.Clone(r.events[first:])
-	return answer, r.changed, true
+	response.Events = slices.Clone(r.events[first:])
+	return response, r.changed, true
 }
 
 // Snapshot implements wheelgauge.StateMachine.
 func (r *Registry) Snapshot() ([]byte, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	im := image{Generation: r.generation, Resources: r.list("")}
-	for _, id := range r.order {
-		im.Answers = append(im.Answers, r.answers[id])
+	data := snapshotData{Generation: r.generation, Resources: r.list("")}
+	for _, id := range r.resultOrder {
+		data.Results = append(data.Results, r.results[id])
 	}
-	data, err := json.Marshal(im)
+	encoded, err := json.Marshal(data)
 	if err != nil {
 		return nil, fmt.Errorf("encode snapshot: %w", err)
 	}
-	return data, nil
+	return encoded, nil
 }
 
 // Restore implements wheelgauge.StateMachine.
 func (r *Registry) Restore(snapshot []byte) error {
-	var im image
+	var data snapshotData
 	if len(snapshot) > 0 {
-		if err := json.Unmarshal(snapshot, &im); err != nil {
+		if err := json.Unmarshal(snapshot, &data); err != nil {
 			return fmt.Errorf("decode snapshot: %w", err)
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.generation = im.Generation
+	r.generation = data.Generation
 	r.events = nil
-	r.order = nil
-	r.answers = map[string]wheelgauge.ChangeResult{}
+	r.resultOrder = nil
+	r.results = map[string]wheelgauge.ChangeResult{}
 	r.resources = map[key]wheelgauge.Resource{}
-	for _, res := range im.Resources {
+	for _, res := range data.Resources {
 		r.resources[key{res.Kind, res.Name}] = res
 	}
-	for _, a := range im.Answers {
-		r.answers[a.ID] = a
-		r.order = append(r.order, a.ID)
+	for _, result := range data.Results {
+		r.results[result.ID] = result
+		r.resultOrder = append(r.resultOrder, result.ID)
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -75,20 +75,20 @@
 				t.Fatalf("got %+v", got.Error)
 			}
 			if tt.reason != "" && !strings.Contains(got.Error.Detail(), tt.detail) {
-				t.Fatalf("the answer does not name %q: %v", tt.detail, got.Error)
+				t.Fatalf("expected an error that contains %q, got %v", tt.detail, got.Error)
 			}
 		})
 	}
 }
 
-// TestResend gives the first answer again, also after a snapshot.
-func TestResend(t *testing.T) {
+// A change that is sent again gets its first result, also after a restore from a snapshot.
+func TestResendReturnsFirstResult(t *testing.T) {
 	r := withRegions(t)
 	first := expecting(put(wheelgauge.KindHall, "h", `{"region":"karachi"}`), 0)
 	first.ID = "change-1"
-	lost := expecting(put(wheelgauge.KindHall, "h", `{"region":"lahore"}`), 0)
-	lost.ID = "change-2"
-	a, b := apply(t, r, first), apply(t, r, lost)
+	loser := expecting(put(wheelgauge.KindHall, "h", `{"region":"lahore"}`), 0)
+	loser.ID = "change-2"
+	a, b := apply(t, r, first), apply(t, r, loser)
 	if a.Error != nil || reason(b) != wheelgauge.ReasonConflict {
 		t.Fatalf("got %+v and %+v", a, b)
 	}
@@ -96,29 +96,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied := New()
-	if err := copied.Restore(data); err != nil {
+	restored := New()
+	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	for i, one := range []*Registry{r, copied} {
-		if again := apply(t, one, first); again.Generation != a.Generation || again.Error != nil {
-			t.Errorf("registry %d: resend got %+v, first answer was %+v", i, again, a)
+	for i, reg := range []*Registry{r, restored} {
+		if again := apply(t, reg, first); again.Generation != a.Generation || again.Error != nil {
+			t.Errorf("registry %d: resend got %+v, want the first result %+v", i, again, a)
 		}
-		if again := apply(t, one, lost); reason(again) != wheelgauge.ReasonConflict {
-			t.Errorf("registry %d: resend of the loser got %+v", i, again)
+		if again := apply(t, reg, loser); reason(again) != wheelgauge.ReasonConflict {
+			t.Errorf("registry %d: resend of the losing change got %+v, want a conflict", i, again)
 		}
-		if one.Generation() != a.Generation {
-			t.Errorf("registry %d: a resend made a change", i)
+		if reg.Generation() != a.Generation {
+			t.Errorf("registry %d: a resend changed the generation", i)
 		}
 	}
 }
 
-// TestRights keeps rules that take rights away pending until they are accepted.
-func TestRights(t *testing.T) {
+// A residency rule that forbids a region that was allowed stays pending until it is accepted.
+func TestPendingResidencyRules(t *testing.T) {
 	const wide, narrow, other = `{"client":"c","regions":["karachi","lahore"]}`, `{"client":"c","regions":["karachi"]}`, `{"client":"c","regions":["karachi","peshawar"]}`
 	tests := []struct {
 		name    string
-		was     string
+		old     string
 		next    string
 		pending bool
 	}{
@@ -132,8 +132,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := withRegions(t)
-			if tt.was != "" {
-				result := apply(t, r, put(wheelgauge.KindResidencyRule, "r", tt.was))
+			if tt.old != "" {
+				result := apply(t, r, put(wheelgauge.KindResidencyRule, "r", tt.old))
 				accept(t, r, result.Generation)
 			}
 			got := apply(t, r, put(wheelgauge.KindResidencyRule, "r", tt.next))
@@ -148,7 +148,7 @@
 				return
 			}
 			if early := apply(t, r, acceptance(got.Generation-1)); reason(early) != wheelgauge.ReasonConflict {
-				t.Fatalf("accepted at another generation: %+v", early)
+				t.Fatalf("expected a conflict at another generation, got %+v", early)
 			}
 			accept(t, r, got.Generation)
 			if res, _ := r.Get(wheelgauge.KindResidencyRule, "r"); string(res.Spec) != tt.next || len(res.Pending) > 0 {
@@ -180,7 +180,7 @@
 
 func TestSince(t *testing.T) {
 	r := New()
-	for i := range keptEvents + 10 {
+	for i := range maxEvents + 10 {
 		apply(t, r, put(wheelgauge.KindRegion, "karachi", fmt.Sprintf(`{"price":%d}`, i+1)))
 	}
 	last := r.Generation()
@@ -192,24 +192,24 @@
 		{last, 0, true},
 		{last + 5, 0, true},
 		{last - 3, 3, true},
-		{last - keptEvents, keptEvents, true},
-		{last - keptEvents - 1, 0, false},
+		{last - maxEvents, maxEvents, true},
+		{last - maxEvents - 1, 0, false},
 		{0, 0, false},
 	}
 	for _, tt := range tests {
-		answer, _, ok := r.Since(tt.from)
-		if ok != tt.ok || len(answer.Events) != tt.events {
-			t.Errorf("from %d: got %d events, %t", tt.from, len(answer.Events), ok)
+		response, _, ok := r.Since(tt.from)
+		if ok != tt.ok || len(response.Events) != tt.events {
+			t.Errorf("from %d: got %d events, ok %t", tt.from, len(response.Events), ok)
 		}
 	}
 }
 
-func TestWatchWakes(t *testing.T) {
+func TestChangeWakesWatch(t *testing.T) {
 	r := New()
 	_, changed, _ := r.Since(0)
 	apply(t, r, put(wheelgauge.KindRegion, "karachi", `{"price":1}`))
 	<-changed
-	if answer, _, ok := r.Since(0); !ok || len(answer.Events) != 1 {
-		t.Fatalf("got %+v", answer)
+	if response, _, ok := r.Since(0); !ok || len(response.Events) != 1 {
+		t.Fatalf("got %+v", response)
 	}
 }
--- a/storeapi/api.go
+++ b/storeapi/api.go
@@ -1,4 +1,4 @@
-// Package storeapi answers operators and gateways from a store.
+// Package storeapi implements the HTTP API of a store for operators, gateways and other stores.
 package storeapi
 
 import (
@@ -36,26 +36,26 @@
 const (
 	resourcePath  = confwatch.PathList
 	changeTimeout = 5 * time.Second
-	longestWait   = 30 * time.Second
-	mostEvents    = 512
+	maxWait       = 30 * time.Second
+	maxEvents     = 512
 	maxChangeID   = 128
 )
 
-// API answers the two listeners of a store.
+// API serves the two listeners of a store.
 type API struct {
-	Registry *registry.Registry
-	Replica  *replica.Replica
-	Claims   *claims.Table
-	InForce  *inforce.Table
-	Acceptor *acceptor.Acceptor
-	Hub      *membership.Hub
-	Tokens   *operators.Tokens
-	Meter    *meter.Meter
-	// Stop ends waiting watches when the store stops.
-	Stop context.Context
+	Registry           *registry.Registry
+	Replica            *replica.Replica
+	Claims             *claims.Table
+	AppliedGenerations *inforce.Table
+	Acceptor           *acceptor.Acceptor
+	Hub                *membership.Hub
+	Tokens             *operators.Tokens
+	Meter              *meter.Meter
+	// Context ends when the store stops. It bounds every call, waiting watches among them.
+	Context context.Context
 }
 
-// Status answers GET /v1/status.
+// Status is the response to GET /v1/status.
 type Status struct {
 	Replica    replica.Status         `json:"replica"`
 	Generation uint64                 `json:"generation"`
@@ -66,22 +66,22 @@
 	Claims     int                    `json:"claims"`
 }
 
-// Pending is a rule that waits for hosts.
+// Pending is a residency rule that is accepted once the waiting hosts and stores have it.
 type Pending struct {
 	Rule       string   `json:"rule"`
 	Generation uint64   `json:"generation"`
 	Waiting    []string `json:"waiting"`
 }
 
-// Operator handles the operators' listener.
-func (a *API) Operator(ctx *fasthttp.RequestCtx) {
+// ServeOperator handles requests on the operators' listener.
+func (a *API) ServeOperator(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	if path == PathReady {
 		a.ready(ctx)
 		return
 	}
 	write := !ctx.IsGet()
-	name, err := a.Tokens.Check(string(ctx.Request.Header.Peek("Authorization")), write)
+	operator, err := a.Tokens.Check(string(ctx.Request.Header.Peek("Authorization")), write)
 	if err != nil {
 		peerhttp.AnswerError(ctx, err)
 		return
@@ -95,7 +95,7 @@
 	case path == confwatch.PathWatch:
 		a.watch(ctx)
 	case strings.HasPrefix(path, resourcePath):
-		a.resources(ctx, strings.Trim(strings.TrimPrefix(path, resourcePath), "/"), name)
+		a.resources(ctx, strings.Trim(strings.TrimPrefix(path, resourcePath), "/"), operator)
 	case strings.HasPrefix(path, PathStores) && ctx.IsDelete():
 		a.removeStore(ctx, strings.TrimPrefix(path, PathStores))
 	default:
@@ -103,8 +103,8 @@
 	}
 }
 
-// Peer handles the peers' listener.
-func (a *API) Peer(ctx *fasthttp.RequestCtx) {
+// ServePeer handles requests of hosts and other stores.
+func (a *API) ServePeer(ctx *fasthttp.RequestCtx) {
 	if a.Replica.Handle(ctx) {
 		return
 	}
@@ -116,7 +116,7 @@
 	case confwatch.PathGeneration:
 		peerhttp.Answer(ctx, wheelgauge.WatchAnswer{Generation: a.Registry.Generation(), InTouch: a.Replica.LeaderAddress() != ""})
 	case acceptor.PathInForce:
-		peerhttp.Answer(ctx, a.Acceptor.Own())
+		peerhttp.Answer(ctx, a.Acceptor.OwnReport())
 	case PathClaims:
 		a.claim(ctx)
 	case membership.PathBeat:
@@ -139,41 +139,41 @@
 }
 
 func (a *API) claim(ctx *fasthttp.RequestCtx) {
-	limit, cancel := context.WithTimeout(a.Stop, changeTimeout)
+	callCtx, cancel := context.WithTimeout(a.Context, changeTimeout)
 	defer cancel()
 	peerhttp.Serve(ctx, func(c wheelgauge.Claim) (wheelgauge.Claim, error) {
 		a.Meter.Count("claims." + string(c.State))
-		return a.Claims.Take(limit, c)
+		return a.Claims.Take(callCtx, c)
 	})
 }
 
 func (a *API) status(ctx *fasthttp.RequestCtx) {
-	reports := a.Acceptor.Reports(a.Stop)
+	reports := a.Acceptor.Reports(a.Context)
 	s := Status{
 		Replica: a.Replica.Status(), Generation: a.Registry.Generation(), Stores: reports,
-		Hosts: acceptor.Hosts(reports), Live: a.Hub.Hosts(), Claims: a.Claims.Len(),
+		Hosts: acceptor.MergeHosts(reports), Live: a.Hub.Hosts(), Claims: a.Claims.Len(),
 	}
 	for i := range s.Stores {
 		s.Stores[i].Hosts = nil
 	}
-	for _, r := range a.Registry.PendingList() {
-		s.Pending = append(s.Pending, Pending{r.Name, r.PendingGen, a.Acceptor.Missing(r.PendingGen, reports)})
+	for _, r := range a.Registry.PendingRules() {
+		s.Pending = append(s.Pending, Pending{r.Name, r.PendingGen, a.Acceptor.Lagging(r.PendingGen, reports)})
 	}
 	peerhttp.Answer(ctx, s)
 }
 
 func (a *API) removeStore(ctx *fasthttp.RequestCtx, name string) {
-	limit, cancel := context.WithTimeout(a.Stop, changeTimeout)
+	callCtx, cancel := context.WithTimeout(a.Context, changeTimeout)
 	defer cancel()
-	if err := a.Replica.Remove(limit, name); err != nil {
+	if err := a.Replica.Remove(callCtx, name); err != nil {
 		peerhttp.AnswerError(ctx, err)
 		return
 	}
 	peerhttp.Answer(ctx, struct{}{})
 }
 
-// resources answers list, get, put and delete of rest, which is empty, a kind,
-// or a kind and a name.
+// resources handles list, get, put and delete of resources. rest is the path after the
+// prefix: empty, a kind, or a kind and a name.
 func (a *API) resources(ctx *fasthttp.RequestCtx, rest, operator string) {
 	kind, name, named := strings.Cut(rest, "/")
 	switch {
@@ -189,10 +189,10 @@
 }
 
 func (a *API) read(ctx *fasthttp.RequestCtx, kind wheelgauge.Kind, name string, named bool) {
-	limit, cancel := context.WithTimeout(a.Stop, changeTimeout)
+	callCtx, cancel := context.WithTimeout(a.Context, changeTimeout)
 	defer cancel()
 	if !ctx.QueryArgs().GetBool("stale") {
-		if err := a.Replica.ReadBarrier(limit); err != nil {
+		if err := a.Replica.ReadBarrier(callCtx); err != nil {
 			peerhttp.AnswerError(ctx, err)
 			return
 		}
@@ -213,7 +213,7 @@
 	args := ctx.QueryArgs()
 	c.ID = string(args.Peek("change"))
 	if len(c.ID) > maxChangeID {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "change: expected 128 characters at most"))
+		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "change: expected at most 128 characters"))
 		return
 	}
 	if text := string(args.Peek("expected")); text != "" {
@@ -249,15 +249,15 @@
 		peerhttp.AnswerError(ctx, err)
 		return
 	}
-	limit, cancel := context.WithTimeout(a.Stop, changeTimeout)
+	callCtx, cancel := context.WithTimeout(a.Context, changeTimeout)
 	defer cancel()
-	answer, err := a.Replica.Propose(limit, command)
+	reply, err := a.Replica.Propose(callCtx, command)
 	if err != nil {
 		peerhttp.AnswerError(ctx, err)
 		return
 	}
 	var result wheelgauge.ChangeResult
-	if err := json.Unmarshal(answer, &result); err != nil {
+	if err := json.Unmarshal(reply, &result); err != nil {
 		peerhttp.AnswerError(ctx, err)
 		return
 	}
--- a/storeapi/watch.go
+++ b/storeapi/watch.go
@@ -11,8 +11,8 @@
 	"wheelgauge/peerhttp"
 )
 
-// watch answers with the events after a generation, at once if there are any,
-// else after the wait with a bookmark.
+// watch responds with the events after a generation: at once if there are any, else when
+// one occurs or the wait ends, then with the current generation only.
 func (a *API) watch(ctx *fasthttp.RequestCtx) {
 	args := ctx.QueryArgs()
 	from, err := strconv.ParseUint(string(args.Peek("from")), 10, 64)
@@ -21,43 +21,43 @@
 		return
 	}
 	if host := string(args.Peek("host")); host != "" {
-		a.InForce.Report(host, string(args.Peek("region")), from)
+		a.AppliedGenerations.Record(host, string(args.Peek("region")), from)
 	}
 	wait := time.Duration(args.GetUintOrZero("wait_ms")) * time.Millisecond
-	answer, ok := a.await(from, min(wait, longestWait))
+	response, ok := a.await(from, min(wait, maxWait))
 	if !ok {
 		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonTooOld, wheelgauge.OutcomeNotRun, http.StatusGone,
-			"events after that generation are not kept: list, then watch from the list's generation"))
+			"events after that generation are no longer stored: list, then watch from the generation of the list"))
 		return
 	}
-	answer.InTouch = a.Replica.LeaderAddress() != ""
-	a.Meter.Add("watch.events", int64(len(answer.Events)))
-	peerhttp.Answer(ctx, answer)
+	response.InTouch = a.Replica.LeaderAddress() != ""
+	a.Meter.Add("watch.events", int64(len(response.Events)))
+	peerhttp.Answer(ctx, response)
 }
 
 func (a *API) await(from uint64, wait time.Duration) (wheelgauge.WatchAnswer, bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		answer, changed, ok := a.Registry.Since(from)
-		if !ok || len(answer.Events) > 0 {
-			return trim(answer), ok
+		response, changed, ok := a.Registry.Since(from)
+		if !ok || len(response.Events) > 0 {
+			return trim(response), ok
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return answer, true
-		case <-a.Stop.Done():
-			return answer, true
+			return response, true
+		case <-a.Context.Done():
+			return response, true
 		}
 	}
 }
 
-// trim bounds an answer; its generation is then that of the last event in it.
-func trim(a wheelgauge.WatchAnswer) wheelgauge.WatchAnswer {
-	if len(a.Events) > mostEvents {
-		a.Events = a.Events[:mostEvents]
-		a.Generation = a.Events[mostEvents-1].Generation
+// trim bounds the events of a response. The generation of a trimmed response is that of its last event.
+func trim(w wheelgauge.WatchAnswer) wheelgauge.WatchAnswer {
+	if len(w.Events) > maxEvents {
+		w.Events = w.Events[:maxEvents]
+		w.Generation = w.Events[maxEvents-1].Generation
 	}
-	return a
+	return w
 }
--- a/storenode/node.go
+++ b/storenode/node.go
@@ -1,5 +1,5 @@
-// Package storenode puts the parts of a store together: the replicated
-// configuration, the region's claims and the region's hub.
+// Package storenode assembles the store of the resources mode: the replicated
+// configuration, the region's claims, the region's hub and the model orders.
 package storenode
 
 import (
@@ -32,22 +32,22 @@
 	"wheelgauge/upstream"
 )
 
-// Folders below the data folder.
+// Folders in the data folder.
 const (
 	folderReplica = "replica"
 	folderClaims  = "claims"
 )
 
-// Options of a Node.
+// Options configures a Node.
 type Options struct {
 	Name     string
 	Region   string
 	Dir      string
 	Operator string
-	// Source is the IP address that connections leave from; may be empty.
+	// Source is the source IP address of outgoing connections; may be empty.
 	Source string
-	// Peer is the address of the peers' listener; Advertised how others reach
-	// it, the same when empty.
+	// Peer is the address of the listener for other stores and hosts; Advertised is
+	// the address at which they reach it, the same if empty.
 	Peer       string
 	Advertised string
 	Peers      []string
@@ -56,7 +56,8 @@
 	ClaimTTL   time.Duration
 	Skew       time.Duration
 	Tokens     *operators.Tokens
-	// OrderInterval, LoadsAtOnce and LoadLimit are those of orders to engines.
+	// OrderInterval, LoadsAtOnce and LoadLimit are Interval, MaxLoads and LoadTimeout of
+	// orders.Options.
 	OrderInterval time.Duration
 	LoadsAtOnce   int
 	LoadLimit     time.Duration
@@ -69,23 +70,23 @@
 
 // Node is a running store.
 type Node struct {
-	o         Options
-	registry  *registry.Registry
-	replica   *replica.Replica
-	claims    *claims.Table
-	acceptor  *acceptor.Acceptor
-	hub       *membership.Hub
-	client    *peerhttp.Client
-	stop      context.CancelFunc
-	listeners []*httpserve.Server
-	exchanged chan error
-	giver     *orders.Giver
+	o            Options
+	registry     *registry.Registry
+	replica      *replica.Replica
+	claims       *claims.Table
+	acceptor     *acceptor.Acceptor
+	hub          *membership.Hub
+	client       *peerhttp.Client
+	stop         context.CancelFunc
+	listeners    []*httpserve.Server
+	exchangeDone chan error
+	reconciler   *orders.Reconciler
 
 	mu      sync.Mutex
 	catalog *catalog.Catalog
 }
 
-// Found sets dir up as the first store of a new system, or, with claimsOnly,
+// Found initializes dir for the first store of a new system, or, with claimsOnly,
 // only as the first claim disk of a region.
 func Found(dir, name, address string, claimsOnly bool) error {
 	if !claimsOnly {
@@ -105,12 +106,12 @@
 	if o.Advertised == "" {
 		o.Advertised = o.Peer
 	}
-	n := &Node{o: o, registry: registry.New(), client: peerhttp.NewClient(peerhttp.NewDialer(o.Source, o.Secure), ""), stop: stop, exchanged: make(chan error, 1)}
+	n := &Node{o: o, registry: registry.New(), client: peerhttp.NewClient(peerhttp.NewDialer(o.Source, o.Secure), ""), stop: stop, exchangeDone: make(chan error, 1)}
 	if err := n.open(ctx); err != nil {
 		stop()
 		return nil, err
 	}
-	go func() { n.exchanged <- every.Interval(ctx, o.Heartbeat, n.exchange) }()
+	go func() { n.exchangeDone <- every.Interval(ctx, o.Heartbeat, n.exchange) }()
 	o.Log.Info("Store serves.", "peer", o.Peer, "operator", o.Operator)
 	return n, nil
 }
@@ -130,28 +131,28 @@
 	if err != nil {
 		return errors.Join(err, n.claims.Close())
 	}
-	n.hub = membership.NewHub(o.Region, uint64(time.Now().UnixNano()), o.Heartbeat, n.current, clock.Now)
+	n.hub = membership.NewHub(o.Region, uint64(time.Now().UnixNano()), o.Heartbeat, n.currentCatalog, clock.Now)
 	table := inforce.New()
 	n.acceptor = acceptor.Start(context.WithoutCancel(ctx), n.registry, n.replica, table, n.client, o.Log.WithName("acceptor"))
 	plain := peerhttp.NewDialer(o.Source, nil)
-	n.giver = orders.Start(context.WithoutCancel(ctx), orders.Options{
-		Interval: o.OrderInterval, LoadsAtOnce: o.LoadsAtOnce, LoadLimit: o.LoadLimit, Leadership: n.replica, Catalog: n.current,
+	n.reconciler = orders.Start(context.WithoutCancel(ctx), orders.Options{
+		Interval: o.OrderInterval, MaxLoads: o.LoadsAtOnce, LoadTimeout: o.LoadLimit, Leadership: n.replica, Catalog: n.currentCatalog,
 		Engines: engine.New(upstream.New(plain), peerhttp.NewClient(plain, "")), Clock: clock, Log: o.Log.WithName("orders"),
 	})
 	api := &storeapi.API{
-		Registry: n.registry, Replica: n.replica, Claims: n.claims, InForce: table, Acceptor: n.acceptor,
-		Hub: n.hub, Tokens: o.Tokens, Meter: meter.New(), Stop: ctx,
+		Registry: n.registry, Replica: n.replica, Claims: n.claims, AppliedGenerations: table, Acceptor: n.acceptor,
+		Hub: n.hub, Tokens: o.Tokens, Meter: meter.New(), Context: ctx,
 	}
 	return n.listen(api)
 }
 
 func (n *Node) listen(api *storeapi.API) error {
-	peer, err := httpserve.Listen(n.o.Peer, api.Peer, httpserve.Options{TLS: n.o.PeerTLS})
+	peer, err := httpserve.Listen(n.o.Peer, api.ServePeer, httpserve.Options{TLS: n.o.PeerTLS})
 	if err != nil {
 		return fmt.Errorf("start store: %w", err)
 	}
 	n.listeners = append(n.listeners, peer)
-	operator, err := httpserve.Listen(n.o.Operator, api.Operator, httpserve.Options{TLS: n.o.OperatorTLS})
+	operator, err := httpserve.Listen(n.o.Operator, api.ServeOperator, httpserve.Options{TLS: n.o.OperatorTLS})
 	if err != nil {
 		return fmt.Errorf("start store: %w", err)
 	}
@@ -159,8 +160,8 @@
 	return nil
 }
 
-// current returns the typed configuration of this store.
-func (n *Node) current() *catalog.Catalog {
+// currentCatalog returns the catalog of this store's current configuration.
+func (n *Node) currentCatalog() *catalog.Catalog {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if generation := n.registry.Generation(); n.catalog == nil || n.catalog.Generation() != generation {
@@ -170,25 +171,25 @@
 	return n.catalog
 }
 
-// exchange tells the other regions' hubs of this region.
+// exchange sends this region's summary to the hubs of the other regions.
 func (n *Node) exchange(ctx context.Context) {
-	limit, cancel := context.WithTimeout(ctx, n.o.Heartbeat)
+	exchangeCtx, cancel := context.WithTimeout(ctx, n.o.Heartbeat)
 	defer cancel()
-	membership.Exchange(limit, n.hub, n.current(), n.client)
+	membership.Exchange(exchangeCtx, n.hub, n.currentCatalog(), n.client)
 }
 
-// Done gives the error that ended the replica by itself.
+// Done receives the error if the replica ends by itself.
 func (n *Node) Done() <-chan error { return n.replica.Done() }
 
-// Close stops the store and waits.
+// Close stops the store and waits until it has ended.
 func (n *Node) Close(ctx context.Context) error {
 	n.stop()
-	errs := []error{<-n.exchanged}
-	cut, err := httpserve.CloseAll(ctx, n.listeners)
-	if len(cut) > 0 {
-		errs = append(errs, fmt.Errorf("end listeners %v: %w", cut, ctx.Err()))
+	errs := []error{<-n.exchangeDone}
+	unfinished, err := httpserve.CloseAll(ctx, n.listeners)
+	if len(unfinished) > 0 {
+		errs = append(errs, fmt.Errorf("close listeners %v: %w", unfinished, ctx.Err()))
 	}
-	errs = append(errs, err, n.giver.Close(), n.acceptor.Close(), n.replica.Close(), n.claims.Close())
+	errs = append(errs, err, n.reconciler.Close(), n.acceptor.Close(), n.replica.Close(), n.claims.Close())
 	n.client.CloseIdle()
 	return errors.Join(errs...)
 }
--- a/validate/validate.go
+++ b/validate/validate.go
@@ -1,4 +1,4 @@
-// Package validate checks the specs of resources. Each fault names the field.
+// Package validate checks the specs of resources. Each error names the invalid field.
 package validate
 
 import (
@@ -19,7 +19,7 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:-]*$`)
 
-// FieldError is a fault in one field of a spec.
+// FieldError is an invalid field of a spec.
 type FieldError struct {
 	kind  wheelgauge.Kind
 	name  string
@@ -32,10 +32,10 @@
 	return fmt.Sprintf("%s %s: field %s: expected %s", e.kind, e.name, e.field, e.want)
 }
 
-// Field returns the name of the field at fault.
+// Field returns the name of the invalid field.
 func (e *FieldError) Field() string { return e.field }
 
-// Exists tells whether a resource is configured.
+// Exists reports whether a resource is configured.
 type Exists func(kind wheelgauge.Kind, name string) bool
 
 type checker struct {
@@ -44,10 +44,10 @@
 	want   string
 }
 
-// Spec checks one spec and returns it in compact form.
+// Spec checks a spec and returns it as compact JSON.
 func Spec(kind wheelgauge.Kind, name string, spec json.RawMessage, exists Exists) (json.RawMessage, error) {
 	c := &checker{exists: exists}
-	c.that(len(name) <= maxNameLength && namePattern.MatchString(name), "name", "letters, digits and ._:- (128 at most)")
+	c.require(len(name) <= maxNameLength && namePattern.MatchString(name), "name", "letters, digits and ._:- (128 at most)")
 	check := checks[kind]
 	if check == nil {
 		return nil, &FieldError{kind, name, "kind", fmt.Sprintf("one of %v", wheelgauge.Kinds())}
@@ -78,20 +78,20 @@
 	wheelgauge.KindResidencyRule: checkResidencyRule,
 }
 
-// that keeps the first fault.
-func (c *checker) that(ok bool, field, want string) {
+// require records an invalid field unless one is recorded already.
+func (c *checker) require(ok bool, field, want string) {
 	if !ok && c.want == "" {
 		c.field, c.want = field, want
 	}
 }
 
-func (c *checker) refers(kind wheelgauge.Kind, name, field string) {
-	c.that(c.exists(kind, name), field, fmt.Sprintf("the name of a %s, got %q", kind, name))
+func (c *checker) requireResource(kind wheelgauge.Kind, name, field string) {
+	c.require(c.exists(kind, name), field, fmt.Sprintf("the name of a %s, got %q", kind, name))
 }
 
-func (c *checker) address(text, field string) {
+func (c *checker) requireAddress(text, field string) {
 	_, err := netip.ParseAddrPort(text)
-	c.that(err == nil, field, fmt.Sprintf("an address such as 10.0.0.1:8080, got %q", text))
+	c.require(err == nil, field, fmt.Sprintf("an address such as 10.0.0.1:8080, got %q", text))
 }
 
 func decode[T any](c *checker, spec json.RawMessage) T {
@@ -99,111 +99,112 @@
 	d := json.NewDecoder(bytes.NewReader(spec))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&v); err != nil {
-		c.that(false, "spec", "an object of known fields: "+err.Error())
+		c.require(false, "spec", "an object of known fields: "+err.Error())
 	}
 	return v
 }
 
 func checkRegion(c *checker, spec json.RawMessage) {
 	s := decode[wheelgauge.RegionSpec](c, spec)
-	c.that(s.Price >= 0, "price", "0 or more")
+	c.require(s.Price >= 0, "price", "0 or more")
 	for to, ms := range s.Links {
-		c.that(ms >= 0, "links_ms."+to, "0 or more milliseconds")
+		c.require(ms >= 0, "links_ms."+to, "0 or more milliseconds")
 	}
 }
 
 func checkHall(c *checker, spec json.RawMessage) {
 	s := decode[wheelgauge.HallSpec](c, spec)
-	c.refers(wheelgauge.KindRegion, s.Region, "region")
+	c.requireResource(wheelgauge.KindRegion, s.Region, "region")
 }
 
 func checkHost(c *checker, spec json.RawMessage) {
 	s := decode[wheelgauge.HostSpec](c, spec)
-	c.refers(wheelgauge.KindRegion, s.Region, "region")
-	c.refers(wheelgauge.KindHall, s.Hall, "hall")
-	c.address(s.Caller, "caller")
-	c.address(s.Peer, "peer")
-	c.that(s.Weight >= 0, "weight", "0 or more")
+	c.requireResource(wheelgauge.KindRegion, s.Region, "region")
+	c.requireResource(wheelgauge.KindHall, s.Hall, "hall")
+	c.requireAddress(s.Caller, "caller")
+	c.requireAddress(s.Peer, "peer")
+	c.require(s.Weight >= 0, "weight", "0 or more")
 	if s.Store != "" {
-		c.address(s.Store, "store")
+		c.requireAddress(s.Store, "store")
 	}
 }
 
 func checkBackendServer(c *checker, spec json.RawMessage) {
 	s := decode[wheelgauge.BackendServerSpec](c, spec)
-	c.refers(wheelgauge.KindPool, s.Pool, "pool")
-	c.refers(wheelgauge.KindRegion, s.Region, "region")
-	c.refers(wheelgauge.KindHall, s.Hall, "hall")
-	c.address(s.Address, "address")
-	c.that(s.Slots > 0 && s.Slots <= wheelgauge.MostSlots, "slots", "1 to 100000")
+	c.requireResource(wheelgauge.KindPool, s.Pool, "pool")
+	c.requireResource(wheelgauge.KindRegion, s.Region, "region")
+	c.requireResource(wheelgauge.KindHall, s.Hall, "hall")
+	c.requireAddress(s.Address, "address")
+	c.require(s.Slots > 0 && s.Slots <= wheelgauge.MostSlots, "slots", "1 to 100000")
 }
 
 func checkPool(c *checker, spec json.RawMessage) {
 	s := decode[wheelgauge.PoolSpec](c, spec)
-	c.that(s.Type == wheelgauge.PoolEngine || s.Type == wheelgauge.PoolService, "type", "engine or service")
+	c.require(s.Type == wheelgauge.PoolEngine || s.Type == wheelgauge.PoolService, "type", "engine or service")
 }
 
 func checkModel(c *checker, spec json.RawMessage) {
 	s := decode[wheelgauge.ModelSpec](c, spec)
-	c.that(len(s.Versions) > 0, "versions", "at least one")
-	c.that(s.Bytes >= 0, "bytes", "0 or more")
+	c.require(len(s.Versions) > 0, "versions", "at least one")
+	c.require(s.Bytes >= 0, "bytes", "0 or more")
 }
 
 func checkPlacement(c *checker, spec json.RawMessage) {
 	s := decode[wheelgauge.PlacementSpec](c, spec)
-	c.refers(wheelgauge.KindModel, s.Model, "model")
+	c.requireResource(wheelgauge.KindModel, s.Model, "model")
 	for i, server := range s.Servers {
-		c.refers(wheelgauge.KindBackendServer, server, fmt.Sprintf("servers[%d]", i))
+		c.requireResource(wheelgauge.KindBackendServer, server, fmt.Sprintf("servers[%d]", i))
 	}
 }
 
 func checkRoute(c *checker, spec json.RawMessage) {
 	s := decode[wheelgauge.RouteSpec](c, spec)
-	c.that((s.Model == "") != (s.Path == ""), "model", "either model or path")
-	c.refers(wheelgauge.KindPool, s.Pool, "pool")
+	c.require((s.Model == "") != (s.Path == ""), "model", "either model or path")
+	c.requireResource(wheelgauge.KindPool, s.Pool, "pool")
 	if s.OldPath == nil {
 		return
 	}
-	c.address(s.OldPath.Address, "old_path.address")
-	c.that(s.OldPath.Share >= 0 && s.OldPath.Share <= 1, "old_path.share", "0 to 1")
+	c.requireAddress(s.OldPath.Address, "old_path.address")
+	c.require(s.OldPath.Share >= 0 && s.OldPath.Share <= 1, "old_path.share", "0 to 1")
 }
 
 func checkClientClass(c *checker, spec json.RawMessage) {
 	s := decode[wheelgauge.ClientClassSpec](c, spec)
-	c.that(s.Priority >= 0 && s.Priority <= maxPriority, "priority", "0 to 9")
-	c.that(s.Rate >= 0, "rate", "0 or more requests a second")
-	c.that(s.Burst >= 0, "burst", "0 or more")
-	c.that(s.DeadlineMS >= 0, "deadline_ms", "0 or more")
+	c.require(s.Priority >= 0 && s.Priority <= maxPriority, "priority", "0 to 9")
+	c.require(s.Rate >= 0, "rate", "0 or more requests a second")
+	c.require(s.Burst >= 0, "burst", "0 or more")
+	c.require(s.DeadlineMS >= 0, "deadline_ms", "0 or more")
 }
 
 func checkResidencyRule(c *checker, spec json.RawMessage) {
 	s := decode[wheelgauge.ResidencyRuleSpec](c, spec)
-	c.that(s.Client != "", "client", "a client name or class:NAME")
-	c.that(len(s.Regions) > 0, "regions", "at least one region")
+	c.require(s.Client != "", "client", "a client name or class:NAME")
+	c.require(len(s.Regions) > 0, "regions", "at least one region")
 	for i, region := range s.Regions {
-		c.refers(wheelgauge.KindRegion, region, fmt.Sprintf("regions[%d]", i))
+		c.requireResource(wheelgauge.KindRegion, region, fmt.Sprintf("regions[%d]", i))
 	}
 }
 
-// TakesRights tells whether going from spec was to spec next of a residency
-// rule forbids a place that was allowed. A nil spec allows every place.
-func TakesRights(was, next json.RawMessage) (bool, error) {
+// RemovesRegions reports whether the change of a residency rule from spec old to spec
+// next forbids a region that was allowed. An empty spec allows every region; a change
+// of the client counts as forbidding.
+func RemovesRegions(old, next json.RawMessage) (bool, error) {
 	if len(next) == 0 {
 		return false, nil
 	}
-	if len(was) == 0 {
+	if len(old) == 0 {
 		return true, nil
 	}
-	var a, b wheelgauge.ResidencyRuleSpec
-	if err := json.Unmarshal(was, &a); err != nil {
+	var oldSpec, nextSpec wheelgauge.ResidencyRuleSpec
+	if err := json.Unmarshal(old, &oldSpec); err != nil {
 		return false, fmt.Errorf("decode residency rule: %w", err)
 	}
-	if err := json.Unmarshal(next, &b); err != nil {
+	if err := json.Unmarshal(next, &nextSpec); err != nil {
 		return false, fmt.Errorf("decode residency rule: %w", err)
 	}
-	if a.Client != b.Client {
+	if oldSpec.Client != nextSpec.Client {
 		return true, nil
 	}
-	lost := slices.ContainsFunc(a.Regions, func(r string) bool { return !slices.Contains(b.Regions, r) })
-	return lost, nil
+	removed := slices.ContainsFunc(oldSpec.Regions, func(r string) bool { return !slices.Contains(nextSpec.Regions, r) })
+	return removed, nil
 }
