--- a/storeapi/api.go
+++ b/storeapi/api.go
@@ -51,7 +51,7 @@
 	Hub                *membership.Hub
 	Tokens             *operators.Tokens
 	Meter              *meter.Meter
-	// Context ends when the store stops. It bounds every call, waiting watches among them.
+	// Context ends when the store stops. It bounds calls that wait, watches among them.
 	Context context.Context
 }
 
--- a/storenode/node.go
+++ b/storenode/node.go
@@ -56,8 +56,7 @@
 	ClaimTTL   time.Duration
 	Skew       time.Duration
 	Tokens     *operators.Tokens
-	// OrderInterval, LoadsAtOnce and LoadLimit are Interval, MaxLoads and LoadTimeout of
-	// orders.Options.
+	// The next three configure the model orders; see orders.Options.
 	OrderInterval time.Duration
 	LoadsAtOnce   int
 	LoadLimit     time.Duration
