--- a/configlog/rollouts_test.go
+++ b/configlog/rollouts_test.go
@@ -88,6 +88,6 @@
 	aged.Number, aged.ElapsedMS = 1, 700
 	applyCommand(t, m, Command{Op: OpRolloutAge, Rollout: aged})
 	if before[0].ElapsedMS != 0 || m.State().Rollouts[0].ElapsedMS != 700 {
-		t.Errorf("got %+v in the earlier state and %+v now", before[0], m.State().Rollouts[0])
+		t.Errorf("got %+v in the earlier state and %+v now, want 0 and 700 ms elapsed", before[0], m.State().Rollouts[0])
 	}
 }
--- a/confstore/state_test.go
+++ b/confstore/state_test.go
@@ -44,7 +44,7 @@
 				t.Fatal(err)
 			}
 			if slices.Equal(part.Crashes, three) != tt.want {
-				t.Errorf("got crashes %v", part.Crashes)
+				t.Errorf("got crashes %v, want all three or none as in the table", part.Crashes)
 			}
 		})
 	}
--- a/orders/reconciler.go
+++ b/orders/reconciler.go
@@ -64,7 +64,7 @@
 	ready  []string
 }
 
-// Reconciler runs on every store and works on the leader.
+// Reconciler runs on every store; only that of the leader sends orders.
 type Reconciler struct {
 	o            Options
 	term         uint64
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -72,7 +72,7 @@
 			r := withRegions(t)
 			got := apply(t, r, tt.change)
 			if reason(got) != tt.reason {
-				t.Fatalf("got %+v", got.Error)
+				t.Fatalf("got error %+v, want the reason of the table", got.Error)
 			}
 			if tt.reason != "" && !strings.Contains(got.Error.Detail(), tt.detail) {
 				t.Fatalf("expected an error that contains %q, got %v", tt.detail, got.Error)
@@ -90,7 +90,7 @@
 	loser.ID = "change-2"
 	a, b := apply(t, r, first), apply(t, r, loser)
 	if a.Error != nil || reason(b) != wheelgauge.ReasonConflict {
-		t.Fatalf("got %+v and %+v", a, b)
+		t.Fatalf("got %+v and %+v, want success and a conflict", a, b)
 	}
 	data, err := r.Snapshot()
 	if err != nil {
@@ -138,11 +138,11 @@
 			}
 			got := apply(t, r, put(wheelgauge.KindResidencyRule, "r", tt.next))
 			if got.Error != nil || got.Pending != tt.pending {
-				t.Fatalf("got %+v", got)
+				t.Fatalf("got result %+v, want no error and pending as in the table", got)
 			}
 			res, _ := r.Get(wheelgauge.KindResidencyRule, "r")
 			if (len(res.Pending) > 0) != tt.pending {
-				t.Fatalf("got %+v", res)
+				t.Fatalf("got resource %+v, want a pending spec as in the table", res)
 			}
 			if !tt.pending {
 				return
@@ -152,7 +152,7 @@
 			}
 			accept(t, r, got.Generation)
 			if res, _ := r.Get(wheelgauge.KindResidencyRule, "r"); string(res.Spec) != tt.next || len(res.Pending) > 0 {
-				t.Fatalf("after acceptance got %+v", res)
+				t.Fatalf("after acceptance got %+v, want the new spec and none pending", res)
 			}
 		})
 	}
@@ -174,7 +174,7 @@
 	apply(t, r, put(wheelgauge.KindHall, "h", `{"region":"karachi"}`))
 	got := apply(t, r, wheelgauge.Change{Op: wheelgauge.OpDelete, Kind: wheelgauge.KindRegion, Name: "karachi"})
 	if reason(got) != wheelgauge.ReasonInvalid || !strings.Contains(got.Error.Detail(), "Hall h") {
-		t.Fatalf("got %+v", got.Error)
+		t.Fatalf("got error %+v, want that Hall h uses the region", got.Error)
 	}
 }
 
@@ -210,6 +210,6 @@
 	apply(t, r, put(wheelgauge.KindRegion, "karachi", `{"price":1}`))
 	<-changed
 	if response, _, ok := r.Since(0); !ok || len(response.Events) != 1 {
-		t.Fatalf("got %+v", response)
+		t.Fatalf("got %+v, want one event", response)
 	}
 }
