--- a/adapter/directory/directory.go
+++ b/adapter/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory asks the client directory who a credential belongs to, and
-// remembers the answers for a while.
+// Package directory looks up the owner of a credential in the client directory, and
+// caches the responses.
 package directory
 
 import (
@@ -17,17 +17,18 @@
 
 const (
 	path = "/lookup"
-	// freshTime is how long an answer is used without asking again; staleTime
-	// how long while the directory does not answer.
-	freshTime   = 30 * time.Second
-	staleTime   = time.Hour
-	unknownTime = 5 * time.Second
-	mostEntries = 20_000
-	askTimeout  = 2 * time.Second
+	// cacheTTL is how long a response is used without a new request, staleTTL how
+	// long while the directory does not respond, unknownTTL how long a credential
+	// counts as unknown.
+	cacheTTL       = 30 * time.Second
+	staleTTL       = time.Hour
+	unknownTTL     = 5 * time.Second
+	maxEntries     = 20_000
+	requestTimeout = 2 * time.Second
 )
 
-// lookup is the question to the directory.
-type lookup struct {
+// lookupRequest is the body of a request to the directory.
+type lookupRequest struct {
 	Credential string `json:"credential"`
 }
 
@@ -45,7 +46,7 @@
 	entries map[uint64]entry
 }
 
-// New returns a directory reached at address.
+// New returns a client of the directory at address.
 func New(address string, client *peerhttp.Client) *Directory {
 	return &Directory{address: address, client: client, entries: map[uint64]entry{}}
 }
@@ -53,58 +54,58 @@
 // Lookup implements wheelgauge.Directory.
 func (d *Directory) Lookup(ctx context.Context, credential string) (wheelgauge.Identity, error) {
 	if credential == "" {
-		return wheelgauge.Identity{}, unknown()
+		return wheelgauge.Identity{}, unknownCredential()
 	}
 	key := rendezvous.Hash(credential)
 	d.mu.Lock()
-	known, ok := d.entries[key]
+	cached, ok := d.entries[key]
 	d.mu.Unlock()
-	age := time.Since(known.at)
-	if ok && (known.unknown && age < unknownTime || !known.unknown && age < freshTime) {
-		return known.result()
+	age := time.Since(cached.at)
+	if ok && (cached.unknown && age < unknownTTL || !cached.unknown && age < cacheTTL) {
+		return cached.result()
 	}
-	asked, err := d.ask(ctx, credential)
+	fetched, err := d.request(ctx, credential)
 	if err != nil {
-		if ok && !known.unknown && age < staleTime {
-			return known.identity, nil
+		if ok && !cached.unknown && age < staleTTL {
+			return cached.identity, nil
 		}
 		return wheelgauge.Identity{}, err
 	}
-	d.keep(key, asked)
-	return asked.result()
+	d.store(key, fetched)
+	return fetched.result()
 }
 
 func (e *entry) result() (wheelgauge.Identity, error) {
 	if e.unknown {
-		return wheelgauge.Identity{}, unknown()
+		return wheelgauge.Identity{}, unknownCredential()
 	}
 	return e.identity, nil
 }
 
-func unknown() *wheelgauge.Error {
-	return wheelgauge.NewError(wheelgauge.ReasonUnauthorized, wheelgauge.OutcomeNotRun, http.StatusUnauthorized, "the credential is not known")
+func unknownCredential() *wheelgauge.Error {
+	return wheelgauge.NewError(wheelgauge.ReasonUnauthorized, wheelgauge.OutcomeNotRun, http.StatusUnauthorized, "unknown credential")
 }
 
-func (d *Directory) ask(ctx context.Context, credential string) (entry, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (d *Directory) request(ctx context.Context, credential string) (entry, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	e := entry{at: time.Now()}
-	err := d.client.Call(ctx, http.MethodPost, d.address, path, lookup{credential}, &e.identity)
-	if fault, ok := errors.AsType[*wheelgauge.Error](err); ok && fault.Status() == http.StatusNotFound {
+	err := d.client.Call(ctx, http.MethodPost, d.address, path, lookupRequest{credential}, &e.identity)
+	if apiErr, ok := errors.AsType[*wheelgauge.Error](err); ok && apiErr.Status() == http.StatusNotFound {
 		e.unknown = true
 		return e, nil
 	}
 	if err != nil {
 		return e, wheelgauge.NewError(wheelgauge.ReasonUnauthorized, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable,
-			fmt.Sprintf("the client directory does not answer: %v", err)).WithRetryAfter(time.Second)
+			fmt.Sprintf("client directory does not respond: %v", err)).WithRetryAfter(time.Second)
 	}
 	return e, nil
 }
 
-func (d *Directory) keep(key uint64, e entry) {
+func (d *Directory) store(key uint64, e entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.entries) >= mostEntries {
+	if len(d.entries) >= maxEntries {
 		clear(d.entries)
 	}
 	d.entries[key] = e
--- a/adapter/engine/engine.go
+++ b/adapter/engine/engine.go
@@ -1,4 +1,4 @@
-// Package engine speaks the dialect of the model engines: OpenAI's completions
+// Package engine implements the protocol of model engines: OpenAI-style completions
 // with server-sent events, cancel, resume and a load report.
 package engine
 
@@ -24,8 +24,8 @@
 	return &Adapter{pool: pool, client: client}
 }
 
-// Send implements wheelgauge.BackendServer. An engine that refuses says so in
-// the outcome header; without it, the call counts as run.
+// Send implements wheelgauge.BackendServer. An engine that did not execute a call says
+// so in the outcome header; without the header, a failed call counts as executed.
 func (a *Adapter) Send(ctx context.Context, address string, call *wheelgauge.Call) (*wheelgauge.Answer, error) {
 	answer, err := a.pool.Send(ctx, address, call, call.Key != "")
 	if err != nil {
@@ -34,13 +34,13 @@
 	if answer.Status < http.StatusInternalServerError {
 		return answer, nil
 	}
-	// The headers are gone once the body is closed.
+	// Headers are no longer valid after the body is closed.
 	refused := answer.Header(wheelgauge.HeaderOutcome) == string(wheelgauge.OutcomeNotRun)
-	_ = answer.Body.Close() // the answer is refused whatever its end is
+	_ = answer.Body.Close() // the call fails in any case
 	if refused {
-		return nil, wheelgauge.NewError(wheelgauge.ReasonOverloaded, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "the engine's queue is full").WithRetryAfter(time.Second)
+		return nil, wheelgauge.NewError(wheelgauge.ReasonOverloaded, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "engine queue is full").WithRetryAfter(time.Second)
 	}
-	return nil, wheelgauge.NewError(wheelgauge.ReasonServerFailed, wheelgauge.OutcomeRan, http.StatusBadGateway, "engine answered "+http.StatusText(answer.Status))
+	return nil, wheelgauge.NewError(wheelgauge.ReasonServerFailed, wheelgauge.OutcomeRan, http.StatusBadGateway, "engine responded: "+http.StatusText(answer.Status))
 }
 
 // Cancel implements wheelgauge.BackendServer.
--- a/adapter/hostlist/hostlist.go
+++ b/adapter/hostlist/hostlist.go
@@ -1,5 +1,5 @@
-// Package hostlist reads the platform's list of hosts. The list lags: it is a
-// hint beside the system's own heartbeats.
+// Package hostlist reads the platform's list of hosts. The list lags, so it only
+// supplements the system's own heartbeats.
 package hostlist
 
 import (
@@ -19,16 +19,16 @@
 	client  *peerhttp.Client
 }
 
-// New returns a list reached at address.
+// New returns a client of the host list at address.
 func New(address string, client *peerhttp.Client) *List {
 	return &List{address: address, client: client}
 }
 
 // Hosts implements wheelgauge.HostList.
 func (l *List) Hosts(ctx context.Context) ([]wheelgauge.HostHint, error) {
-	var out []wheelgauge.HostHint
-	if err := l.client.Call(ctx, http.MethodGet, l.address, path, nil, &out); err != nil {
+	var hosts []wheelgauge.HostHint
+	if err := l.client.Call(ctx, http.MethodGet, l.address, path, nil, &hosts); err != nil {
 		return nil, fmt.Errorf("read host list: %w", err)
 	}
-	return out, nil
+	return hosts, nil
 }
--- a/adapter/service/service.go
+++ b/adapter/service/service.go
@@ -1,4 +1,4 @@
-// Package service speaks to plain HTTP services.
+// Package service calls plain HTTP services.
 package service
 
 import (
@@ -21,14 +21,14 @@
 	return &Adapter{pool: pool, client: client}
 }
 
-// Send implements wheelgauge.BackendServer. Every answer of a service is an
-// answer of the call, whatever its status. Calls go out on fresh connections
-// unless they read only.
+// Send implements wheelgauge.BackendServer. Every response of a service is returned to
+// the caller, whatever its status. Calls other than GET use a new connection, which
+// the service cannot have closed while it was idle.
 func (a *Adapter) Send(ctx context.Context, address string, call *wheelgauge.Call) (*wheelgauge.Answer, error) {
 	return a.pool.Send(ctx, address, call, call.Method != http.MethodGet)
 }
 
-// Cancel implements wheelgauge.BackendServer; services know no cancel.
+// Cancel implements wheelgauge.BackendServer. Services do not support it.
 func (a *Adapter) Cancel(context.Context, string, string) error { return nil }
 
 // Load implements wheelgauge.BackendServer.
--- a/answerhead/error.go
+++ b/answerhead/error.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// ForeignError says why an answer is none of HTTP/1.1 or HTTP/1.0.
+// ForeignError names the part of a response that is not valid HTTP/1.1 or HTTP/1.0.
 type ForeignError struct {
-	what string
+	part string
 	text string
 }
 
-// mostQuoted is how much of an answer an error shows.
-const mostQuoted = 40
+// maxQuotedBytes bounds the excerpt of a response in an error.
+const maxQuotedBytes = 40
 
-func foreign(what string, text []byte) *ForeignError {
-	return &ForeignError{what: what, text: string(text[:min(len(text), mostQuoted)])}
+func malformed(what string, text []byte) *ForeignError {
+	return &ForeignError{part: what, text: string(text[:min(len(text), maxQuotedBytes)])}
 }
 
 // Error implements error.
 func (e *ForeignError) Error() string {
-	return fmt.Sprintf("the answer is no HTTP/1.1: %s %q", e.what, e.text)
+	return fmt.Sprintf("invalid HTTP/1.x response: %s %q", e.part, e.text)
 }
--- a/answerhead/head.go
+++ b/answerhead/head.go
@@ -1,4 +1,4 @@
-// Package answerhead looks at the heads of servers' answers before they are parsed.
+// Package answerhead validates the heads of servers' responses before they are parsed.
 package answerhead
 
 import (
@@ -12,13 +12,13 @@
 )
 
 const (
-	// startBytes are those of the shortest start line.
-	startBytes = len("HTTP/1.1 200")
-	// mostLength is how many digits a length may have: more are no length of an answer.
-	mostLength = 18
+	// minStartLineBytes is the size of the shortest status line.
+	minStartLineBytes = len("HTTP/1.1 200")
+	// maxLengthDigits bounds a Content-Length: more digits could overflow an int64.
+	maxLengthDigits = 18
 )
 
-// tokenBytes are the bytes that may stand in the name of a header.
+// tokenBytes are the bytes allowed in a header's name.
 var tokenBytes = func() (set [256]bool) {
 	for _, c := range "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ" {
 		set[c] = true
@@ -26,13 +26,13 @@
 	return set
 }()
 
-// Peek returns the head of the next answer with its empty line, without taking it: it holds
-// until the next read.
+// Peek returns the head of the next response, including its empty line, without consuming it.
+// The slice is valid until the next read.
 func Peek(in *bufio.Reader) ([]byte, error) {
 	for want := 1; ; want = in.Buffered() + 1 {
 		if _, err := in.Peek(want); err != nil {
 			if errors.Is(err, bufio.ErrBufferFull) {
-				return nil, fmt.Errorf("a head of more than %d bytes: %w", in.Size(), err)
+				return nil, fmt.Errorf("response head exceeds %d bytes: %w", in.Size(), err)
 			}
 			if errors.Is(err, io.EOF) && in.Buffered() > 0 {
 				err = io.ErrUnexpectedEOF
@@ -49,7 +49,7 @@
 	}
 }
 
-// headEnd returns where a head ends; 0 if that has not come.
+// headEnd returns the offset after the head, 0 if the head is incomplete.
 func headEnd(b []byte) int {
 	for at := 0; ; {
 		n := bytes.IndexByte(b[at:], '\n')
@@ -65,17 +65,17 @@
 	}
 }
 
-// Status returns that of a head which Check has found good.
+// Status returns the status code of a head that passed Check.
 func Status(head []byte) int {
 	status := 0
-	for _, c := range head[startBytes-3 : startBytes] {
+	for _, c := range head[minStartLineBytes-3 : minStartLineBytes] {
 		status = 10*status + int(c-'0')
 	}
 	return status
 }
 
-// Check returns a *ForeignError for a head that is none, or that readers may take for answers
-// of different lengths (RFC 9112, 2 to 6): the parser is lenient in both.
+// Check returns a *ForeignError for a head that is not valid, or from which parsers may read
+// different body lengths (RFC 9112, sections 2 to 6). fasthttp's parser accepts both.
 func Check(head []byte) error {
 	start, rest, _ := bytes.Cut(head, []byte("\n"))
 	start = bytes.TrimSuffix(start, []byte("\r"))
@@ -90,58 +90,58 @@
 		if len(line) == 0 {
 			break
 		}
-		if err := f.line(line); err != nil {
+		if err := f.addLine(line); err != nil {
 			return err
 		}
 	}
 	if f.chunked && bytes.HasPrefix(start, []byte("HTTP/1.0")) {
-		return foreign("chunks in", start)
+		return malformed("chunked coding in", start)
 	}
 	return nil
 }
 
 func checkStart(start []byte) error {
-	if len(start) < startBytes || !bytes.HasPrefix(start, []byte("HTTP/1.1 ")) && !bytes.HasPrefix(start, []byte("HTTP/1.0 ")) {
-		return foreign("version", start)
+	if len(start) < minStartLineBytes || !bytes.HasPrefix(start, []byte("HTTP/1.1 ")) && !bytes.HasPrefix(start, []byte("HTTP/1.0 ")) {
+		return malformed("version", start)
 	}
-	status, reason := start[startBytes-3:startBytes], start[startBytes:]
-	if status[0] < '1' || status[0] > '9' || !digits(status) || len(reason) > 0 && reason[0] != ' ' || !text(reason) {
-		return foreign("status", start)
+	status, reason := start[minStartLineBytes-3:minStartLineBytes], start[minStartLineBytes:]
+	if status[0] < '1' || status[0] > '9' || !isDigits(status) || len(reason) > 0 && reason[0] != ' ' || !isFieldText(reason) {
+		return malformed("status", start)
 	}
 	if string(status) == "101" {
-		return foreign("a protocol that nobody asked for", start)
+		return malformed("protocol switch that was not requested:", start)
 	}
 	return nil
 }
 
-// framing is what the lines of a head say of the length of the body.
+// framing collects what the header says about the length of the body.
 type framing struct {
 	length  []byte
 	chunked bool
 }
 
-func (f *framing) line(line []byte) error {
+func (f *framing) addLine(line []byte) error {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	value = bytes.Trim(value, " \t")
-	if !ok || !token(name) || !text(value) {
-		return foreign("header", line)
+	if !ok || !isToken(name) || !isFieldText(value) {
+		return malformed("header", line)
 	}
 	switch {
 	case bytes.EqualFold(name, []byte(fasthttp.HeaderContentLength)):
-		if len(value) == 0 || len(value) > mostLength || !digits(value) || f.length != nil && !bytes.Equal(f.length, value) {
-			return foreign("length", line)
+		if len(value) == 0 || len(value) > maxLengthDigits || !isDigits(value) || f.length != nil && !bytes.Equal(f.length, value) {
+			return malformed("length", line)
 		}
 		f.length = value
 	case bytes.EqualFold(name, []byte(fasthttp.HeaderTransferEncoding)):
 		if f.chunked || !bytes.EqualFold(value, []byte("chunked")) {
-			return foreign("encoding", line)
+			return malformed("encoding", line)
 		}
 		f.chunked = true
 	}
 	return nil
 }
 
-func digits(b []byte) bool {
+func isDigits(b []byte) bool {
 	for _, c := range b {
 		if c < '0' || c > '9' {
 			return false
@@ -150,7 +150,7 @@
 	return true
 }
 
-func token(b []byte) bool {
+func isToken(b []byte) bool {
 	for _, c := range b {
 		if !tokenBytes[c] {
 			return false
@@ -159,8 +159,8 @@
 	return len(b) > 0
 }
 
-// text tells whether no control character but a tab stands in b.
-func text(b []byte) bool {
+// isFieldText reports whether b has no control characters other than tab.
+func isFieldText(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
 			return false
--- a/answerhead/head_test.go
+++ b/answerhead/head_test.go
@@ -42,17 +42,17 @@
 		t.Run(tt.name, func(t *testing.T) {
 			head, err := Peek(bufio.NewReader(strings.NewReader(tt.head + "rest")))
 			if err != nil || string(head) != tt.head {
-				t.Fatalf("the head is %q, %v", head, err)
+				t.Fatalf("Peek: got %q, %v, want the head alone", head, err)
 			}
 			err = Check(head)
-			if _, foreign := errors.AsType[*ForeignError](err); foreign == tt.good || (err == nil) != tt.good {
-				t.Errorf("got %v", err)
+			if _, malformed := errors.AsType[*ForeignError](err); malformed == tt.good || (err == nil) != tt.good {
+				t.Errorf("got %v, want a *ForeignError for invalid heads only", err)
 			}
 		})
 	}
 }
 
-func TestPeekOfNoHead(t *testing.T) {
+func TestPeekIncompleteHead(t *testing.T) {
 	tests := []struct {
 		name string
 		in   string
--- a/bootclock/clock.go
+++ b/bootclock/clock.go
@@ -1,6 +1,7 @@
-// Package bootclock is a clock that counts the time for which the machine was suspended.
-// The steady clock, by which time.Now is compared, stands still then: a store that
-// sleeps for ten seconds would go by leases that have lapsed everywhere else.
+// Package bootclock provides a clock that includes the time for which the machine was
+// suspended. The monotonic clock, which time.Now compares by, stops during suspension: a
+// store that was suspended for ten seconds would use leases that have expired everywhere
+// else.
 package bootclock
 
 import (
@@ -13,34 +14,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// fresh is how long, by the steady clock, a reading of the boot clock is good: it is a
-// system call of 280 ns, three times time.Now, and a request asks some ten times. Time
-// that was lost is noticed 5 ms after waking at the latest.
-const fresh = 5 * time.Millisecond
+// maxReadingAge is how long, by the monotonic clock, a reading of the boot clock is reused.
+// A reading is a system call of 280 ns, three times the cost of time.Now, and a request
+// needs the time about ten times. Suspended time is noticed at most 5 ms after resuming.
+const maxReadingAge = 5 * time.Millisecond
 
-// reading is what the boot clock told last.
+// reading is the last reading of the boot clock.
 type reading struct {
-	at   time.Time
-	lost time.Duration
+	at        time.Time
+	suspended time.Duration
 }
 
 // Clock implements wheelgauge.Clock. It is safe for concurrent use.
 type Clock struct {
-	// boot reads the boot clock, now the steady one.
+	// boot reads the boot clock, now the monotonic one.
 	boot func() (time.Duration, error)
 	now  func() time.Time
 
-	began     time.Time
-	beganBoot time.Duration
+	start     time.Time
+	startBoot time.Duration
 	last      atomic.Pointer[reading]
 	mu        sync.Mutex
 }
 
-// New returns a clock that begins now. With the error it goes by the steady clock alone:
-// suspended time is not counted.
+// New returns a clock that starts now. If it also returns an error, the clock is monotonic
+// and does not count suspended time.
 func New() (*Clock, error) { return newClock(bootTime, time.Now) }
 
-// OrSteady returns a clock that begins now, and logs if it must go by the steady one.
+// OrSteady returns a clock that starts now, and logs if it has to be the monotonic one.
 func OrSteady(log logr.Logger) *Clock {
 	c, err := New()
 	if err != nil {
@@ -50,15 +51,15 @@
 }
 
 func newClock(boot func() (time.Duration, error), now func() time.Time) (*Clock, error) {
-	c := &Clock{boot: boot, now: now, began: now()}
+	c := &Clock{boot: boot, now: now, start: now()}
 	at, err := boot()
 	if err != nil {
-		c.boot = func() (time.Duration, error) { return c.now().Sub(c.began), nil }
+		c.boot = func() (time.Duration, error) { return c.now().Sub(c.start), nil }
 		at = 0
 		err = fmt.Errorf("suspended time is not counted: %w", err)
 	}
-	c.beganBoot = at
-	c.last.Store(&reading{at: c.began})
+	c.startBoot = at
+	c.last.Store(&reading{at: c.start})
 	return c, err
 }
 
@@ -74,33 +75,33 @@
 func (c *Clock) Now() time.Time {
 	now := c.now()
 	last := c.last.Load()
-	if d := now.Sub(last.at); d < 0 || d < fresh {
-		return now.Add(last.lost)
+	if d := now.Sub(last.at); d < 0 || d < maxReadingAge {
+		return now.Add(last.suspended)
 	}
 	return now.Add(c.read(now))
 }
 
-// read reads the boot clock anew. What was lost never becomes less: the two clocks are
-// read one after the other, and the time between must not count back.
+// read reads the boot clock. The suspended time never decreases: the two clocks are read one
+// after the other, and the time in between must not be subtracted.
 func (c *Clock) read(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last := c.last.Load()
 	if now.Before(last.at) {
-		return last.lost
+		return last.suspended
 	}
 	at, err := c.boot()
 	if err != nil {
-		return last.lost // it could be read at the start: it will be again
+		return last.suspended // it was readable at the start, so later reads will succeed
 	}
-	lost := max(last.lost, at-c.beganBoot-now.Sub(c.began))
-	if lost-last.lost < grain {
-		lost = last.lost
+	suspended := max(last.suspended, at-c.startBoot-now.Sub(c.start))
+	if suspended-last.suspended < minSuspension {
+		suspended = last.suspended
 	}
-	c.last.Store(&reading{at: now, lost: lost})
-	return lost
+	c.last.Store(&reading{at: now, suspended: suspended})
+	return suspended
 }
 
-// grain is the least time that counts as lost: less passes between two readings when
-// another process runs between them.
-const grain = 100 * time.Millisecond
+// minSuspension is the shortest time that counts as suspended: a shorter one may pass between
+// the readings of the two clocks while another process runs.
+const minSuspension = 100 * time.Millisecond
--- a/bootclock/clock_test.go
+++ b/bootclock/clock_test.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// machine has a steady clock and a boot clock that a test moves.
-type machine struct {
+// fakeMachine has a monotonic clock and a boot clock that a test advances.
+type fakeMachine struct {
 	steady time.Time
 	boot   time.Duration
 	err    error
 	reads  int
 }
 
-func newMachine() *machine { return &machine{steady: time.Unix(1000, 0), boot: time.Hour} }
+func newMachine() *fakeMachine { return &fakeMachine{steady: time.Unix(1000, 0), boot: time.Hour} }
 
-func (m *machine) run(d time.Duration) {
+func (m *fakeMachine) run(d time.Duration) {
 	m.steady = m.steady.Add(d)
 	m.boot += d
 }
 
-func (m *machine) sleep(d time.Duration) { m.boot += d }
+func (m *fakeMachine) suspend(d time.Duration) { m.boot += d }
 
-func (m *machine) now() time.Time { return m.steady }
+func (m *fakeMachine) now() time.Time { return m.steady }
 
-func (m *machine) bootTime() (time.Duration, error) {
+func (m *fakeMachine) bootTime() (time.Duration, error) {
 	m.reads++
 	return m.boot, m.err
 }
 
-func (m *machine) clock(t *testing.T) *Clock {
+func (m *fakeMachine) clock(t *testing.T) *Clock {
 	t.Helper()
 	c, err := newClock(m.bootTime, m.now)
 	if (err != nil) != (m.err != nil) {
@@ -39,32 +39,32 @@
 	return c
 }
 
-// lost is what a clock counts beyond the steady one, read anew.
-func (m *machine) lost(c *Clock) time.Duration { return c.read(m.steady) }
+// suspended returns a fresh reading of the time that c counts beyond the monotonic clock.
+func (m *fakeMachine) suspended(c *Clock) time.Duration { return c.read(m.steady) }
 
 func TestSuspendedTimeCounts(t *testing.T) {
-	for _, lost := range []time.Duration{3 * time.Second, 10 * time.Second, time.Minute} {
+	for _, suspended := range []time.Duration{3 * time.Second, 10 * time.Second, time.Minute} {
 		m := newMachine()
 		c := m.clock(t)
-		began := c.Now()
+		start := c.Now()
 		m.run(time.Second)
-		if got := c.Now().Sub(began); got != time.Second {
-			t.Errorf("%s passed while the machine ran for 1 s", got)
+		if got := c.Now().Sub(start); got != time.Second {
+			t.Errorf("clock advanced by %s while the machine ran for 1 s", got)
 		}
-		m.sleep(lost)
-		m.run(fresh)
-		if got, want := c.Now().Sub(began), time.Second+lost+fresh; got != want {
-			t.Errorf("%s passed, want %s", got, want)
+		m.suspend(suspended)
+		m.run(maxReadingAge)
+		if got, want := c.Now().Sub(start), time.Second+suspended+maxReadingAge; got != want {
+			t.Errorf("clock advanced by %s, want %s", got, want)
 		}
-		if m.lost(c) != lost {
-			t.Errorf("lost %s, want %s", m.lost(c), lost)
+		if m.suspended(c) != suspended {
+			t.Errorf("suspended for %s, want %s", m.suspended(c), suspended)
 		}
 	}
 }
 
-// A step of the time of day moves neither clock; what passes between two readings is no
-// suspension, and the time never goes back.
-func TestNeverBack(t *testing.T) {
+// Setting the time of day affects neither clock. Time that passes between the readings of the two clocks does not count as suspension, and
+// the clock never goes back.
+func TestNeverGoesBack(t *testing.T) {
 	m := newMachine()
 	c := m.clock(t)
 	last := c.Now()
@@ -73,16 +73,16 @@
 		m.boot += time.Duration(n%7-3) * time.Millisecond
 		now := c.Now()
 		if now.Before(last) {
-			t.Fatalf("went back by %s", last.Sub(now))
+			t.Fatalf("clock went back by %s", last.Sub(now))
 		}
 		last = now
 	}
-	if m.lost(c) != 0 {
-		t.Errorf("lost %s", m.lost(c))
+	if m.suspended(c) != 0 {
+		t.Errorf("suspended for %s, want 0", m.suspended(c))
 	}
 }
 
-func TestFewReadings(t *testing.T) {
+func TestReadingsAreCached(t *testing.T) {
 	m := newMachine()
 	c := m.clock(t)
 	m.reads = 0
@@ -91,7 +91,7 @@
 		c.Now()
 	}
 	if m.reads > 10 {
-		t.Errorf("the boot clock is read %d times in 50 ms", m.reads)
+		t.Errorf("boot clock read %d times in 50 ms, want at most 10", m.reads)
 	}
 }
 
@@ -99,26 +99,25 @@
 	m := newMachine()
 	m.err = errors.New("none")
 	c := m.clock(t)
-	began := c.Now()
+	start := c.Now()
 	m.run(time.Second)
-	m.sleep(time.Second)
-	if got := c.Now().Sub(began); got != time.Second || m.lost(c) != 0 {
-		t.Errorf("%s passed, %s lost", got, m.lost(c))
+	m.suspend(time.Second)
+	if got := c.Now().Sub(start); got != time.Second || m.suspended(c) != 0 {
+		t.Errorf("clock advanced by %s, %s suspended, want 1s and 0", got, m.suspended(c))
 	}
 }
 
-func TestOfThisMachine(t *testing.T) {
+func TestRealClock(t *testing.T) {
 	c, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if before := c.Now(); c.Now().Before(before) {
-		t.Error("the time goes back")
+		t.Error("clock went back")
 	}
 }
 
-// BenchmarkNow measures what a moment costs beside time.Now: 102 ns and 90, once in 5 ms
-// 380 ns.
+// BenchmarkNow compares Now (102 ns, and 380 ns once in 5 ms) with time.Now (90 ns).
 func BenchmarkNow(b *testing.B) {
 	c, err := New()
 	if err != nil {
--- a/callerconn/callerconn.go
+++ b/callerconn/callerconn.go
@@ -1,4 +1,4 @@
-// Package callerconn tells whether the other side of a connection has left.
+// Package callerconn checks without reading whether the peer of a connection has closed it.
 package callerconn
 
 import (
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// Gone peeks at a connection on which nobody reads now. Connections that
-// cannot be peeked at, such as TLS, are never gone.
+// Gone reports whether the peer closed or reset a connection that is not being read.
+// It is always false for connections that cannot be peeked at, such as TLS.
 func Gone(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
@@ -18,7 +18,7 @@
 		return false
 	}
 	gone := false
-	// Control and not Read: a read deadline that is over says nothing here.
+	// Control instead of Read: Read would fail on an expired read deadline.
 	err = rc.Control(func(fd uintptr) {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -27,8 +27,8 @@
 	return gone || err != nil
 }
 
-// Readable tells whether bytes, an end or an error have come on a connection
-// on which nobody reads now.
+// Readable reports whether data, the end of the stream or an error has arrived on a
+// connection that is not being read.
 func Readable(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
--- a/callerconn/callerconn_test.go
+++ b/callerconn/callerconn_test.go
@@ -6,57 +6,57 @@
 	"time"
 )
 
-// pair returns both ends of a connection.
-func pair(t *testing.T) (near, far net.Conn) {
+// pair returns both ends of a TCP connection.
+func pair(t *testing.T) (local, remote net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	far, err = net.Dial("tcp", l.Addr().String())
+	remote, err = net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	near, err = l.Accept()
+	local, err = l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = near.Close() })
-	return near, far
+	t.Cleanup(func() { _ = local.Close() })
+	return local, remote
 }
 
 func TestGone(t *testing.T) {
 	tests := []struct {
 		name string
-		do   func(near, far net.Conn) error
+		do   func(local, remote net.Conn) error
 		want bool
 	}{
 		{"open", func(_, _ net.Conn) error { return nil }, false},
-		{"bytes wait", func(_, far net.Conn) error { _, err := far.Write([]byte("next")); return err }, false},
-		{"read deadline over", func(near, _ net.Conn) error { return near.SetReadDeadline(time.Unix(1, 0)) }, false},
-		{"closed", func(_, far net.Conn) error { return far.Close() }, true},
-		{"reset", func(_, far net.Conn) error {
-			if err := far.(*net.TCPConn).SetLinger(0); err != nil {
+		{"bytes wait", func(_, remote net.Conn) error { _, err := remote.Write([]byte("next")); return err }, false},
+		{"read deadline over", func(local, _ net.Conn) error { return local.SetReadDeadline(time.Unix(1, 0)) }, false},
+		{"closed", func(_, remote net.Conn) error { return remote.Close() }, true},
+		{"reset", func(_, remote net.Conn) error {
+			if err := remote.(*net.TCPConn).SetLinger(0); err != nil {
 				return err
 			}
-			return far.Close()
+			return remote.Close()
 		}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			near, far := pair(t)
-			defer far.Close()
-			if err := tt.do(near, far); err != nil {
+			local, remote := pair(t)
+			defer remote.Close()
+			if err := tt.do(local, remote); err != nil {
 				t.Fatal(err)
 			}
-			got := Gone(near)
+			got := Gone(local)
 			for i := 0; i < 200 && got != tt.want; i++ {
 				time.Sleep(5 * time.Millisecond)
-				got = Gone(near)
+				got = Gone(local)
 			}
 			if got != tt.want {
-				t.Fatalf("gone is %t", got)
+				t.Fatalf("Gone returned %t, want the opposite", got)
 			}
 		})
 	}
--- a/callerhttp/conn.go
+++ b/callerhttp/conn.go
@@ -16,49 +16,50 @@
 )
 
 const (
-	// bodyTimeout bounds how long a body may take to come in.
+	// bodyTimeout bounds how long the read of a body may take. It also stands in for a
+	// header or idle timeout of 0.
 	bodyTimeout = 30 * time.Second
-	// leastHeaderBuffer holds ordinary headers before limits are known.
-	leastHeaderBuffer = 16 << 10
+	// minReadBufferBytes holds ordinary headers before the limits are known.
+	minReadBufferBytes = 16 << 10
 )
 
-// conn is one connection of a caller.
+// conn is a caller's connection.
 type conn struct {
-	server *Server
-	net    net.Conn
-	in     *bufio.Reader
-	left   atomic.Bool
+	server     *Server
+	net        net.Conn
+	in         *bufio.Reader
+	callerLeft atomic.Bool
 
 	mu     sync.Mutex
 	cancel context.CancelFunc
 }
 
 func newConn(s *Server, c net.Conn) *conn {
-	return &conn{server: s, net: c, in: bufio.NewReaderSize(c, max(leastHeaderBuffer, s.options.Limits().HeaderBytes))}
+	return &conn{server: s, net: c, in: bufio.NewReaderSize(c, max(minReadBufferBytes, s.options.Limits().HeaderBytes))}
 }
 
-// serving returns what cancels the request that is being served, nil if none is.
-func (k *conn) serving() context.CancelFunc {
+// currentCancel returns the function that cancels the request in progress, nil if there is none.
+func (k *conn) currentCancel() context.CancelFunc {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.cancel
 }
 
-func (k *conn) setServing(cancel context.CancelFunc) {
+func (k *conn) setCancel(cancel context.CancelFunc) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.cancel = cancel
 }
 
 func (k *conn) run(ctx context.Context) {
-	defer func() { _ = k.net.Close() }() // the caller sees the end either way
+	defer func() { _ = k.net.Close() }() // an error changes nothing for the caller
 	for ctx.Err() == nil {
 		r := &Request{conn: k, arrived: time.Now()}
 		if !k.read(r) {
 			return
 		}
 		k.serve(ctx, r)
-		if !r.finished || r.last {
+		if !r.finished || r.closeAfter {
 			return
 		}
 	}
@@ -67,26 +68,26 @@
 func (k *conn) serve(ctx context.Context, r *Request) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	k.setServing(cancel)
-	defer k.setServing(nil)
+	k.setCancel(cancel)
+	defer k.setCancel(nil)
 	k.server.options.Serve(ctx, r)
 }
 
-// read takes one request in; false ends the connection.
+// read reads one request. It returns false if the connection must be closed.
 func (k *conn) read(r *Request) bool {
 	limits := k.server.options.Limits()
-	k.deadline(limits.IdleTimeout)
+	k.setReadTimeout(limits.IdleTimeout)
 	if _, err := k.in.Peek(1); err != nil {
-		return false // closed or idle for too long, between requests
+		return false // closed or timed out between requests
 	}
 	r.arrived = time.Now()
-	k.deadline(limits.HeaderTimeout)
+	k.setReadTimeout(limits.HeaderTimeout)
 	if err := k.readHeader(r); err != nil {
-		k.refuse(r, statusOf(err), err)
+		k.reject(r, headerErrorStatus(err), err)
 		return false
 	}
 	if n := r.request.Header.ContentLength(); limits.BodyBytes > 0 && n > limits.BodyBytes {
-		k.refuse(r, http.StatusRequestEntityTooLarge, fasthttp.ErrBodyTooLarge)
+		k.reject(r, http.StatusRequestEntityTooLarge, fasthttp.ErrBodyTooLarge)
 		return false
 	}
 	if r.request.MayContinue() {
@@ -94,12 +95,12 @@
 			return false
 		}
 	}
-	k.deadline(bodyTimeout)
+	k.setReadTimeout(bodyTimeout)
 	if err := r.request.ContinueReadBody(k.in, limits.BodyBytes, false); err != nil {
-		k.refuse(r, bodyStatus(err), err)
+		k.reject(r, bodyErrorStatus(err), err)
 		return false
 	}
-	_ = k.net.SetReadDeadline(time.Time{}) // fails on a closed connection only
+	_ = k.net.SetReadDeadline(time.Time{}) // fails only on a closed connection
 	return true
 }
 
@@ -110,23 +111,23 @@
 	if err := h.Read(k.in); err != nil {
 		return err
 	}
-	r.last = h.ConnectionClose()
+	r.closeAfter = h.ConnectionClose()
 	return checkFraming(h.RawHeaders())
 }
 
-func (k *conn) deadline(d time.Duration) {
+func (k *conn) setReadTimeout(d time.Duration) {
 	if d <= 0 {
 		d = bodyTimeout
 	}
-	_ = k.net.SetReadDeadline(time.Now().Add(d)) // fails on a closed connection only
+	_ = k.net.SetReadDeadline(time.Now().Add(d)) // fails only on a closed connection
 }
 
-// refuse answers a request that could not be read and ends its connection.
-func (k *conn) refuse(r *Request, status int, cause error) {
+// reject responds to a request that could not be read; its connection closes afterwards.
+func (k *conn) reject(r *Request, status int, cause error) {
 	if status == 0 {
 		return
 	}
-	r.last = true
+	r.closeAfter = true
 	reason := wheelgauge.ReasonBadRequest
 	if status == http.StatusRequestEntityTooLarge {
 		reason = wheelgauge.ReasonTooLarge
@@ -134,23 +135,23 @@
 	r.Refuse(wheelgauge.NewError(reason, wheelgauge.OutcomeNotRun, status, cause.Error()))
 }
 
-// statusOf says how a header that cannot be read is answered; 0 means not at all.
-func statusOf(err error) int {
+// headerErrorStatus returns the status for a header that could not be read, 0 for no response.
+func headerErrorStatus(err error) int {
 	if _, ok := errors.AsType[*fasthttp.ErrSmallBuffer](err); ok {
 		return http.StatusRequestHeaderFieldsTooLarge
 	}
 	if timeout, ok := errors.AsType[net.Error](err); ok && timeout.Timeout() {
 		return http.StatusRequestTimeout
 	}
-	if errors.Is(err, net.ErrClosed) || gone(err) {
+	if errors.Is(err, net.ErrClosed) || isDisconnect(err) {
 		return 0
 	}
 	return http.StatusBadRequest
 }
 
-func bodyStatus(err error) int {
+func bodyErrorStatus(err error) int {
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		return http.StatusRequestEntityTooLarge
 	}
-	return statusOf(err)
+	return headerErrorStatus(err)
 }
--- a/callerhttp/framing.go
+++ b/callerhttp/framing.go
@@ -6,28 +6,28 @@
 )
 
 var (
-	errBareLine   = errors.New("a header line does not end in CR LF")
-	errFolded     = errors.New("a header line is folded")
-	errTwoLengths = errors.New("the body has two lengths")
-	errCoding     = errors.New("the transfer coding is not chunked")
+	errLineEnd        = errors.New("header line does not end in CR LF")
+	errFoldedLine     = errors.New("header line is folded")
+	errSeveralLengths = errors.New("header gives more than one body length")
+	errTransferCoding = errors.New("transfer coding is not chunked")
 )
 
 var (
 	contentLength    = []byte("content-length")
 	transferEncoding = []byte("transfer-encoding")
 	chunked          = []byte("chunked")
-	lineEnd          = []byte("\r\n")
+	crlf             = []byte("\r\n")
 )
 
-// checkFraming refuses header blocks that another reader could take for a
-// request of another length. fasthttp has parsed the block already; what it
-// forgives is refused here.
+// checkFraming rejects header blocks from which another HTTP parser could read
+// a different body length (request smuggling). fasthttp has already parsed the
+// block; this rejects what fasthttp tolerates.
 func checkFraming(block []byte) error {
 	lengths, codings := 0, 0
 	for len(block) > 0 {
 		line, rest, found := bytes.Cut(block, []byte("\n"))
 		if !found || len(line) == 0 || line[len(line)-1] != '\r' || bytes.IndexByte(line[:len(line)-1], '\r') >= 0 {
-			return errBareLine
+			return errLineEnd
 		}
 		block = rest
 		line = line[:len(line)-1]
@@ -35,7 +35,7 @@
 			continue
 		}
 		if line[0] == ' ' || line[0] == '\t' {
-			return errFolded
+			return errFoldedLine
 		}
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		switch {
@@ -44,12 +44,12 @@
 		case bytes.EqualFold(name, transferEncoding):
 			codings++
 			if !bytes.EqualFold(bytes.TrimSpace(value), chunked) {
-				return errCoding
+				return errTransferCoding
 			}
 		}
 	}
 	if lengths > 1 || codings > 1 || lengths+codings > 1 {
-		return errTwoLengths
+		return errSeveralLengths
 	}
 	return nil
 }
--- a/callerhttp/fuzz_test.go
+++ b/callerhttp/fuzz_test.go
@@ -13,7 +13,7 @@
 	"wheelgauge"
 )
 
-// bytesConn gives bytes to its reader and takes whatever is written.
+// bytesConn is a connection that reads from in and discards what is written.
 type bytesConn struct {
 	net.Conn
 	in io.Reader
@@ -25,10 +25,10 @@
 func (c *bytesConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *bytesConn) SetWriteDeadline(time.Time) error { return nil }
 
-// meanings are the lengths of a body that readers could take from a header block: they part
-// lines in three ways, take the first or the last of several lengths, and let either a length
-// or a coding win.
-func meanings(block string) map[string]bool {
+// possibleLengths returns the body lengths that parsers could read from a header block. Parsers
+// split lines in three ways, use the first or the last of several lengths, and let either
+// Content-Length or Transfer-Encoding take precedence.
+func possibleLengths(block string) map[string]bool {
 	anyEnd := strings.NewReplacer("\r\n", "\n", "\r", "\n")
 	out := map[string]bool{}
 	for _, lines := range [][]string{strings.Split(block, "\r\n"), strings.Split(block, "\n"), strings.Split(anyEnd.Replace(block), "\n")} {
@@ -54,8 +54,9 @@
 	return out
 }
 
-// FuzzFraming: where a request is taken, it ends where another reader of HTTP sees its end.
-// Seen otherwise, what follows is a request to one of them and a body to the other.
+// FuzzFraming checks that an accepted request ends where net/http sees its end. If two parsers
+// disagree, the bytes that follow are a request to one and a body to the other (request
+// smuggling).
 func FuzzFraming(f *testing.F) {
 	for _, seed := range []string{
 		"GET /a HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -85,8 +86,8 @@
 		if !k.read(r) {
 			return
 		}
-		if all := meanings(string(r.Header().RawHeaders())); len(all) > 1 {
-			t.Fatalf("%q: the body's length may be any of %v", in, all)
+		if all := possibleLengths(string(r.Header().RawHeaders())); len(all) > 1 {
+			t.Fatalf("%q: accepted, but parsers may read any of these body lengths: %v", in, all)
 		}
 		rest, err := io.ReadAll(k.in)
 		if err != nil {
@@ -95,21 +96,21 @@
 		other := bufio.NewReader(bytes.NewReader(in))
 		req, err := http.ReadRequest(other)
 		if err != nil {
-			return // refused there
+			return // rejected by net/http
 		}
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
-			t.Fatalf("%q: the other reader cannot read the body, %q here: %v", in, r.Body(), err)
+			t.Fatalf("%q: net/http cannot read the body, which is %q here: %v", in, r.Body(), err)
 		}
 		otherRest, err := io.ReadAll(other)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !bytes.Equal(body, r.Body()) || !bytes.Equal(otherRest, rest) {
-			t.Fatalf("%q: body %q and %q after it, the other reader has %q and %q", in, r.Body(), rest, body, otherRest)
+			t.Fatalf("%q: body %q, then %q; net/http has %q, then %q", in, r.Body(), rest, body, otherRest)
 		}
 		if req.Method != string(r.Header().Method()) || !strings.EqualFold(req.Host, string(r.Header().Host())) && !strings.Contains(req.RequestURI, "://") {
-			t.Fatalf("%q: method %q of host %q, the other reader has %q of %q", in, r.Header().Method(), r.Header().Host(), req.Method, req.Host)
+			t.Fatalf("%q: method %q, host %q; net/http has %q, %q", in, r.Header().Method(), r.Header().Host(), req.Method, req.Host)
 		}
 	})
 }
--- a/callerhttp/request.go
+++ b/callerhttp/request.go
@@ -16,132 +16,133 @@
 	"wheelgauge"
 )
 
-// writePiece is what a caller must take within Options.Unread, in bytes.
-const writePiece = 8 << 10
+// maxWriteBytes is the size of one write, which must finish within Options.Unread.
+const maxWriteBytes = 8 << 10
 
-// Request is one request with the means to answer it. Exactly one of Answer,
-// Begin, Refuse and Cut begins the answer.
+// Request is a request with the methods to respond to it. A handler calls exactly
+// one of Answer, Begin, Refuse and Cut first.
 type Request struct {
-	conn     *conn
-	request  fasthttp.Request
-	arrived  time.Time
-	last     bool
-	begun    bool
-	finished bool
-	chunked  bool
-	head     []byte // not sent yet: it leaves with the first part of the body
-	length   int
-	written  int
+	conn        *conn
+	request     fasthttp.Request
+	arrived     time.Time
+	closeAfter  bool
+	started     bool
+	finished    bool
+	chunked     bool
+	pendingHead []byte // not sent yet: it leaves with the first part of the body
+	length      int
+	written     int
 }
 
-// Field is one header line.
+// Field is a header field.
 type Field struct {
 	name  []byte
 	value []byte
 }
 
-// NewField returns a header line.
+// NewField returns a header field.
 func NewField(name, value string) Field { return Field{name: []byte(name), value: []byte(value)} }
 
 // Header returns the request's header.
 func (r *Request) Header() *fasthttp.RequestHeader { return &r.request.Header }
 
-// Body returns the whole body.
+// Body returns the whole body of the request.
 func (r *Request) Body() []byte { return r.request.Body() }
 
-// Arrived returns when the request's first byte was there.
+// Arrived returns when the request's first byte was received.
 func (r *Request) Arrived() time.Time { return r.arrived }
 
-// Left tells whether the caller was seen to have left.
-func (r *Request) Left() bool { return r.conn.left.Load() }
+// Left reports whether the caller was found to have disconnected.
+func (r *Request) Left() bool { return r.conn.callerLeft.Load() }
 
-// Interrupt ends the context that the request is served with; safe from any goroutine.
+// Interrupt cancels the context of the request's handler. It is safe for concurrent use.
 func (r *Request) Interrupt() {
-	if cancel := r.conn.serving(); cancel != nil {
+	if cancel := r.conn.currentCancel(); cancel != nil {
 		cancel()
 	}
 }
 
-// Begun tells whether bytes of an answer have left.
-func (r *Request) Begun() bool { return r.begun }
+// Begun reports whether a response was started.
+func (r *Request) Begun() bool { return r.started }
 
-// Begin sets the head of an answer whose body follows by Write and ends with
-// End; the head leaves with the first part of the body. length is that of the
-// body, -1 when it is not known. A body that cannot be announced to an HTTP/1.0
-// caller ends with the connection.
+// Begin sets the head of a response whose body follows by Write and ends with
+// End; the head is sent with the first part of the body. length is that of the
+// body, -1 if unknown. To an HTTP/1.0 caller, a body of unknown length ends when
+// the connection closes.
 func (r *Request) Begin(status int, fields []Field, length int) {
 	if r.conn.server.draining.Load() {
-		r.last = true
+		r.closeAfter = true
 	}
-	bodiless := r.request.Header.IsHead() || status == http.StatusNoContent || status == http.StatusNotModified
+	noBody := r.request.Header.IsHead() || status == http.StatusNoContent || status == http.StatusNotModified
 	head := appendHead(nil, status, fields)
 	switch {
-	case bodiless && length < 0:
+	case noBody && length < 0:
 		r.length = 0
 	case length >= 0:
-		head = appendLine(head, "Content-Length", strconv.Itoa(length))
+		head = appendField(head, "Content-Length", strconv.Itoa(length))
 		r.length = length
 	case r.request.Header.IsHTTP11():
-		head = appendLine(head, "Transfer-Encoding", "chunked")
+		head = appendField(head, "Transfer-Encoding", "chunked")
 		r.length = -1
 	default:
-		r.length, r.last = -1, true
+		r.length, r.closeAfter = -1, true
 	}
-	if bodiless {
+	if noBody {
 		r.length = 0
 	}
-	if r.last {
-		head = appendLine(head, "Connection", "close")
+	if r.closeAfter {
+		head = appendField(head, "Connection", "close")
 	}
 	head = append(head, '\r', '\n')
-	r.begun = true
+	r.started = true
 	r.chunked = r.length < 0 && r.request.Header.IsHTTP11()
-	r.head = head
+	r.pendingHead = head
 }
 
 func (r *Request) send(p []byte) error {
-	if len(r.head) > 0 {
-		p = append(r.head, p...)
-		r.head = nil
+	if len(r.pendingHead) > 0 {
+		p = append(r.pendingHead, p...)
+		r.pendingHead = nil
 	}
-	for piece := range slices.Chunk(p, writePiece) {
-		_ = r.conn.net.SetWriteDeadline(time.Now().Add(r.conn.server.options.Unread)) // a closed connection fails below
-		if _, err := r.conn.net.Write(piece); err != nil {
+	for part := range slices.Chunk(p, maxWriteBytes) {
+		_ = r.conn.net.SetWriteDeadline(time.Now().Add(r.conn.server.options.Unread)) // on a closed connection the write fails
+		if _, err := r.conn.net.Write(part); err != nil {
 			return fmt.Errorf("write to caller: %w", err)
 		}
 	}
 	return nil
 }
 
-// Write sends a part of the body at once.
+// Write sends a part of the body immediately.
 func (r *Request) Write(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
 	if r.length >= 0 && r.written+len(p) > r.length {
-		return 0, errors.New("write to caller: more than announced")
+		return 0, errors.New("write to caller: body longer than its Content-Length")
 	}
 	r.written += len(p)
 	if !r.chunked {
 		return len(p), r.send(p)
 	}
-	piece := strconv.AppendInt(make([]byte, 0, len(p)+16), int64(len(p)), 16)
-	piece = append(piece, lineEnd...)
-	piece = append(piece, p...)
-	return len(p), r.send(append(piece, lineEnd...))
+	chunk := strconv.AppendInt(make([]byte, 0, len(p)+16), int64(len(p)), 16)
+	chunk = append(chunk, crlf...)
+	chunk = append(chunk, p...)
+	return len(p), r.send(append(chunk, crlf...))
 }
 
-// End completes the answer. An answer shorter than announced is cut instead.
+// End completes the response. If the body is shorter than its Content-Length, the
+// connection is cut instead.
 func (r *Request) End() error {
 	if r.length >= 0 && r.written != r.length {
 		r.Cut()
-		return errors.New("end answer: shorter than announced")
+		return errors.New("end response: body shorter than its Content-Length")
 	}
 	var tail []byte
 	if r.chunked {
 		tail = []byte("0\r\n\r\n")
 	}
-	if len(tail)+len(r.head) > 0 {
+	if len(tail)+len(r.pendingHead) > 0 {
 		if err := r.send(tail); err != nil {
 			return err
 		}
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// Answer sends a whole answer.
+// Answer sends a complete response.
 func (r *Request) Answer(status int, fields []Field, body []byte) error {
 	r.Begin(status, fields, len(body))
 	if r.length > 0 {
@@ -161,26 +162,27 @@
 	return r.End()
 }
 
-// Cut ends the connection so that the answer cannot look complete.
+// Cut closes the connection without completing the response, so that the caller
+// detects the truncation.
 func (r *Request) Cut() {
-	r.last = true
+	r.closeAfter = true
 	r.finished = false
 }
 
-// Refuse answers with an error of the product's own.
+// Refuse responds with the gateway's own error.
 func (r *Request) Refuse(e *wheelgauge.Error) {
 	body, err := json.Marshal(e)
 	if err != nil {
 		body = []byte(`{"reason":"internal","outcome":"unknown","status":500}`)
 	}
 	fields := []Field{NewField("Content-Type", "application/json"), NewField(wheelgauge.HeaderOutcome, string(e.Outcome())), NewField(wheelgauge.HeaderReason, string(e.Reason()))}
-	if wait := e.RetryAfter(); wait > 0 {
-		fields = append(fields, NewField("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64)))
+	if retryAfter := e.RetryAfter(); retryAfter > 0 {
+		fields = append(fields, NewField("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64)))
 	}
 	if sends := e.Sends(); sends > 0 {
 		fields = append(fields, NewField(wheelgauge.HeaderSends, strconv.Itoa(sends)))
 	}
-	// A caller that has left does not read it.
+	// Fails only if the caller has disconnected.
 	_ = r.Answer(e.Status(), fields, body)
 }
 
@@ -189,21 +191,21 @@
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
 	dst = append(dst, http.StatusText(status)...)
-	dst = append(dst, lineEnd...)
+	dst = append(dst, crlf...)
 	for _, f := range fields {
-		dst = appendLine(dst, f.name, f.value)
+		dst = appendField(dst, f.name, f.value)
 	}
 	return dst
 }
 
-func appendLine[T string | []byte](dst []byte, name, value T) []byte {
+func appendField[T string | []byte](dst []byte, name, value T) []byte {
 	dst = append(dst, name...)
 	dst = append(dst, ": "...)
 	dst = append(dst, value...)
-	return append(dst, lineEnd...)
+	return append(dst, crlf...)
 }
 
-// gone tells whether err says that the other side has left.
-func gone(err error) bool {
+// isDisconnect reports whether err means that the peer closed the connection.
+func isDisconnect(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/callerhttp/server.go
+++ b/callerhttp/server.go
@@ -1,7 +1,7 @@
 // Package callerhttp serves HTTP/1.1 to callers and to other gateways. It
-// reads requests whole with fasthttp's parsers, notices callers that leave
-// while their request is served, and lets a handler stream an answer or cut
-// the connection, so that a broken answer never looks complete.
+// reads whole requests with fasthttp's parsers, detects callers that disconnect
+// while their request is served, and lets a handler stream a response or cut
+// the connection, so that a truncated response never looks complete.
 package callerhttp
 
 import (
@@ -20,26 +20,26 @@
 )
 
 const (
-	// leaveScan is how often served requests are checked for callers that
-	// left: a server may work on for half a second at most.
-	leaveScan = 200 * time.Millisecond
-	// keepAliveIdle and keepAliveEvery find a caller whose host is gone.
-	keepAliveIdle  = 10 * time.Second
-	keepAliveEvery = 5 * time.Second
-	// unread is the default of Options.Unread.
-	unread = 5 * time.Second
+	// disconnectScanInterval is how often requests in progress are checked for callers
+	// that disconnected: a server may continue their work for half a second at most.
+	disconnectScanInterval = 200 * time.Millisecond
+	// keepAliveIdle and keepAliveInterval detect a caller whose machine is unreachable.
+	keepAliveIdle     = 10 * time.Second
+	keepAliveInterval = 5 * time.Second
+	// defaultWriteTimeout is the default of Options.Unread.
+	defaultWriteTimeout = 5 * time.Second
 )
 
 // Options of a Server.
 type Options struct {
-	// Limits gives the present limits of callers.
+	// Limits returns the current limits for callers.
 	Limits func() wheelgauge.Limits
-	// Serve answers a request and returns when the answer is done.
+	// Serve handles a request and returns when the response is done.
 	Serve func(ctx context.Context, r *Request)
-	// Conns is the most connections; further ones are closed at once.
+	// Conns is the maximum number of connections; further ones are closed at once.
 	Conns int
-	// Unread is after how long a caller is cut off that takes nothing of its answer; unread
-	// when 0.
+	// Unread is the time after which a caller that does not read its response is
+	// disconnected; defaultWriteTimeout when 0.
 	Unread time.Duration
 }
 
@@ -50,29 +50,29 @@
 	draining atomic.Bool
 	ctx      context.Context
 	cancel   context.CancelFunc
-	group    sync.WaitGroup
-	ended    chan error
+	handlers sync.WaitGroup
+	done     chan error
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
 }
 
-// Listen starts serving on address.
+// Listen starts a server on address.
 func Listen(address string, o Options) (*Server, error) {
-	o.Unread = cmp.Or(o.Unread, unread)
-	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: 3}}
+	o.Unread = cmp.Or(o.Unread, defaultWriteTimeout)
+	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: 3}}
 	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", address, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Server{options: o, listener: listener, ctx: ctx, cancel: cancel, ended: make(chan error, 2), conns: map[*conn]struct{}{}}
-	go func() { s.ended <- s.accept() }()
-	go func() { s.ended <- every.Interval(ctx, leaveScan, s.scan) }()
+	s := &Server{options: o, listener: listener, ctx: ctx, cancel: cancel, done: make(chan error, 2), conns: map[*conn]struct{}{}}
+	go func() { s.done <- s.accept() }()
+	go func() { s.done <- every.Interval(ctx, disconnectScanInterval, s.cancelDisconnected) }()
 	return s, nil
 }
 
-// Address returns the address it listens on.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 func (s *Server) accept() error {
@@ -82,7 +82,7 @@
 			return nil
 		}
 		if err != nil {
-			// Out of descriptors or a connection reset before its turn: others follow.
+			// Out of file descriptors, or the connection was reset before it was accepted.
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -94,14 +94,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.conns) >= s.options.Conns || s.ctx.Err() != nil {
-		_ = c.Close() // nothing was read: the caller may go elsewhere
+		_ = c.Close() // nothing was read, so the caller can retry at another host
 		return
 	}
 	k := newConn(s, c)
 	s.conns[k] = struct{}{}
-	s.group.Add(1)
+	s.handlers.Add(1)
 	go func() {
-		defer s.group.Done()
+		defer s.handlers.Done()
 		k.run(s.ctx)
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -109,11 +109,11 @@
 	}()
 }
 
-// scan cancels the requests of callers that left.
-func (s *Server) scan(context.Context) {
+// cancelDisconnected cancels the requests of callers that disconnected.
+func (s *Server) cancelDisconnected(context.Context) {
 	for _, k := range s.snapshot() {
-		if cancel := k.serving(); cancel != nil && callerconn.Gone(k.net) {
-			k.left.Store(true)
+		if cancel := k.currentCancel(); cancel != nil && callerconn.Gone(k.net) {
+			k.callerLeft.Store(true)
 			cancel()
 		}
 	}
@@ -129,22 +129,22 @@
 	return out
 }
 
-// Serving returns the number of requests that are being served.
+// Serving returns the number of requests in progress.
 func (s *Server) Serving() int {
 	n := 0
 	for _, k := range s.snapshot() {
-		if k.serving() != nil {
+		if k.currentCancel() != nil {
 			n++
 		}
 	}
 	return n
 }
 
-// Drain makes every answer from now on the last of its connection.
+// Drain makes every response that begins from now on the last on its connection.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Close takes no more connections, waits for requests in flight until ctx
-// ends, closes what is left and returns when all has ended.
+// Close stops accepting connections, waits for requests in flight until ctx
+// ends, closes the remaining connections and waits for their handlers.
 func (s *Server) Close(ctx context.Context) error {
 	s.Drain()
 	err := s.listener.Close()
@@ -155,8 +155,8 @@
 	}
 	s.cancel()
 	for _, k := range s.snapshot() {
-		_ = k.net.Close() // idle, or out of time
+		_ = k.net.Close() // idle, or not finished in time
 	}
-	s.group.Wait()
-	return errors.Join(err, <-s.ended, <-s.ended)
+	s.handlers.Wait()
+	return errors.Join(err, <-s.done, <-s.done)
 }
--- a/callerhttp/server_test.go
+++ b/callerhttp/server_test.go
@@ -13,10 +13,10 @@
 	"wheelgauge"
 )
 
-const testLimit = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 func limits() wheelgauge.Limits {
-	return wheelgauge.Limits{HeaderBytes: 16 << 10, BodyBytes: 64, HeaderTimeout: time.Second, IdleTimeout: testLimit}
+	return wheelgauge.Limits{HeaderBytes: 16 << 10, BodyBytes: 64, HeaderTimeout: time.Second, IdleTimeout: testTimeout}
 }
 
 func listen(t *testing.T, serve func(ctx context.Context, r *Request)) (*Server, net.Conn) {
@@ -31,13 +31,13 @@
 	}
 	t.Cleanup(func() {
 		_ = c.Close()
-		ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		if err := s.Close(ctx); err != nil {
 			t.Error(err)
 		}
 	})
-	if err := c.SetDeadline(time.Now().Add(testLimit)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return s, c
@@ -88,13 +88,13 @@
 				return
 			}
 			if _, err := in.ReadByte(); err == nil {
-				t.Error("the connection is open, want it closed")
+				t.Error("the connection stayed open, want it closed")
 			}
 		})
 	}
 }
 
-func TestRequestsOfOneConnection(t *testing.T) {
+func TestRequestsOnOneConnection(t *testing.T) {
 	_, c := listen(t, echo)
 	if _, err := c.Write([]byte("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n")); err != nil {
 		t.Fatal(err)
@@ -112,25 +112,25 @@
 }
 
 func TestCallerLeaves(t *testing.T) {
-	began, left := make(chan struct{}), make(chan *Request, 1)
+	started, left := make(chan struct{}), make(chan *Request, 1)
 	_, c := listen(t, func(ctx context.Context, r *Request) {
-		close(began)
+		close(started)
 		<-ctx.Done()
 		left <- r
 	})
 	if _, err := c.Write([]byte("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	<-began
+	<-started
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if r := <-left; !r.Left() {
-		t.Error("the request was cancelled, but not because its caller left")
+		t.Error("the request was cancelled without noting that its caller disconnected")
 	}
 }
 
-func TestCutNeverLooksComplete(t *testing.T) {
+func TestCutResponseIsNotComplete(t *testing.T) {
 	_, c := listen(t, func(_ context.Context, r *Request) {
 		r.Begin(http.StatusOK, nil, -1)
 		if _, err := r.Write([]byte("part")); err != nil {
@@ -146,18 +146,18 @@
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(resp.Body); err == nil {
-		t.Errorf("got a whole body %q, want an error", body)
+		t.Errorf("got complete body %q, want an error", body)
 	}
 }
 
-func TestShortAnswerIsCut(t *testing.T) {
+func TestShortResponseIsCut(t *testing.T) {
 	_, c := listen(t, func(_ context.Context, r *Request) {
 		r.Begin(http.StatusOK, nil, 8)
 		if _, err := r.Write([]byte("part")); err != nil {
 			t.Error(err)
 		}
 		if err := r.End(); err == nil {
-			t.Error("End took an answer that is shorter than announced")
+			t.Error("End accepted a body shorter than its Content-Length, want an error")
 		}
 	})
 	if _, err := c.Write([]byte("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")); err != nil {
@@ -168,7 +168,7 @@
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(resp.Body); err == nil {
-		t.Errorf("got a whole body %q, want an error", body)
+		t.Errorf("got complete body %q, want an error", body)
 	}
 }
 
@@ -183,6 +183,6 @@
 		t.Fatal(err)
 	}
 	if !resp.Close {
-		t.Error("no Connection: close from a server that drains")
+		t.Error("no Connection: close from a draining server")
 	}
 }
--- a/certs/authority.go
+++ b/certs/authority.go
@@ -1,4 +1,4 @@
-// Package certs makes a small certificate authority for one deployment.
+// Package certs implements a small certificate authority for one deployment.
 package certs
 
 import (
@@ -18,9 +18,9 @@
 )
 
 const (
-	authorityLife = 10 * 365 * 24 * time.Hour
-	backdate      = time.Hour
-	serialBits    = 120
+	authorityValidity = 10 * 365 * 24 * time.Hour
+	backdate          = time.Hour
+	serialBits        = 120
 
 	authorityCert = "authority.pem"
 	authorityKey  = "authority.key"
@@ -33,32 +33,32 @@
 	key  *ecdsa.PrivateKey
 }
 
-// Open reads the authority in dir, or makes one.
+// Open loads the authority in dir, or creates one.
 func Open(dir string) (*Authority, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("create folder: %w", err)
 	}
 	a := &Authority{dir: dir}
 	if _, err := os.Stat(filepath.Join(dir, authorityKey)); errors.Is(err, os.ErrNotExist) {
-		return a, a.make()
+		return a, a.create()
 	}
-	return a, a.read()
+	return a, a.load()
 }
 
 // newKey returns a key and a serial number for its certificate.
 func newKey() (*ecdsa.PrivateKey, *big.Int, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, nil, fmt.Errorf("make key: %w", err)
+		return nil, nil, fmt.Errorf("generate key: %w", err)
 	}
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, nil, fmt.Errorf("make serial number: %w", err)
+		return nil, nil, fmt.Errorf("generate serial number: %w", err)
 	}
 	return key, serial, nil
 }
 
-func (a *Authority) make() error {
+func (a *Authority) create() error {
 	key, serial, err := newKey()
 	if err != nil {
 		return err
@@ -66,7 +66,7 @@
 	now := time.Now()
 	template := &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: "wheelgauge authority"},
-		NotBefore: now.Add(-backdate), NotAfter: now.Add(authorityLife),
+		NotBefore: now.Add(-backdate), NotAfter: now.Add(authorityValidity),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
@@ -80,7 +80,7 @@
 	return errors.Join(writeKey(filepath.Join(a.dir, authorityKey), key), writeCert(filepath.Join(a.dir, authorityCert), der))
 }
 
-func (a *Authority) read() error {
+func (a *Authority) load() error {
 	certPEM, err := os.ReadFile(filepath.Join(a.dir, authorityCert))
 	if err != nil {
 		return fmt.Errorf("read authority: %w", err)
@@ -103,15 +103,15 @@
 	return nil
 }
 
-// Issue writes NAME.pem and NAME.key, good for the IP addresses and for life.
-func (a *Authority) Issue(name string, addresses []string, life time.Duration) error {
+// Issue writes NAME.pem and NAME.key, valid for the IP addresses and for the given time.
+func (a *Authority) Issue(name string, addresses []string, validity time.Duration) error {
 	key, serial, err := newKey()
 	if err != nil {
 		return err
 	}
 	now := time.Now()
 	template := &x509.Certificate{
-		SerialNumber: serial, Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-backdate), NotAfter: now.Add(life),
+		SerialNumber: serial, Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-backdate), NotAfter: now.Add(validity),
 		KeyUsage:    x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
@@ -134,15 +134,15 @@
 	if err != nil {
 		return fmt.Errorf("encode key: %w", err)
 	}
-	return replace(path, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: der}), 0o600)
+	return replaceFile(path, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: der}), 0o600)
 }
 
 func writeCert(path string, der []byte) error {
-	return replace(path, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o644)
+	return replaceFile(path, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o644)
 }
 
-// replace puts a file in place in one step, as a process may be reading it.
-func replace(path string, data []byte, mode os.FileMode) error {
+// replaceFile replaces a file atomically, as a process may be reading it.
+func replaceFile(path string, data []byte, mode os.FileMode) error {
 	if err := os.WriteFile(path+".new", data, mode); err != nil {
 		return fmt.Errorf("write %s: %w", path, err)
 	}
--- a/countconn/conn.go
+++ b/countconn/conn.go
@@ -1,17 +1,17 @@
-// Package countconn counts the bytes that pass over connections, those of calls
-// included that are cut before their end.
+// Package countconn counts the bytes read from and written to connections, including
+// those of calls that fail midway.
 package countconn
 
 import "net"
 
-// Conn is a connection that tells of its bytes.
+// Conn is a connection that reports its bytes.
 type Conn struct {
 	net.Conn
 	in, out func(bytes int64)
 }
 
-// New counts what is read from c by in, and what is written by out, which must
-// be safe for concurrent use.
+// New returns a connection that reports the bytes read from c to in, and the bytes
+// written to out. Both must be safe for concurrent use.
 func New(c net.Conn, in, out func(bytes int64)) *Conn { return &Conn{Conn: c, in: in, out: out} }
 
 // Read implements net.Conn.
--- a/eventstream/splitter.go
+++ b/eventstream/splitter.go
@@ -1,36 +1,36 @@
-// Package eventstream cuts a text/event-stream into whole events and remembers
-// the id of the last one, so that a broken stream can be resumed after it.
+// Package eventstream splits a text/event-stream into complete events and records
+// the ID of the last one, so that a broken stream can be resumed after it.
 package eventstream
 
 import "bytes"
 
-// mostPending bounds an event that does not end.
-const mostPending = 1 << 20
+// maxPendingBytes bounds an incomplete event.
+const maxPendingBytes = 1 << 20
 
-// Splitter gathers bytes until events are whole.
+// Splitter buffers bytes until events are complete.
 type Splitter struct {
 	pending []byte
-	last    string
+	lastID  string
 	events  int
 }
 
-// Feed adds bytes and returns the whole events among what is there, byte for
-// byte. The result is valid until the next call. ok is false when an event is
-// too long.
-func (s *Splitter) Feed(p []byte) (whole []byte, ok bool) {
+// Feed adds bytes and returns the complete events received so far, unchanged.
+// The result is valid until the next call. ok is false if an event is longer than
+// maxPendingBytes.
+func (s *Splitter) Feed(p []byte) (complete []byte, ok bool) {
 	s.pending = append(s.pending, p...)
-	end := lastEnd(s.pending)
+	end := lastEventEnd(s.pending)
 	if end == 0 {
-		return nil, len(s.pending) <= mostPending
+		return nil, len(s.pending) <= maxPendingBytes
 	}
-	whole = s.pending[:end:end]
-	s.note(whole)
+	complete = s.pending[:end:end]
+	s.record(complete)
 	s.pending = append([]byte(nil), s.pending[end:]...)
-	return whole, true
+	return complete, true
 }
 
-// lastEnd returns where the last whole event ends, 0 if there is none.
-func lastEnd(p []byte) int {
+// lastEventEnd returns the offset after the last complete event, 0 if there is none.
+func lastEventEnd(p []byte) int {
 	end := 0
 	if at := bytes.LastIndex(p, []byte("\n\n")); at >= 0 {
 		end = at + 2
@@ -41,9 +41,9 @@
 	return end
 }
 
-func (s *Splitter) note(whole []byte) {
+func (s *Splitter) record(complete []byte) {
 	inEvent := false
-	for line := range bytes.SplitSeq(whole, []byte("\n")) {
+	for line := range bytes.SplitSeq(complete, []byte("\n")) {
 		line = bytes.TrimSuffix(line, []byte("\r"))
 		if len(line) == 0 {
 			if inEvent {
@@ -54,20 +54,20 @@
 		}
 		inEvent = true
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			s.last = string(bytes.TrimPrefix(id, []byte(" ")))
+			s.lastID = string(bytes.TrimPrefix(id, []byte(" ")))
 		}
 	}
 }
 
-// Rest returns the bytes after the last whole event and forgets them.
+// Rest returns the bytes after the last complete event and clears them.
 func (s *Splitter) Rest() []byte {
 	rest := s.pending
 	s.pending = nil
 	return rest
 }
 
-// LastID returns the id of the last whole event; empty if none had one.
-func (s *Splitter) LastID() string { return s.last }
+// LastID returns the last ID among the complete events, empty if none had one.
+func (s *Splitter) LastID() string { return s.lastID }
 
-// Events returns the number of whole events.
+// Events returns the number of complete events.
 func (s *Splitter) Events() int { return s.events }
--- a/eventstream/splitter_test.go
+++ b/eventstream/splitter_test.go
@@ -28,15 +28,15 @@
 			for _, p := range tt.pieces {
 				w, ok := s.Feed([]byte(p))
 				if !ok {
-					t.Fatal("too long")
+					t.Fatal("Feed rejected an event as too long")
 				}
 				whole.Write(w)
 			}
 			if whole.String() != tt.whole || s.LastID() != tt.last || s.Events() != tt.events {
-				t.Errorf("got %q, last %q, %d events", whole.String(), s.LastID(), s.Events())
+				t.Errorf("unexpected events: got %q, last ID %q, %d events", whole.String(), s.LastID(), s.Events())
 			}
 			if rest := string(s.Rest()); rest != tt.rest {
-				t.Errorf("rest %q, want %q", rest, tt.rest)
+				t.Errorf("got rest %q, want %q", rest, tt.rest)
 			}
 		})
 	}
@@ -44,7 +44,7 @@
 
 func TestEndlessEvent(t *testing.T) {
 	var s Splitter
-	if _, ok := s.Feed(make([]byte, mostPending+1)); ok {
-		t.Error("an event without end was taken")
+	if _, ok := s.Feed(make([]byte, maxPendingBytes+1)); ok {
+		t.Error("Feed accepted an event that exceeds maxPendingBytes")
 	}
 }
--- a/every/every.go
+++ b/every/every.go
@@ -1,4 +1,4 @@
-// Package every runs a function at an interval.
+// Package every calls a function at an interval.
 package every
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Interval calls f each interval until ctx ends; the first call is after one.
+// Interval calls f once per interval until ctx ends; the first call is after one interval.
 func Interval(ctx context.Context, interval time.Duration, f func(ctx context.Context)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -1,4 +1,4 @@
-// Package gate counts work in flight and lets a leaving process wait for its end.
+// Package gate counts work in flight and lets a process that shuts down wait for it.
 package gate
 
 import (
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Gate is open until Shut. It is safe for concurrent use.
+// Gate admits work until Shut. It is safe for concurrent use.
 type Gate struct {
 	mu    sync.Mutex
 	count int
@@ -17,7 +17,7 @@
 // New returns an open gate.
 func New() *Gate { return &Gate{idle: make(chan struct{})} }
 
-// Enter counts one more, or returns false once the gate is shut.
+// Enter counts one piece of work, or returns false if the gate is shut.
 func (g *Gate) Enter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -28,7 +28,7 @@
 	return true
 }
 
-// Leave counts one less. It is called once for each Enter that returned true.
+// Leave ends one piece of work. It must be called once for each Enter that returned true.
 func (g *Gate) Leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// Shut lets nothing more in. It may be called again.
+// Shut admits no more work. It may be called more than once.
 func (g *Gate) Shut() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -48,7 +48,7 @@
 	g.shut = true
 }
 
-// Wait returns once the gate is shut and all have left, or when ctx ends.
+// Wait returns when the gate is shut and no work is in flight, or when ctx ends.
 func (g *Gate) Wait(ctx context.Context) error {
 	select {
 	case <-g.idle:
@@ -58,7 +58,7 @@
 	}
 }
 
-// Count returns how many are inside.
+// Count returns the amount of work in flight.
 func (g *Gate) Count() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/httpfield/field.go
+++ b/httpfield/field.go
@@ -1,5 +1,5 @@
-// Package httpfield finds header fields of messages that were parsed with the names as they
-// were written: their case means nothing (RFC 9110, 5.1).
+// Package httpfield looks up header fields without regard to case (RFC 9110, section 5.1) in
+// messages that were parsed without normalizing names.
 package httpfield
 
 import (
@@ -7,32 +7,32 @@
 	"iter"
 )
 
-// Header is that of a request or an answer.
+// Header is the header of a request or a response.
 type Header interface {
 	All() iter.Seq2[[]byte, []byte]
 }
 
-// Value returns the first value of a field; nil if there is none. It holds for as long as the
+// Value returns the first value of a field, nil if there is none. It is valid as long as the
 // header.
 func Value(h Header, name string) []byte {
 	for n, value := range h.All() {
-		if is(n, name) {
+		if nameMatches(n, name) {
 			return value
 		}
 	}
 	return nil
 }
 
-// Values returns all values of a field, in their order.
+// Values returns all values of a field in order.
 func Values(h Header, name string) (values [][]byte) {
 	for n, value := range h.All() {
-		if is(n, name) {
+		if nameMatches(n, name) {
 			values = append(values, value)
 		}
 	}
 	return values
 }
 
-func is(written []byte, name string) bool {
-	return len(written) == len(name) && bytes.EqualFold(written, []byte(name))
+func nameMatches(got []byte, name string) bool {
+	return len(got) == len(name) && bytes.EqualFold(got, []byte(name))
 }
--- a/httpfield/field_test.go
+++ b/httpfield/field_test.go
@@ -35,7 +35,7 @@
 			t.Errorf("%q: got %s, want %s", tt.head, got, tt.want)
 		}
 		if first, all := Value(&h, tt.name), Values(&h, tt.name); len(all) > 0 && string(first) != string(all[0]) {
-			t.Errorf("%q: the first value is %q", tt.head, first)
+			t.Errorf("%q: got first value %q, which is not the first of all", tt.head, first)
 		}
 	}
 }
--- a/httpserve/close_test.go
+++ b/httpserve/close_test.go
@@ -9,18 +9,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Listeners end together: a request at one that ends only when the others take no new
-// connections is waited for. One after another they would take the limit each, and a
-// program with four of them outlast the grace of its stop.
-func TestListenersEndTogether(t *testing.T) {
+// CloseAll closes listeners at the same time: each request here only ends once no listener
+// accepts connections. Closed one after another, each listener would take the whole limit,
+// and a program with four of them would exceed its grace period.
+func TestCloseAllIsConcurrent(t *testing.T) {
 	const count, limit = 4, 20 * time.Second
 	var listeners []*Server
-	began := make(chan struct{}, count)
+	started := make(chan struct{}, count)
 	answered := make(chan error, count)
 	handler := func(*fasthttp.RequestCtx) {
-		began <- struct{}{}
+		started <- struct{}{}
 		for _, l := range listeners {
-			untilRefused(l.Address())
+			waitUntilRefused(l.Address())
 		}
 	}
 	for range count {
@@ -37,13 +37,13 @@
 		}()
 	}
 	for range count {
-		<-began
+		<-started
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
 	cut, err := CloseAll(ctx, listeners)
 	if err != nil || len(cut) > 0 {
-		t.Errorf("ended with %v, connections cut at %v", err, cut)
+		t.Errorf("CloseAll: got %v, connections cut at %v, want none", err, cut)
 	}
 	for range count {
 		if err := <-answered; err != nil {
@@ -52,8 +52,8 @@
 	}
 }
 
-// untilRefused returns when an address takes no new connections.
-func untilRefused(address string) {
+// waitUntilRefused returns when an address refuses connections.
+func waitUntilRefused(address string) {
 	for {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
--- a/httpserve/server.go
+++ b/httpserve/server.go
@@ -1,4 +1,4 @@
-// Package httpserve runs one HTTP listener with limits and a clean stop.
+// Package httpserve runs an HTTP listener with limits and a graceful shutdown.
 package httpserve
 
 import (
@@ -16,14 +16,14 @@
 const (
 	defaultReadTimeout = 30 * time.Second
 	defaultIdleTimeout = 60 * time.Second
-	// writeTimeout bounds the longest answer to a caller that reads slowly.
-	writeTimeout       = 15 * time.Minute
-	defaultHeaderBytes = 16 << 10
-	defaultBodyBytes   = 64 << 20
-	defaultConns       = 16 << 10
+	// writeTimeout bounds the longest response to a caller that reads slowly.
+	writeTimeout          = 15 * time.Minute
+	defaultMaxHeaderBytes = 16 << 10
+	defaultMaxBodyBytes   = 64 << 20
+	defaultMaxConns       = 16 << 10
 )
 
-// Options of a Server; zero values take defaults.
+// Options of a Server. Zero values select the defaults.
 type Options struct {
 	TLS *tls.Config
 	// HeaderBytes, BodyBytes and Conns are upper limits.
@@ -31,7 +31,7 @@
 	BodyBytes   int
 	Conns       int
 	ReadTimeout time.Duration
-	// StreamBodies hands requests over before their body is read.
+	// StreamBodies calls the handler before the body is read.
 	StreamBodies   bool
 	HeaderReceived func(header *fasthttp.RequestHeader) fasthttp.RequestConfig
 	OnError        func(ctx *fasthttp.RequestCtx, err error)
@@ -44,7 +44,7 @@
 	done     chan error
 }
 
-// Listen starts serving handler on address.
+// Listen starts a server with handler on address.
 func Listen(address string, handler fasthttp.RequestHandler, o Options) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -57,73 +57,73 @@
 		Handler:                      handler,
 		ErrorHandler:                 o.OnError,
 		HeaderReceived:               o.HeaderReceived,
-		ReadBufferSize:               or(o.HeaderBytes, defaultHeaderBytes),
-		MaxRequestBodySize:           or(o.BodyBytes, defaultBodyBytes),
-		Concurrency:                  or(o.Conns, defaultConns),
-		ReadTimeout:                  or(o.ReadTimeout, defaultReadTimeout),
+		ReadBufferSize:               orDefault(o.HeaderBytes, defaultMaxHeaderBytes),
+		MaxRequestBodySize:           orDefault(o.BodyBytes, defaultMaxBodyBytes),
+		Concurrency:                  orDefault(o.Conns, defaultMaxConns),
+		ReadTimeout:                  orDefault(o.ReadTimeout, defaultReadTimeout),
 		IdleTimeout:                  defaultIdleTimeout,
 		WriteTimeout:                 writeTimeout,
 		StreamRequestBody:            o.StreamBodies,
 		DisablePreParseMultipartForm: true,
 		NoDefaultServerHeader:        true,
 		CloseOnShutdown:              true,
-		Logger:                       silent{},
+		Logger:                       discardLogger{},
 	}}
 	go s.serve()
 	return s, nil
 }
 
-func or[T comparable](value, otherwise T) T {
+func orDefault[T comparable](value, fallback T) T {
 	var zero T
 	if value == zero {
-		return otherwise
+		return fallback
 	}
 	return value
 }
 
 func (s *Server) serve() { s.done <- s.http.Serve(s.listener) }
 
-// Address returns the address it listens on.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Open returns the number of open connections.
 func (s *Server) Open() int { return int(s.http.GetOpenConnectionsCount()) }
 
-// Close takes no new connections, waits for the requests in flight until ctx
-// ends, and returns when serving has ended.
+// Close stops accepting connections, waits for the requests in flight until ctx
+// ends, and returns when the listener is closed.
 func (s *Server) Close(ctx context.Context) error {
 	err := s.http.ShutdownWithContext(ctx)
 	if err != nil {
 		err = fmt.Errorf("stop listener: %w", err)
 	}
-	// Shutdown does not know a listener whose serving has not begun.
-	if again := s.listener.Close(); !errors.Is(again, net.ErrClosed) {
-		err = errors.Join(err, again)
+	// Shutdown does not close a listener on which Serve has not yet started.
+	if closeErr := s.listener.Close(); !errors.Is(closeErr, net.ErrClosed) {
+		err = errors.Join(err, closeErr)
 	}
 	return errors.Join(err, <-s.done)
 }
 
-// CloseAll closes the listeners of one program at the same time, so that none takes the
-// time of another. It returns the addresses of those whose connections were still open
-// when ctx ended: their callers repeat what is cut.
+// CloseAll closes the listeners of one program concurrently, so that they share the time
+// until ctx ends. It returns the addresses of those whose connections were still open
+// then: their callers retry the requests that were cut.
 func CloseAll(ctx context.Context, listeners []*Server) (cut []string, err error) {
-	endings := make([]error, len(listeners))
-	var all sync.WaitGroup
+	errs := make([]error, len(listeners))
+	var wg sync.WaitGroup
 	for i, l := range listeners {
-		all.Go(func() { endings[i] = l.Close(ctx) })
+		wg.Go(func() { errs[i] = l.Close(ctx) })
 	}
-	all.Wait()
-	for i, ended := range endings {
-		if errors.Is(ended, context.DeadlineExceeded) {
+	wg.Wait()
+	for i, closeErr := range errs {
+		if errors.Is(closeErr, context.DeadlineExceeded) {
 			cut = append(cut, listeners[i].Address())
 			continue
 		}
-		err = errors.Join(err, ended)
+		err = errors.Join(err, closeErr)
 	}
 	return cut, err
 }
 
-// silent drops fasthttp's own log lines: parts log for themselves.
-type silent struct{}
+// discardLogger drops fasthttp's own log lines; the handlers do the logging.
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/httpserve/server_test.go
+++ b/httpserve/server_test.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// A listener that is closed right after it was opened ends, though its serving
-// may not have begun.
+// Close returns for a listener that was just opened, even if Serve has not yet started:
+// fasthttp's Shutdown does not close such a listener.
 func TestCloseRightAfterListen(t *testing.T) {
 	const testLimit = 20 * time.Second
 	for range 200 {
@@ -26,7 +26,7 @@
 				t.Fatal(err)
 			}
 		case <-ctx.Done():
-			t.Fatal("the listener did not end")
+			t.Fatal("Close did not return within the test limit")
 		}
 		cancel()
 	}
--- a/keypair/keypair.go
+++ b/keypair/keypair.go
@@ -1,6 +1,6 @@
-// Package keypair gives TLS configurations for mutual trust between processes.
-// The files are read again when they change, so that keys are rotated without
-// a restart.
+// Package keypair provides configurations for mutual TLS between processes. It
+// reloads the files when they change, so that keys can be rotated without a
+// restart.
 package keypair
 
 import (
@@ -13,21 +13,21 @@
 	"time"
 )
 
-const checkEvery = time.Second
+const checkInterval = time.Second
 
-// Pair is a certificate, its key and the authority that peers must be signed by.
+// Pair is a certificate, its key and the certificate authority that signs those of peers.
 type Pair struct {
-	certFile string
-	keyFile  string
-	caFile   string
-	mu       sync.Mutex
-	checked  time.Time
-	stamp    time.Time
-	cert     *tls.Certificate
-	pool     *x509.CertPool
+	certFile      string
+	keyFile       string
+	caFile        string
+	mu            sync.Mutex
+	lastCheck     time.Time
+	loadedModTime time.Time
+	cert          *tls.Certificate
+	pool          *x509.CertPool
 }
 
-// Load reads the three files.
+// Load reads the certificate, the key and the authority's certificate.
 func Load(certFile, keyFile, caFile string) (*Pair, error) {
 	p := &Pair{certFile: certFile, keyFile: keyFile, caFile: caFile}
 	if err := p.read(); err != nil {
@@ -47,13 +47,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(ca) {
-		return fmt.Errorf("load authority: %s holds no certificate", p.caFile)
+		return fmt.Errorf("load authority: %s contains no certificate", p.caFile)
 	}
-	p.cert, p.pool, p.stamp = &cert, pool, p.changed()
+	p.cert, p.pool, p.loadedModTime = &cert, pool, p.newestModTime()
 	return nil
 }
 
-func (p *Pair) changed() time.Time {
+func (p *Pair) newestModTime() time.Time {
 	var newest time.Time
 	for _, name := range []string{p.certFile, p.keyFile, p.caFile} {
 		if info, err := os.Stat(name); err == nil && info.ModTime().After(newest) {
@@ -63,22 +63,22 @@
 	return newest
 }
 
-// current returns what is on disk now. Files that cannot be read, as while
-// they are being replaced, leave the earlier ones in use.
+// current returns the certificates, reloaded at most once per checkInterval. If a file
+// cannot be read, such as while it is being replaced, the earlier ones stay in use.
 func (p *Pair) current() (*tls.Certificate, *x509.CertPool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if now.Sub(p.checked) > checkEvery {
-		p.checked = now
-		if p.changed().After(p.stamp) {
+	if now.Sub(p.lastCheck) > checkInterval {
+		p.lastCheck = now
+		if p.newestModTime().After(p.loadedModTime) {
 			_ = p.read()
 		}
 	}
 	return p.cert, p.pool
 }
 
-// Server returns the configuration of a listener that only lets peers in.
+// Server returns the configuration of a listener that requires a peer's certificate.
 func (p *Pair) Server() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		cert, pool := p.current()
@@ -89,7 +89,7 @@
 	}}
 }
 
-// Open returns the configuration of a listener that anybody may connect to.
+// Open returns the configuration of a listener that requires no client certificate.
 func (p *Pair) Open() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 		cert, _ := p.current()
@@ -98,13 +98,13 @@
 }
 
 // Client returns the configuration of a connection to host, an IP address or
-// name that the other side's certificate must hold.
+// name that the server's certificate must be valid for.
 func (p *Pair) Client(host string) *tls.Config {
 	cert, pool := p.current()
 	return &tls.Config{MinVersion: tls.VersionTLS13, ServerName: host, RootCAs: pool, Certificates: []tls.Certificate{*cert}}
 }
 
-// Loopback tells whether an address stays on this machine and may go without TLS.
+// Loopback reports whether an address is on this machine and needs no TLS.
 func Loopback(address string) bool {
 	a, err := netip.ParseAddrPort(address)
 	return err == nil && a.Addr().IsLoopback()
--- a/keypair/keypair_test.go
+++ b/keypair/keypair_test.go
@@ -29,7 +29,7 @@
 	return p
 }
 
-// handshake connects client to server and sends a byte each way.
+// handshake connects client to server and sends a byte from the client.
 func handshake(t *testing.T, server, client *tls.Config) error {
 	t.Helper()
 	l, err := tls.Listen("tcp", "127.0.0.1:0", server)
@@ -62,29 +62,29 @@
 }
 
 func TestTrust(t *testing.T) {
-	ours, others := t.TempDir(), t.TempDir()
-	a, b := issue(t, ours, "a", "127.0.0.1"), issue(t, ours, "b", "127.0.0.1")
-	elsewhere := issue(t, ours, "c", "10.9.9.9")
-	stranger := issue(t, others, "d", "127.0.0.1")
+	dir, otherDir := t.TempDir(), t.TempDir()
+	a, b := issue(t, dir, "a", "127.0.0.1"), issue(t, dir, "b", "127.0.0.1")
+	otherIP := issue(t, dir, "c", "10.9.9.9")
+	untrusted := issue(t, otherDir, "d", "127.0.0.1")
 	tests := []struct {
 		name           string
 		server, client *keypair.Pair
 		ok             bool
 	}{
 		{"peers", a, b, true},
-		{"a client of another authority", a, stranger, false},
-		{"a server of another authority", stranger, a, false},
-		{"a server at an address that is not its own", elsewhere, a, false},
+		{"a client of another authority", a, untrusted, false},
+		{"a server of another authority", untrusted, a, false},
+		{"a server at an address that is not its own", otherIP, a, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if err := handshake(t, tt.server.Server(), tt.client.Client("127.0.0.1")); (err == nil) != tt.ok {
-				t.Fatalf("got %v", err)
+				t.Fatalf("unexpected result of the handshake: got %v", err)
 			}
 		})
 	}
 	if err := handshake(t, a.Server(), &tls.Config{InsecureSkipVerify: true}); err == nil {
-		t.Fatal("a client without a certificate was let in")
+		t.Fatal("a client without a certificate was accepted")
 	}
 }
 
--- a/peerhttp/answer.go
+++ b/peerhttp/answer.go
@@ -10,7 +10,7 @@
 	"wheelgauge"
 )
 
-// Answer writes v as JSON.
+// Answer responds with v as JSON.
 func Answer(ctx *fasthttp.RequestCtx, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -21,20 +21,20 @@
 	ctx.SetBody(body)
 }
 
-// AnswerError writes err as a typed error answer with Retry-After in whole
+// AnswerError responds with err as a wheelgauge.Error in JSON, with Retry-After in whole
 // seconds, rounded up.
 func AnswerError(ctx *fasthttp.RequestCtx, err error) {
-	fault := wheelgauge.AsError(err)
-	body, encodeErr := json.Marshal(fault)
+	apiErr := wheelgauge.AsError(err)
+	body, encodeErr := json.Marshal(apiErr)
 	if encodeErr != nil {
 		body = []byte(`{"reason":"internal","outcome":"unknown","status":500}`)
 	}
 	ctx.Response.ResetBody()
-	ctx.SetStatusCode(fault.Status())
+	ctx.SetStatusCode(apiErr.Status())
 	ctx.SetContentType("application/json")
-	ctx.Response.Header.Set(wheelgauge.HeaderOutcome, string(fault.Outcome()))
-	if wait := fault.RetryAfter(); wait > 0 {
-		seconds := int64((wait + time.Second - 1) / time.Second)
+	ctx.Response.Header.Set(wheelgauge.HeaderOutcome, string(apiErr.Outcome()))
+	if retryAfter := apiErr.RetryAfter(); retryAfter > 0 {
+		seconds := int64((retryAfter + time.Second - 1) / time.Second)
 		ctx.Response.Header.Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
 	ctx.SetBody(body)
@@ -44,12 +44,12 @@
 func Decode[T any](ctx *fasthttp.RequestCtx) (T, error) {
 	var v T
 	if err := json.Unmarshal(ctx.PostBody(), &v); err != nil {
-		return v, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, fasthttp.StatusBadRequest, "body is not the JSON expected: "+err.Error())
+		return v, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, fasthttp.StatusBadRequest, "body is not the expected JSON: "+err.Error())
 	}
 	return v, nil
 }
 
-// Serve decodes a call, runs it, and writes its answer or its error.
+// Serve decodes a request, calls run, and responds with its result or its error.
 func Serve[In, Out any](ctx *fasthttp.RequestCtx, run func(In) (Out, error)) {
 	in, err := Decode[In](ctx)
 	if err != nil {
@@ -64,12 +64,12 @@
 	Answer(ctx, out)
 }
 
-// Infallible makes a call of a function that has no error.
+// Infallible adapts a function without an error for Serve.
 func Infallible[In, Out any](f func(In) Out) func(In) (Out, error) {
 	return func(in In) (Out, error) { return f(in), nil }
 }
 
-// NotFound answers a path that does not exist.
+// NotFound responds to a path that does not exist.
 func NotFound(ctx *fasthttp.RequestCtx) {
 	AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, fasthttp.StatusNotFound, "no such path: "+string(ctx.Path())))
 }
--- a/peerhttp/answer_test.go
+++ b/peerhttp/answer_test.go
@@ -32,7 +32,7 @@
 		ctx.Request.SetBodyString(tt.body)
 		Serve(&ctx, length)
 		if got := string(ctx.Response.Body()); ctx.Response.StatusCode() != tt.status || !strings.Contains(got, tt.answer) {
-			t.Errorf("%s: %d %s, want %d with %s", tt.name, ctx.Response.StatusCode(), got, tt.status, tt.answer)
+			t.Errorf("%s: got %d %s, want %d with %s", tt.name, ctx.Response.StatusCode(), got, tt.status, tt.answer)
 		}
 	}
 }
--- a/peerhttp/client.go
+++ b/peerhttp/client.go
@@ -1,4 +1,4 @@
-// Package peerhttp carries HTTP with JSON between the system's own processes.
+// Package peerhttp makes and serves JSON calls over HTTP between the system's own processes.
 package peerhttp
 
 import (
@@ -17,20 +17,20 @@
 )
 
 const (
-	defaultTimeout = 5 * time.Second
-	dialTimeout    = 2 * time.Second
-	idleLimit      = 20 * time.Second
-	maxConns       = 512
-	maxAnswerBytes = 256 << 20
+	defaultTimeout   = 5 * time.Second
+	dialTimeout      = 2 * time.Second
+	maxIdleTime      = 20 * time.Second
+	maxConns         = 512
+	maxResponseBytes = 256 << 20
 )
 
-// dialError marks a connection that never was: nothing can have been sent.
+// dialError marks a failed connect: no byte of a request was sent.
 type dialError struct{ err error }
 
 func (e *dialError) Error() string { return "connect: " + e.err.Error() }
 func (e *dialError) Unwrap() error { return e.err }
 
-// NotSent tells whether err proves that no byte left for the other side.
+// NotSent reports whether err proves that no byte of the request was sent.
 func NotSent(err error) bool {
 	if _, ok := errors.AsType[*dialError](err); ok {
 		return true
@@ -38,20 +38,20 @@
 	return errors.Is(err, fasthttp.ErrNoFreeConns)
 }
 
-// Secure gives the TLS configuration of a connection to host. It is asked at
-// each connection, so that rotated keys are taken in.
+// Secure returns the TLS configuration of a connection to host. It is called for
+// each connection, so that rotated keys take effect.
 type Secure func(host string) *tls.Config
 
-// Dialer connects by TCP, and by TLS where it has a Secure. Its errors satisfy
-// NotSent: no byte of a request leaves before the handshake is done.
+// Dialer connects by TCP, with TLS if it has a Secure. Its errors satisfy
+// NotSent: no byte of a request is sent before the handshake is done.
 type Dialer struct {
 	net    net.Dialer
 	secure Secure
 	wrap   func(net.Conn) net.Conn
 }
 
-// NewDialer returns a dialer that connects from the IP address source; the
-// system chooses when it is empty or not an address. secure may be nil.
+// NewDialer returns a dialer that connects from the IP address source. If source is
+// empty or not an IP address, the operating system chooses. secure may be nil.
 func NewDialer(source string, secure Secure) *Dialer {
 	d := &Dialer{net: net.Dialer{Timeout: dialTimeout}, secure: secure}
 	if ip := net.ParseIP(source); ip != nil {
@@ -60,19 +60,19 @@
 	return d
 }
 
-// Wrap lets each new connection pass through f, such as to count its bytes.
+// Wrap sets a function that wraps each new connection, for example to count its bytes.
 func (d *Dialer) Wrap(f func(net.Conn) net.Conn) *Dialer {
 	d.wrap = f
 	return d
 }
 
-// Dial connects to an address.
+// Dial connects to an address within dialTimeout.
 func (d *Dialer) Dial(address string) (net.Conn, error) {
 	return d.DialTimeout(address, dialTimeout)
 }
 
-// DialTimeout connects to an address within a time, which is bounded. A call
-// with a shorter deadline must not wait for a host that is dark.
+// DialTimeout connects to an address within timeout, at most dialTimeout. A call
+// with a shorter deadline must not wait longer for an unreachable host.
 func (d *Dialer) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	n := d.net
 	if timeout > 0 {
@@ -105,26 +105,26 @@
 	return t, nil
 }
 
-// Client calls other processes. It never repeats a call by itself.
+// Client calls other processes. It never retries a call by itself.
 type Client struct {
-	http  *fasthttp.Client
-	fresh *fasthttp.Client
-	token string
-	// watch is told of each call; nil for nobody.
-	watch func(path string, sent, received int)
+	http     *fasthttp.Client
+	uncached *fasthttp.Client
+	token    string
+	// onCall is called after each call; may be nil.
+	onCall func(path string, sent, received int)
 }
 
-// Watch tells f of the path and the bytes of both bodies of each call, those that
-// failed included. It is set before the first call.
-func (c *Client) Watch(f func(path string, sent, received int)) { c.watch = f }
+// Watch sets a function that gets the path and the body sizes in bytes of each call,
+// including failed ones. It must be set before the first call.
+func (c *Client) Watch(f func(path string, sent, received int)) { c.onCall = f }
 
-// NewClient returns a client that connects by dialer, or in the clear when that
-// is nil, and sends token unless it is empty.
+// NewClient returns a client that connects by dialer, or without TLS if dialer is
+// nil, and sends token as a bearer token unless it is empty.
 func NewClient(dialer *Dialer, token string) *Client {
 	if dialer == nil {
 		dialer = NewDialer("", nil)
 	}
-	return &Client{token: token, http: newHTTP(dialer), fresh: newHTTP(dialer)}
+	return &Client{token: token, http: newHTTP(dialer), uncached: newHTTP(dialer)}
 }
 
 func newHTTP(dialer *Dialer) *fasthttp.Client {
@@ -133,33 +133,33 @@
 		RetryIfErr:                NeverRetry,
 		MaxIdemponentCallAttempts: 1,
 		MaxConnsPerHost:           maxConns,
-		MaxIdleConnDuration:       idleLimit,
-		MaxResponseBodySize:       maxAnswerBytes,
+		MaxIdleConnDuration:       maxIdleTime,
+		MaxResponseBodySize:       maxResponseBytes,
 		NoDefaultUserAgentHeader:  true,
 	}
 }
 
-// NeverRetry switches off the retries of fasthttp's clients.
+// NeverRetry disables the retries of fasthttp's clients.
 func NeverRetry(*fasthttp.Request, int, error) (bool, bool) { return false, false }
 
-// Call sends in as JSON, unless it is nil, and decodes the answer into out,
-// unless that is nil; a *[]byte takes it as it is. An error answer is returned as *wheelgauge.Error.
-// The deadline of ctx bounds the call.
+// Call sends in as JSON unless it is nil, and decodes the response into out unless that
+// is nil; a *[]byte gets the raw body. An error response is returned as *wheelgauge.Error.
+// The deadline of ctx bounds the call, or defaultTimeout if ctx has none.
 func (c *Client) Call(ctx context.Context, method, address, path string, in, out any) error {
 	return c.call(ctx, c.http, method, address, path, in, out)
 }
 
-// CallFresh is Call on a connection of its own: it cannot fail because the
-// other side closed a connection that was kept.
+// CallFresh is Call on a new connection: it cannot fail because the server closed
+// an idle connection.
 func (c *Client) CallFresh(ctx context.Context, method, address, path string, in, out any) error {
-	return c.call(ctx, c.fresh, method, address, path, in, out)
+	return c.call(ctx, c.uncached, method, address, path, in, out)
 }
 
-func (c *Client) call(ctx context.Context, by *fasthttp.Client, method, address, path string, in, out any) error {
+func (c *Client) call(ctx context.Context, h *fasthttp.Client, method, address, path string, in, out any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI("http://" + address + path) // TLS is the dialer's part
+	req.SetRequestURI("http://" + address + path) // the dialer adds TLS
 	req.Header.SetMethod(method)
 	if c.token != "" {
 		req.Header.Set("Authorization", "Bearer "+c.token)
@@ -172,16 +172,16 @@
 		req.Header.SetContentType("application/json")
 		req.SetBodyRaw(body)
 	}
-	if by == c.fresh {
+	if h == c.uncached {
 		req.SetConnectionClose()
 	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(defaultTimeout)
 	}
-	err := by.DoDeadline(req, resp, deadline)
-	if c.watch != nil {
-		c.watch(path, len(req.Body()), len(resp.Body()))
+	err := h.DoDeadline(req, resp, deadline)
+	if c.onCall != nil {
+		c.onCall(path, len(req.Body()), len(resp.Body()))
 	}
 	if err != nil {
 		return fmt.Errorf("call %s%s: %w", address, path, err)
@@ -192,11 +192,11 @@
 func decode(path string, resp *fasthttp.Response, out any) error {
 	status := resp.StatusCode()
 	if status >= fasthttp.StatusBadRequest {
-		fault := new(wheelgauge.Error)
-		if err := json.Unmarshal(resp.Body(), fault); err != nil || fault.Status() == 0 {
+		apiErr := new(wheelgauge.Error)
+		if err := json.Unmarshal(resp.Body(), apiErr); err != nil || apiErr.Status() == 0 {
 			return wheelgauge.NewError(wheelgauge.ReasonInternal, wheelgauge.OutcomeUnknown, status, string(resp.Body()))
 		}
-		return fault
+		return apiErr
 	}
 	switch raw := out.(type) {
 	case nil:
@@ -206,10 +206,10 @@
 		return nil
 	}
 	if err := json.Unmarshal(resp.Body(), out); err != nil {
-		return fmt.Errorf("decode answer of %s: %w", path, err)
+		return fmt.Errorf("decode response of %s: %w", path, err)
 	}
 	return nil
 }
 
-// CloseIdle closes connections that carry nothing.
+// CloseIdle closes idle connections.
 func (c *Client) CloseIdle() { c.http.CloseIdleConnections() }
--- a/peerhttp/client_test.go
+++ b/peerhttp/client_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// full is a listener whose queue of new connections is full: another
-// connection is neither taken nor refused, as of a host that is dark.
-func full(t *testing.T) string {
+// listenFullBacklog returns the address of a listener with a full accept queue: further
+// connections are neither accepted nor refused, as with an unreachable host.
+func listenFullBacklog(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -42,30 +42,30 @@
 	return address
 }
 
-// A call's deadline bounds its connect as well. fasthttp hands deadlines to
-// DialTimeout only; with Dial the call took the dialer's own two seconds.
-func TestDialKeepsDeadline(t *testing.T) {
-	address := full(t)
+// A call's deadline also bounds its connect. fasthttp passes deadlines only to
+// DialTimeout; with Dial the connect would take the dialer's own two seconds.
+func TestDialObservesDeadline(t *testing.T) {
+	address := listenFullBacklog(t)
 	d := NewDialer("", nil)
-	var asked time.Duration
+	var got time.Duration
 	c := newHTTP(d)
 	dial := c.DialTimeout
 	if dial == nil {
-		t.Fatal("the client dials without a timeout")
+		t.Fatal("DialTimeout is not set: the client dials without the deadline")
 	}
 	c.DialTimeout = func(addr string, timeout time.Duration) (net.Conn, error) {
-		asked = timeout
+		got = timeout
 		return dial(addr, timeout)
 	}
-	client := &Client{http: c, fresh: c}
+	client := &Client{http: c, uncached: c}
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	err := client.Call(ctx, http.MethodGet, address, "/", nil, nil)
 	if err == nil {
-		t.Fatal("a call to a dark host was answered")
+		t.Fatal("a call to an unreachable host succeeded")
 	}
-	if asked <= 0 || asked > 200*time.Millisecond {
-		t.Errorf("the connect was given %s of 200 ms", asked)
+	if got <= 0 || got > 200*time.Millisecond {
+		t.Errorf("dial timeout %s, want at most the 200 ms of the call", got)
 	}
 	if timeout, ok := errors.AsType[net.Error](err); !ok || !timeout.Timeout() {
 		t.Errorf("got %v, want a timeout", err)
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -1,6 +1,6 @@
-// Package relay passes an event stream on with bounded memory. It hands on
-// whole events only, so that a stream that breaks can be resumed after the last
-// one, and ends a stream that cannot be resumed as broken, never as complete.
+// Package relay forwards an event stream with bounded memory. It forwards only
+// complete events, so that a broken stream can be resumed after the last one.
+// A stream that cannot be resumed ends as broken, never as complete.
 package relay
 
 import (
@@ -16,11 +16,11 @@
 )
 
 const (
-	waitingEvents  = 16
-	readBytes      = 4 << 10
-	maxEvent       = 1 << 20
-	keepAliveEvery = time.Second
-	mostResumes    = 2
+	eventBufferSize   = 16
+	readBufferBytes   = 4 << 10
+	maxEventBytes     = 1 << 20
+	keepAliveInterval = time.Second
+	maxResumes        = 2
 )
 
 var (
@@ -30,127 +30,127 @@
 	doneEvent  = []byte("data: [DONE]")
 
 	errEventTooLong = errors.New("relay: event too long")
-	errNotComplete  = errors.New("relay: stream ended before its last event")
+	errIncomplete   = errors.New("relay: stream ended before its [DONE] event")
 )
 
-// Resume asks for the rest of a stream after skip tokens.
+// Resume requests the rest of a stream after skip tokens.
 type Resume func(ctx context.Context, skip int) (*wheelgauge.Answer, error)
 
-// Ending is how a stream ended.
+// Ending is the outcome of a stream.
 type Ending struct {
 	Tokens   int
 	Complete bool
-	// Left is true when the caller went away.
+	// Left is true if the caller disconnected.
 	Left    bool
 	Resumes int
 	// FirstAfter is the time from the start of the request to the first token.
 	FirstAfter time.Duration
 }
 
-// Stream is the body of an answer to a caller. Read and Close follow io.
+// Stream is the body of a response to a caller. It implements io.ReadCloser.
 type Stream struct {
-	ctx     context.Context
-	cancel  context.CancelFunc
-	resume  Resume
-	dead    func() bool
-	onEnd   func(Ending)
-	started time.Time
+	ctx        context.Context
+	cancel     context.CancelFunc
+	resume     Resume
+	serverDead func() bool
+	onEnd      func(Ending)
+	started    time.Time
 
-	events chan []byte
-	done   chan error
-	rest   []byte
-	failed bool
+	events    chan []byte
+	done      chan error
+	unread    []byte
+	errorSent bool
 
-	mu      sync.Mutex
-	answer  *wheelgauge.Answer
-	closed  bool
-	ending  Ending
-	closing sync.Once
-	timer   *time.Timer
+	mu         sync.Mutex
+	answer     *wheelgauge.Answer
+	bodyClosed bool
+	ending     Ending
+	closing    sync.Once
+	timer      *time.Timer
 }
 
 // Options of a Stream.
 type Options struct {
 	// Started is the start of the request, for the time to the first token.
 	Started time.Time
-	// Resume may be nil: the stream is then never resumed.
+	// Resume may be nil; the stream is then never resumed.
 	Resume Resume
-	// Dead tells, while the backend server is silent, that it is known to be
-	// gone; may be nil.
+	// Dead reports whether the backend server is known to be dead. It is called
+	// while the server is silent; may be nil.
 	Dead func() bool
 	// OnEnd is called once, from Close.
 	OnEnd func(Ending)
 }
 
-// New relays answer.
+// New starts to relay the body of answer.
 func New(ctx context.Context, answer *wheelgauge.Answer, o Options) *Stream {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &Stream{
-		ctx: ctx, cancel: cancel, resume: o.Resume, dead: o.Dead, onEnd: o.OnEnd, started: o.Started, answer: answer,
-		events: make(chan []byte, waitingEvents), done: make(chan error, 1), timer: time.NewTimer(keepAliveEvery),
+		ctx: ctx, cancel: cancel, resume: o.Resume, serverDead: o.Dead, onEnd: o.OnEnd, started: o.Started, answer: answer,
+		events: make(chan []byte, eventBufferSize), done: make(chan error, 1), timer: time.NewTimer(keepAliveInterval),
 	}
 	go func() { s.done <- s.pump() }()
 	return s
 }
 
-// Read implements io.Reader. It returns a comment now and then while the
-// backend server is silent, so that a caller who left is noticed.
+// Read implements io.Reader. While the backend server is silent, it returns a
+// comment at intervals, so that a disconnected caller is detected.
 func (s *Stream) Read(p []byte) (int, error) {
-	if len(s.rest) == 0 {
+	if len(s.unread) == 0 {
 		if err := s.next(); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(p, s.rest)
-	s.rest = s.rest[n:]
+	n := copy(p, s.unread)
+	s.unread = s.unread[n:]
 	return n, nil
 }
 
 func (s *Stream) next() error {
-	s.timer.Reset(keepAliveEvery)
+	s.timer.Reset(keepAliveInterval)
 	select {
 	case event, ok := <-s.events:
 		if ok {
-			s.rest = event
+			s.unread = event
 			return nil
 		}
-		return s.last()
+		return s.finish()
 	case <-s.timer.C:
-		s.rest = keepAlive
-		if s.resume != nil && s.dead != nil && s.dead() {
+		s.unread = keepAlive
+		if s.resume != nil && s.serverDead != nil && s.serverDead() {
 			s.abort()
 		}
 		return nil
 	}
 }
 
-// last ends a complete stream, or tells once that it is broken and then fails,
-// which cuts the caller's connection.
-func (s *Stream) last() error {
+// finish ends a complete stream. For a broken one it first returns an error event,
+// and then fails, which cuts the caller's connection.
+func (s *Stream) finish() error {
 	if s.Ending().Complete {
 		return io.EOF
 	}
-	if s.failed {
+	if s.errorSent {
 		return io.ErrUnexpectedEOF
 	}
-	s.failed = true
-	fault := wheelgauge.NewError(wheelgauge.ReasonBrokenStream, wheelgauge.OutcomeRan, 502, "the stream broke and could not be resumed")
-	body, err := json.Marshal(fault)
+	s.errorSent = true
+	streamErr := wheelgauge.NewError(wheelgauge.ReasonBrokenStream, wheelgauge.OutcomeRan, 502, "the stream broke and could not be resumed")
+	body, err := json.Marshal(streamErr)
 	if err != nil {
 		return io.ErrUnexpectedEOF
 	}
-	s.rest = append(append([]byte("event: error\ndata: "), body...), separator...)
+	s.unread = append(append([]byte("event: error\ndata: "), body...), separator...)
 	return nil
 }
 
-// Ending returns how far the stream has come.
+// Ending returns the progress so far, and the outcome once the stream has ended.
 func (s *Stream) Ending() Ending {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ending
 }
 
-// Close ends the relay and waits for it.
+// Close stops the relay, waits for it and calls OnEnd.
 func (s *Stream) Close() error {
 	s.closing.Do(func() {
 		s.cancel()
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// pump reads the backend server's stream until it is complete or lost.
+// pump reads the backend server's stream until it is complete or cannot be resumed.
 func (s *Stream) pump() error {
 	defer close(s.events)
 	for {
@@ -179,33 +179,33 @@
 		if s.ctx.Err() != nil {
 			return s.ctx.Err()
 		}
-		if !s.again() {
+		if !s.tryResume() {
 			return err
 		}
 	}
 }
 
-// abort ends a read of the answer that is under way.
+// abort interrupts a read of the response.
 func (s *Stream) abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.closed {
+	if !s.bodyClosed {
 		s.answer.Abort()
 	}
 }
 
-// closeBody gives the connection back, from which time it must not be aborted.
+// closeBody returns the connection to its pool, after which it must not be aborted.
 func (s *Stream) closeBody() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.answer.Body.Close() // its reads have told all there is to tell
-	s.closed = true
+	_ = s.answer.Body.Close() // its reads have returned any error
+	s.bodyClosed = true
 }
 
-// again replaces a broken answer by one that goes on after the last token.
-func (s *Stream) again() bool {
+// tryResume replaces a broken response by one that continues after the last token.
+func (s *Stream) tryResume() bool {
 	e := s.Ending()
-	if s.resume == nil || e.Resumes >= mostResumes {
+	if s.resume == nil || e.Resumes >= maxResumes {
 		return false
 	}
 	answer, err := s.resume(s.ctx, e.Tokens)
@@ -214,32 +214,32 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answer, s.closed = answer, false
+	s.answer, s.bodyClosed = answer, false
 	s.ending.Resumes++
 	return true
 }
 
-// copyEvents hands on whole events. It returns nil after the last one.
+// copyEvents forwards complete events. It returns nil after the [DONE] event.
 func (s *Stream) copyEvents(body io.Reader) error {
 	var pending []byte
-	buf := make([]byte, readBytes)
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, err := body.Read(buf)
 		pending = append(pending, buf[:n]...)
-		rest, complete, sendErr := s.sendWhole(pending)
-		if complete {
-			// Reading to the end lets the connection be used again.
-			_, _ = io.CopyN(io.Discard, body, readBytes)
+		rest, done, sendErr := s.sendComplete(pending)
+		if done {
+			// Reading to the end lets the connection be reused.
+			_, _ = io.CopyN(io.Discard, body, readBufferBytes)
 		}
-		if complete || sendErr != nil {
+		if done || sendErr != nil {
 			return sendErr
 		}
 		pending = append(pending[:0], rest...)
-		if len(pending) > maxEvent {
+		if len(pending) > maxEventBytes {
 			return errEventTooLong
 		}
 		if err == io.EOF {
-			return errNotComplete
+			return errIncomplete
 		}
 		if err != nil {
 			return err
@@ -247,27 +247,27 @@
 	}
 }
 
-func (s *Stream) sendWhole(pending []byte) (rest []byte, complete bool, err error) {
+func (s *Stream) sendComplete(pending []byte) (rest []byte, done bool, err error) {
 	end := bytes.LastIndex(pending, separator)
 	if end < 0 {
 		return pending, false, nil
 	}
 	end += len(separator)
-	whole := bytes.Clone(pending[:end])
-	complete = s.count(whole)
+	complete := bytes.Clone(pending[:end])
+	done = s.countTokens(complete)
 	select {
-	case s.events <- whole:
-		return pending[end:], complete, nil
+	case s.events <- complete:
+		return pending[end:], done, nil
 	case <-s.ctx.Done():
 		return nil, false, s.ctx.Err()
 	}
 }
 
-// count counts the tokens among whole events and tells whether the last came.
-func (s *Stream) count(whole []byte) bool {
+// countTokens counts the tokens in complete events and reports whether [DONE] is among them.
+func (s *Stream) countTokens(events []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for event := range bytes.SplitSeq(whole, separator) {
+	for event := range bytes.SplitSeq(events, separator) {
 		switch {
 		case bytes.HasPrefix(event, doneEvent):
 			s.ending.Complete = true
--- a/relay/stream_test.go
+++ b/relay/stream_test.go
@@ -23,9 +23,9 @@
 	return out
 }
 
-const last = "data: [DONE]\n\n"
+const doneText = "data: [DONE]\n\n"
 
-// scripted is a body of pieces; it ends with err, or blocks until aborted when
+// scripted is a body that returns pieces and then err, or blocks until aborted if
 // err is nil.
 type scripted struct {
 	mu     sync.Mutex
@@ -64,7 +64,7 @@
 var errCut = errors.New("cut")
 
 func TestStream(t *testing.T) {
-	whole := events(0, 4) + last
+	whole := events(0, 4) + doneText
 	tests := []struct {
 		name    string
 		first   *wheelgauge.Answer
@@ -75,8 +75,8 @@
 	}{
 		{"whole", answer(io.EOF, whole), nil, whole, nil, 0},
 		{"in odd pieces", answer(io.EOF, whole[:7], whole[7:20], whole[20:21], whole[21:]), nil, whole, nil, 0},
-		{"resumed after the last whole event", answer(errCut, events(0, 2)+"data: {\"t\""), []*wheelgauge.Answer{answer(io.EOF, events(2, 4)+last)}, whole, nil, 1},
-		{"ended early without its last event", answer(io.EOF, events(0, 2)), []*wheelgauge.Answer{answer(io.EOF, events(2, 4)+last)}, whole, nil, 1},
+		{"resumed after the last whole event", answer(errCut, events(0, 2)+"data: {\"t\""), []*wheelgauge.Answer{answer(io.EOF, events(2, 4)+doneText)}, whole, nil, 1},
+		{"ended early without its last event", answer(io.EOF, events(0, 2)), []*wheelgauge.Answer{answer(io.EOF, events(2, 4)+doneText)}, whole, nil, 1},
 		{"broken for good", answer(errCut, events(0, 2)), nil, events(0, 2) + "event: error\n", io.ErrUnexpectedEOF, 0},
 		{"resumed twice, then broken", answer(errCut, event(0)), []*wheelgauge.Answer{answer(errCut, event(1)), answer(errCut, event(2))}, events(0, 3) + "event: error\n", io.ErrUnexpectedEOF, 2},
 	}
@@ -90,7 +90,7 @@
 				next := tt.rest[0]
 				tt.rest = tt.rest[1:]
 				if want := strings.Count(events(0, skip), "data"); want != skip {
-					t.Errorf("skip is %d", skip)
+					t.Errorf("resumed after %d tokens, more than there are", skip)
 				}
 				return next, nil
 			}
@@ -100,20 +100,20 @@
 				t.Fatal(err)
 			}
 			if !errors.Is(err, tt.err) || !strings.HasPrefix(string(got), tt.want) {
-				t.Fatalf("got %q, %v", got, err)
+				t.Fatalf("unexpected stream or error: got %q, %v", got, err)
 			}
 			if tt.err != nil && strings.Contains(string(got), "[DONE]") {
-				t.Fatal("a broken stream was ended as complete")
+				t.Fatal("a broken stream ended as complete")
 			}
 			if ending.Complete != (tt.err == nil) || ending.Resumes != tt.resumes {
-				t.Fatalf("ending %+v", ending)
+				t.Fatalf("unexpected ending: got %+v", ending)
 			}
 		})
 	}
 }
 
-// TestLeavingCaller closes a stream whose backend server is silent.
-func TestLeavingCaller(t *testing.T) {
+// TestCallerLeaves closes a stream while its backend server is silent.
+func TestCallerLeaves(t *testing.T) {
 	var ending Ending
 	s := New(context.Background(), answer(nil, event(0)), Options{OnEnd: func(e Ending) { ending = e }})
 	buf := make([]byte, 100)
@@ -121,23 +121,23 @@
 		t.Fatalf("got %q, %v", buf[:n], err)
 	}
 	if n, err := s.Read(buf); err != nil || !strings.HasPrefix(string(buf[:n]), ":") {
-		t.Fatalf("no comment while the server is silent: %q, %v", buf[:n], err)
+		t.Fatalf("got %q, %v, want a comment while the server is silent", buf[:n], err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if !ending.Left || ending.Complete {
-		t.Fatalf("ending %+v", ending)
+		t.Fatalf("got ending %+v, want Left and not Complete", ending)
 	}
 }
 
-// TestDeadServer resumes elsewhere when the server is known to be gone though
-// its connection stands.
+// TestDeadServer resumes at another server when the first is known to be dead although
+// its connection is still open.
 func TestDeadServer(t *testing.T) {
-	resume := func(context.Context, int) (*wheelgauge.Answer, error) { return answer(io.EOF, event(1)+last), nil }
+	resume := func(context.Context, int) (*wheelgauge.Answer, error) { return answer(io.EOF, event(1)+doneText), nil }
 	s := New(context.Background(), answer(nil, event(0)), Options{Resume: resume, Dead: func() bool { return true }, OnEnd: func(Ending) {}})
 	got, err := io.ReadAll(s)
-	if err != nil || strings.ReplaceAll(string(got), string(keepAlive), "") != events(0, 2)+last {
+	if err != nil || strings.ReplaceAll(string(got), string(keepAlive), "") != events(0, 2)+doneText {
 		t.Fatalf("got %q, %v", got, err)
 	}
 	if err := s.Close(); err != nil {
--- a/serverconn/body.go
+++ b/serverconn/body.go
@@ -10,14 +10,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Body is the body of an answer. Read returns io.EOF only when the answer is
-// complete.
+// Body is the body of a response. Read returns io.EOF only when the response
+// is complete.
 type Body struct {
-	conn   *Conn
-	length int
-	left   int
-	chunks io.Reader
-	done   bool
+	conn      *Conn
+	length    int
+	remaining int
+	chunks    io.Reader
+	done      bool
 }
 
 func newBody(c *Conn, h *fasthttp.ResponseHeader, isHead bool) *Body {
@@ -33,15 +33,15 @@
 	case -1:
 		b.chunks = httputil.NewChunkedReader(c.in)
 	case -2:
-		c.reusable = false // it ends with the connection
+		c.reusable = false // the body ends when the connection closes
 	default:
-		b.left = b.length
-		b.done = b.left == 0
+		b.remaining = b.length
+		b.done = b.remaining == 0
 	}
 	return b
 }
 
-// Length returns the announced length, less than 0 when there is none.
+// Length returns the Content-Length, negative when there is none.
 func (b *Body) Length() int { return b.length }
 
 // Read implements io.Reader.
@@ -53,13 +53,13 @@
 	case -1:
 		return b.readChunk(p)
 	case -2:
-		return b.readOpen(p)
+		return b.readUntilClose(p)
 	}
-	n, err := b.conn.in.Read(p[:min(len(p), b.left)])
-	b.left -= n
-	b.done = b.left == 0
+	n, err := b.conn.in.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
+	b.done = b.remaining == 0
 	if err != nil && !b.done {
-		return n, b.broken(err)
+		return n, b.readError(err)
 	}
 	return n, nil
 }
@@ -70,9 +70,9 @@
 		return n, nil
 	}
 	if !errors.Is(err, io.EOF) {
-		return n, b.broken(err)
+		return n, b.readError(err)
 	}
-	// The empty line after the last chunk; trailers are not expected.
+	// The empty line after the last chunk. With trailers the connection is not reused.
 	var end [2]byte
 	if _, err := io.ReadFull(b.conn.in, end[:]); err != nil || string(end[:]) != "\r\n" {
 		b.conn.reusable = false
@@ -81,20 +81,21 @@
 	return n, io.EOF
 }
 
-// readOpen reads a body that ends with the connection: a reset is no end.
-func (b *Body) readOpen(p []byte) (int, error) {
+// readUntilClose reads a body that ends when the connection closes. A reset does
+// not complete it.
+func (b *Body) readUntilClose(p []byte) (int, error) {
 	n, err := b.conn.in.Read(p)
 	if err == nil {
 		return n, nil
 	}
 	if !errors.Is(err, io.EOF) {
-		return n, b.broken(err)
+		return n, b.readError(err)
 	}
 	b.done = true
 	return n, io.EOF
 }
 
-func (b *Body) broken(err error) error {
+func (b *Body) readError(err error) error {
 	b.conn.reusable = false
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
@@ -102,7 +103,7 @@
 	return fmt.Errorf("read body: %w", err)
 }
 
-// Discard reads the rest, so that the connection can be used again.
+// Discard reads the rest of the body, so that the connection can be reused.
 func (b *Body) Discard() error {
 	_, err := io.Copy(io.Discard, b)
 	return err
--- a/serverconn/conn.go
+++ b/serverconn/conn.go
@@ -1,7 +1,7 @@
-// Package serverconn keeps connections to backend servers and to gateways of
-// other regions, and carries one request at a time on each. A connection owns
-// its reader for its whole life, so that bytes after an answer are noticed and
-// the connection is not used again.
+// Package serverconn pools connections to backend servers and to gateways of
+// other regions, with one request at a time on each. A connection keeps one
+// buffered reader until it is closed, so that bytes after a response are detected
+// and the connection is not reused.
 package serverconn
 
 import (
@@ -23,31 +23,31 @@
 )
 
 const (
-	// readBuffer holds the largest head of an answer.
-	readBuffer = 8 << 10
-	// bodyInline is the largest request that is written before the answer is
-	// read: it fits the socket's buffer, so a server that answers early without
-	// reading it cannot block us.
-	bodyInline = 16 << 10
-	// keepAliveIdle, keepAliveEvery and keepAliveCount find a server that is
-	// silent because its host is gone, within about two seconds.
-	keepAliveIdle  = time.Second
-	keepAliveEvery = 500 * time.Millisecond
-	keepAliveCount = 3
-	// strayAnswers is how many answers to other requests are passed over.
-	strayAnswers = 2
+	// readBufferBytes bounds the head of a response.
+	readBufferBytes = 8 << 10
+	// maxInlineBytes is the largest request that is written before the response is
+	// read. It fits in the socket's send buffer, so the write does not block when a
+	// server responds early without reading the request.
+	maxInlineBytes = 16 << 10
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect a silent server
+	// whose machine is unreachable within about two seconds.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 3
+	// maxForeignResponses is how many responses to other requests are skipped.
+	maxForeignResponses = 2
 )
 
-var errStray = errors.New("the answer belongs to another request")
+var errForeignResponse = errors.New("received only responses to other requests")
 
-// Conn is one connection.
+// Conn is a connection that carries one request at a time.
 type Conn struct {
-	net     net.Conn
-	in      *bufio.Reader
-	idle    time.Time
-	life    time.Duration
-	written chan error
-	// reusable is cleared by whatever makes the next answer doubtful.
+	net         net.Conn
+	in          *bufio.Reader
+	idleSince   time.Time
+	idleTimeout time.Duration
+	written     chan error
+	// reusable is cleared when the next response might not match its request.
 	reusable bool
 	aborted  atomic.Bool
 }
@@ -55,69 +55,69 @@
 func dial(ctx context.Context, address string, l Link) (*Conn, error) {
 	d := net.Dialer{
 		Timeout:         l.Connect,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveCount},
-		Control:         boundUnacknowledged(l.Unacknowledged),
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
+		Control:         setUserTimeout(l.Unacknowledged),
 	}
 	c, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", address, err)
 	}
-	return &Conn{net: c, in: bufio.NewReaderSize(c, readBuffer), reusable: true}, nil
+	return &Conn{net: c, in: bufio.NewReaderSize(c, readBufferBytes), reusable: true}, nil
 }
 
-// boundUnacknowledged sets TCP_USER_TIMEOUT.
-func boundUnacknowledged(limit time.Duration) func(_, _ string, raw syscall.RawConn) error {
-	const tcpUserTimeout = 18 // linux/tcp.h; the syscall package does not name it
+// setUserTimeout returns a dialer control that sets TCP_USER_TIMEOUT.
+func setUserTimeout(timeout time.Duration) func(_, _ string, raw syscall.RawConn) error {
+	const tcpUserTimeout = 18 // from linux/tcp.h; package syscall does not define it
 	return func(_, _ string, raw syscall.RawConn) error {
 		var inner error
 		err := raw.Control(func(fd uintptr) {
-			inner = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(limit.Milliseconds()))
+			inner = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
 		})
 		return errors.Join(err, inner)
 	}
 }
 
-// rested tells whether an idle connection has rested no longer than it may.
-func (c *Conn) rested(now time.Time) bool { return now.Sub(c.idle) < c.life }
+// isFresh reports whether an idle connection is within its idle timeout.
+func (c *Conn) isFresh(now time.Time) bool { return now.Sub(c.idleSince) < c.idleTimeout }
 
-// clean tells whether nothing has come since the last answer.
-func (c *Conn) clean() bool {
+// isQuiet reports whether no byte, end or error has arrived since the last response.
+func (c *Conn) isQuiet() bool {
 	return c.in.Buffered() == 0 && !callerconn.Readable(c.net)
 }
 
-// Abort makes what is under way fail at once; safe from any goroutine.
+// Abort makes reads and writes in progress fail at once. It is safe for concurrent use.
 func (c *Conn) Abort() {
 	c.aborted.Store(true)
-	_ = c.net.Close() // its reader sees the error
+	_ = c.net.Close() // the reader gets the error
 }
 
-// Aborted tells whether Abort was called.
+// Aborted reports whether Abort was called.
 func (c *Conn) Aborted() bool { return c.aborted.Load() }
 
-// Send writes a request. A large one is written while the answer is read.
+// Send writes a request. A request above maxInlineBytes is written while the response is read.
 func (c *Conn) Send(head, body []byte, deadline time.Time) error {
 	if err := c.net.SetDeadline(deadline); err != nil {
 		return fmt.Errorf("send: %w", err)
 	}
-	all := append(head, body...)
-	if len(all) <= bodyInline {
-		if _, err := c.net.Write(all); err != nil {
+	request := append(head, body...)
+	if len(request) <= maxInlineBytes {
+		if _, err := c.net.Write(request); err != nil {
 			return fmt.Errorf("send: %w", err)
 		}
 		return nil
 	}
 	c.written = make(chan error, 1)
 	go func() {
-		_, err := c.net.Write(all)
+		_, err := c.net.Write(request)
 		c.written <- err
 	}()
 	return nil
 }
 
-// ReadHead reads the head of the answer to the request named id. requestID is
-// the header that carries it; answers to other requests are passed over.
+// ReadHead reads the head of the response to the request id. requestID is the
+// name of the header with the ID; responses to other requests are skipped.
 func (c *Conn) ReadHead(requestID, id string, isHead bool) (*fasthttp.ResponseHeader, *Body, error) {
-	for range strayAnswers {
+	for range maxForeignResponses {
 		h, err := c.readFinal()
 		if err != nil {
 			c.reusable = false
@@ -130,27 +130,27 @@
 		}
 		c.reusable = false
 		if err := b.Discard(); err != nil {
-			return nil, nil, fmt.Errorf("pass over an answer to %s: %w", echoed, err)
+			return nil, nil, fmt.Errorf("skip response to request %s: %w", echoed, err)
 		}
 	}
-	return nil, nil, errStray
+	return nil, nil, errForeignResponse
 }
 
-// readFinal reads a head, passing over informational ones.
+// readFinal reads the head of a final response and skips informational ones.
 func (c *Conn) readFinal() (*fasthttp.ResponseHeader, error) {
 	for {
 		head, err := answerhead.Peek(c.in)
 		if err != nil {
-			return nil, fmt.Errorf("read answer: %w", err)
+			return nil, fmt.Errorf("read response: %w", err)
 		}
 		if err := answerhead.Check(head); err != nil {
-			return nil, fmt.Errorf("read answer: %w", err)
+			return nil, fmt.Errorf("read response: %w", err)
 		}
 		h := &fasthttp.ResponseHeader{}
 		h.DisableNormalizing()
 		h.SetNoDefaultContentType(true)
 		if err := h.Read(c.in); err != nil {
-			return nil, fmt.Errorf("read answer: %w", err)
+			return nil, fmt.Errorf("read response: %w", err)
 		}
 		if status := h.StatusCode(); status >= http.StatusOK {
 			return h, nil
@@ -158,7 +158,7 @@
 	}
 }
 
-// sent tells whether the whole request has left.
+// sent reports whether the whole request was written.
 func (c *Conn) sent() bool {
 	if c.written == nil {
 		return true
--- a/serverconn/conn_test.go
+++ b/serverconn/conn_test.go
@@ -14,11 +14,11 @@
 	"wheelgauge/fake/fakeclock"
 )
 
-const testLimit = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// server answers the requests of each connection with the scripted bytes, one
-// script a request, and closes after the last.
-func server(t *testing.T, scripts ...string) *Pool {
+// startServer responds to the requests of each connection with the scripted bytes, one
+// script per request, and closes the connection after the last.
+func startServer(t *testing.T, scripts ...string) *Pool {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,7 +31,7 @@
 			if err != nil {
 				return
 			}
-			go play(c, scripts)
+			go serveScript(c, scripts)
 		}
 	}()
 	p := New(l.Addr().String(), 4, Near(time.Now))
@@ -41,7 +41,7 @@
 
 const reset = "RESET"
 
-func play(c net.Conn, scripts []string) {
+func serveScript(c net.Conn, scripts []string) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for _, s := range scripts {
@@ -50,22 +50,22 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
-		text, cut := strings.CutSuffix(s, reset)
+		text, doReset := strings.CutSuffix(s, reset)
 		_, _ = c.Write([]byte(text))
-		if tcp, ok := c.(*net.TCPConn); ok && cut {
+		if tcp, ok := c.(*net.TCPConn); ok && doReset {
 			_ = tcp.SetLinger(0)
 			return
 		}
 	}
 }
 
-func ask(t *testing.T, p *Pool, id string) (string, error) {
+func roundTrip(t *testing.T, p *Pool, id string) (string, error) {
 	t.Helper()
 	c, err := p.Get(context.Background())
 	if err != nil {
 		return "", err
 	}
-	if err := c.Send([]byte("GET / HTTP/1.1\r\nHost: h\r\nId: "+id+"\r\n\r\n"), nil, time.Now().Add(testLimit)); err != nil {
+	if err := c.Send([]byte("GET / HTTP/1.1\r\nHost: h\r\nId: "+id+"\r\n\r\n"), nil, time.Now().Add(testTimeout)); err != nil {
 		p.Put(c, nil, nil)
 		return "", err
 	}
@@ -79,14 +79,14 @@
 	return string(body), err
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nhi"
 	tests := []struct {
 		name    string
 		script  string
 		body    string
 		bad     bool
-		dialled int // connections after a second request
+		dialled int // connections opened after two requests
 	}{
 		{"length", good, "hi", false, 1},
 		{"chunked", "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", "hi", false, 1},
@@ -103,14 +103,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := server(t, tt.script, good)
-			body, err := ask(t, p, "1")
+			p := startServer(t, tt.script, good)
+			body, err := roundTrip(t, p, "1")
 			if (err != nil) != tt.bad || !tt.bad && body != tt.body {
-				t.Errorf("got %q, %v, want %q, an error: %v", body, err, tt.body, tt.bad)
+				t.Errorf("got body %q, error %v, want %q, an error: %v", body, err, tt.body, tt.bad)
 			}
-			// The second answer must be its own, whatever the first left behind.
-			if body, err := ask(t, p, "1"); err == nil && tt.dialled == 1 && body != "hi" {
-				t.Errorf("second answer %q", body)
+			// The second request must get its own response even if bytes of the first are left.
+			if body, err := roundTrip(t, p, "1"); err == nil && tt.dialled == 1 && body != "hi" {
+				t.Errorf("second request: got body %q, want its own response", body)
 			}
 			if p.Dialed() != tt.dialled {
 				t.Errorf("dialled %d connections, want %d", p.Dialed(), tt.dialled)
@@ -120,42 +120,43 @@
 }
 
 func TestOpenBodyEndsWithConnection(t *testing.T) {
-	p := server(t, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nhi")
-	if body, err := ask(t, p, "1"); err != nil || body != "hi" {
-		t.Errorf("got %q, %v", body, err)
+	p := startServer(t, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nhi")
+	if body, err := roundTrip(t, p, "1"); err != nil || body != "hi" {
+		t.Errorf("got body %q, error %v, want the whole body", body, err)
 	}
 }
 
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	p := server(t, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nhi")
+	p := startServer(t, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nhi")
 	for range 3 {
-		if body, err := ask(t, p, "1"); err != nil || body != "hi" {
-			t.Fatalf("got %q, %v", body, err)
+		if body, err := roundTrip(t, p, "1"); err != nil || body != "hi" {
+			t.Fatalf("got body %q, error %v, want a response", body, err)
 		}
-		waitFor(t, func() bool { return idleEnded(p) })
+		waitFor(t, func() bool { return idleConnClosed(p) })
 	}
 	if p.Dialed() != 3 {
-		t.Errorf("dialled %d, want a new connection each time", p.Dialed())
+		t.Errorf("dialled %d connections, want a new one for each request", p.Dialed())
 	}
 }
 
-// A connection that rested while the machine was suspended is not used: the server may have
-// closed it, and what may not be repeated would be lost with it. By the steady clock it was.
-func TestRestedWhileSuspended(t *testing.T) {
+// A connection that was idle while the machine was suspended is not reused: the server may
+// have closed it, and a request that must not be repeated would be lost. The monotonic clock
+// stops during suspension, so that by it the connection still looks fresh.
+func TestIdleWhileSuspended(t *testing.T) {
 	answer := "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nhi"
 	tests := []struct {
 		name      string
 		suspended time.Duration
 		dialled   int
-	}{{"not suspended", 0, 1}, {"for less than it may rest", idleNear / 4, 1}, {"for longer", idleNear, 2}}
+	}{{"not suspended", 0, 1}, {"for less than it may rest", nearIdleTimeout / 4, 1}, {"for longer", nearIdleTimeout, 2}}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			clock := &fakeclock.Clock{}
-			p := server(t, answer, answer)
+			p := startServer(t, answer, answer)
 			p.link.Now = clock.Now
 			for n := range 2 {
-				if body, err := ask(t, p, "1"); err != nil || body != "hi" {
-					t.Fatalf("got %q, %v", body, err)
+				if body, err := roundTrip(t, p, "1"); err != nil || body != "hi" {
+					t.Fatalf("got body %q, error %v, want a response", body, err)
 				}
 				if n == 0 {
 					clock.Suspend(tt.suspended)
@@ -168,26 +169,26 @@
 	}
 }
 
-// idleEnded tells whether the end of the idle connection has come in.
-func idleEnded(p *Pool) bool {
+// idleConnClosed reports whether the close of the idle connection has arrived.
+func idleConnClosed(p *Pool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.idle) == 1 && !p.idle[0].clean()
+	return len(p.idle) == 1 && !p.idle[0].isQuiet()
 }
 
 func waitFor(t *testing.T, ok func() bool) {
 	t.Helper()
-	limit := time.Now().Add(testLimit)
+	deadline := time.Now().Add(testTimeout)
 	for !ok() {
-		if time.Now().After(limit) {
-			t.Fatal("condition did not come true")
+		if time.Now().After(deadline) {
+			t.Fatal("condition not met within the test timeout")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func TestMostConnections(t *testing.T) {
-	p := server(t)
+func TestMaxConnections(t *testing.T) {
+	p := startServer(t)
 	for range 4 {
 		if _, err := p.Get(context.Background()); err != nil {
 			t.Fatal(err)
@@ -198,20 +199,20 @@
 	}
 }
 
-func TestIdleLife(t *testing.T) {
+func TestParseIdleTimeout(t *testing.T) {
 	tests := []struct {
 		header string
 		want   time.Duration
 	}{
-		{"", idleNear},
+		{"", nearIdleTimeout},
 		{"timeout=5, max=100", 3 * time.Second},
 		{"10", 6 * time.Second},
-		{"max=3", idleNear},
+		{"max=3", nearIdleTimeout},
 		{"timeout=9223372036854775807", 36 * time.Minute},
 		{"timeout=-1", 0},
 	}
 	for _, tt := range tests {
-		if got := idleLife(tt.header, idleNear); got != tt.want {
+		if got := parseIdleTimeout(tt.header, nearIdleTimeout); got != tt.want {
 			t.Errorf("%q: got %s, want %s", tt.header, got, tt.want)
 		}
 	}
--- a/serverconn/fuzz_test.go
+++ b/serverconn/fuzz_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// bytesConn gives bytes to its reader.
+// bytesConn is a connection that reads from in.
 type bytesConn struct {
 	net.Conn
 	in io.Reader
@@ -18,8 +18,8 @@
 
 func (c *bytesConn) Read(p []byte) (int, error) { return c.in.Read(p) }
 
-// FuzzAnswer: an answer that is taken for complete is one for another reader of HTTP too, with
-// the same body, and what follows it is seen by both.
+// FuzzAnswer checks that a response that counts as complete is complete for net/http too, with
+// the same status and body.
 func FuzzAnswer(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
@@ -50,40 +50,40 @@
 	})
 }
 
-// compare returns an error if an answer that is taken for complete is not one for another
-// reader of HTTP too, with the same body.
+// compare returns an error if a response counts as complete here and net/http rejects it,
+// finds it truncated, or reads another status or body.
 func compare(in []byte) error {
-	c := &Conn{net: &bytesConn{in: bytes.NewReader(in)}, in: bufio.NewReaderSize(bytes.NewReader(in), readBuffer), reusable: true}
+	c := &Conn{net: &bytesConn{in: bytes.NewReader(in)}, in: bufio.NewReaderSize(bytes.NewReader(in), readBufferBytes), reusable: true}
 	h, b, err := c.ReadHead("Id", "", false)
 	if err != nil {
 		return nil
 	}
 	body, err := io.ReadAll(b)
 	if err != nil {
-		return nil // cut, and said so
+		return nil // truncated and reported as such
 	}
 	other := bufio.NewReader(bytes.NewReader(in))
-	resp, err := final(other)
+	resp, err := readFinalResponse(other)
 	if err != nil {
-		return fmt.Errorf("%q: complete with %q here, the other reader refuses it: %w", in, body, err)
+		return fmt.Errorf("%q: complete with body %q here, net/http rejects it: %w", in, body, err)
 	}
 	otherBody, err := io.ReadAll(resp.Body)
-	// The last chunk says that the body is whole; without the end of the trailers the
-	// connection is not used again.
+	// The last chunk completes the body. If the end of the trailers is missing, net/http
+	// returns an error; here the connection is not reused.
 	if err != nil && b.Length() == -1 && !c.reusable && bytes.Equal(body, otherBody) {
 		return nil
 	}
 	if err != nil {
-		return fmt.Errorf("%q: complete with %q here, the other reader's is cut: %w", in, body, err)
+		return fmt.Errorf("%q: complete with body %q here, net/http finds it truncated: %w", in, body, err)
 	}
 	if resp.StatusCode != h.StatusCode() || !bytes.Equal(body, otherBody) {
-		return fmt.Errorf("%q: status %d, body %q; the other reader has %d, %q", in, h.StatusCode(), body, resp.StatusCode, otherBody)
+		return fmt.Errorf("%q: status %d, body %q; net/http has %d, %q", in, h.StatusCode(), body, resp.StatusCode, otherBody)
 	}
 	return nil
 }
 
-// final reads an answer past informational ones.
-func final(in *bufio.Reader) (*http.Response, error) {
+// readFinalResponse reads a response and skips informational ones.
+func readFinalResponse(in *bufio.Reader) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode >= 200 || resp.StatusCode == http.StatusSwitchingProtocols {
--- a/serverconn/foreign_test.go
+++ b/serverconn/malformed_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// No answer is taken for whole that another reader of HTTP refuses or reads otherwise.
-func TestForeignAnswersAreNotWhole(t *testing.T) {
+// No response counts as complete if net/http rejects it or reads it differently.
+func TestMalformedResponsesAreNotComplete(t *testing.T) {
 	versions := []string{"HTTP/1.1", "HTTP/1.0", "HTTP/0.9", "HTTP/1.2", "HTTP/2.0", "HTTP/5.1", "http/1.1", "HTTP/1", "HTTP/11.1", "HTTP/1.1\t", "ICY"}
 	statuses := []string{
 		"200 OK", "200", "200 ", "100 Continue", "101 Switching Protocols", "101 0", "101", "102 Processing", "103 Early Hints", "199 x", "204 No Content", "205 Reset Content",
@@ -46,5 +46,5 @@
 			}
 		}
 	}
-	t.Logf("%d of %d answers are read otherwise", bad, tried)
+	t.Logf("%d of %d responses are read differently by net/http", bad, tried)
 }
--- a/serverconn/pool.go
+++ b/serverconn/pool.go
@@ -12,94 +12,94 @@
 )
 
 const (
-	// idleNear is how long a connection is kept where the server says nothing of
-	// its idle time.
-	idleNear = 4 * time.Second
-	// idleFar is that to gateways, which close after a minute: opening another
-	// one takes a whole round trip between regions.
-	idleFar = 30 * time.Second
-	// idlePart of an announced idle time is used: the rest is for the way there.
-	idlePart = 0.6
+	// nearIdleTimeout applies to servers that announce no idle timeout.
+	nearIdleTimeout = 4 * time.Second
+	// farIdleTimeout applies to gateways of other regions, which close idle connections
+	// after a minute. It is longer as a new connection costs a round trip between regions.
+	farIdleTimeout = 30 * time.Second
+	// idleTimeoutShare is the part of an announced idle timeout that is used; the rest
+	// allows for the network latency to the server.
+	idleTimeoutShare = 0.6
 )
 
-// Link says how patient connections of a pool are.
+// Link holds the timeouts of a pool's connections.
 type Link struct {
-	// Connect bounds a new connection.
+	// Connect bounds the opening of a connection.
 	Connect time.Duration
 	// Unacknowledged is how long sent bytes may stay unacknowledged.
 	Unacknowledged time.Duration
-	// Idle is how long a connection may rest where nothing else is announced.
+	// Idle is how long a connection may stay idle if the server announces no timeout.
 	Idle time.Duration
-	// Now is the clock by which connections rest: one that counts suspended time, as the
-	// other side closes them meanwhile and its word of it may be lost.
+	// Now is the clock for idle times. It must count suspended time: the other side closes
+	// connections during suspension, and the packet that says so may be lost.
 	Now func() time.Time
 }
 
-// Near is for servers of the own region, some milliseconds away. A lost opening packet
-// is sent again after a second only: whoever waits for that is late, and another
-// server takes the request meanwhile.
+// Near returns the timeouts for servers of the same region, a few milliseconds away. A lost
+// SYN is only sent again after a second, so the connect times out earlier and the request
+// goes to another server.
 func Near(now func() time.Time) Link {
-	return Link{Connect: 350 * time.Millisecond, Unacknowledged: 3 * time.Second, Idle: idleNear, Now: now}
+	return Link{Connect: 350 * time.Millisecond, Unacknowledged: 3 * time.Second, Idle: nearIdleTimeout, Now: now}
 }
 
-// Far is for other regions, where a link may be cut while others are free:
-// three round trips of a long link, and two retransmissions.
+// Far returns the timeouts for other regions, where one link may be cut while others
+// work: three round trips of a long link to connect, two retransmissions for sent bytes.
 func Far(now func() time.Time) Link {
-	return Link{Connect: 400 * time.Millisecond, Unacknowledged: 1200 * time.Millisecond, Idle: idleFar, Now: now}
+	return Link{Connect: 400 * time.Millisecond, Unacknowledged: 1200 * time.Millisecond, Idle: farIdleTimeout, Now: now}
 }
 
-// ErrNoConns is returned when a server has as many connections as it may.
+// ErrNoConns is returned when a server has its maximum number of connections.
 var ErrNoConns = errors.New("no connection is free")
 
-// Pool keeps the connections to one address.
+// Pool holds the connections to one address.
 type Pool struct {
-	address string
-	mu      sync.Mutex
-	idle    []*Conn
-	open    int
-	most    int
-	closed  bool
-	dialed  int
-	link    Link
+	address  string
+	mu       sync.Mutex
+	idle     []*Conn
+	open     int
+	maxConns int
+	closed   bool
+	dialed   int
+	link     Link
 }
 
-// New returns a pool of at most the given number of connections.
-func New(address string, most int, link Link) *Pool {
-	return &Pool{address: address, most: most, link: link}
+// New returns a pool of at most maxConns connections.
+func New(address string, maxConns int, link Link) *Pool {
+	return &Pool{address: address, maxConns: maxConns, link: link}
 }
 
-// SetMost changes how many connections may be open.
-func (p *Pool) SetMost(most int) {
+// SetMost changes the maximum number of connections.
+func (p *Pool) SetMost(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most = most
+	p.maxConns = maxConns
 }
 
-// Idle tells whether a connection rests that may be used without opening one.
+// Idle reports whether an idle connection can be used.
 func (p *Pool) Idle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
-	return n > 0 && p.idle[n-1].rested(p.link.Now())
+	return n > 0 && p.idle[n-1].isFresh(p.link.Now())
 }
 
-// Resting returns how many connections rest that may be used without opening one.
+// Resting returns the number of idle connections that can be used.
 func (p *Pool) Resting() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
 	for _, c := range p.idle {
-		if c.rested(p.link.Now()) {
+		if c.isFresh(p.link.Now()) {
 			n++
 		}
 	}
 	return n
 }
 
-// Open opens a connection that rests until it is used.
+// Open opens a connection and keeps it idle until it is used.
 func (p *Pool) Open(ctx context.Context) error {
 	p.mu.Lock()
-	if p.closed || p.open >= p.most {
+	if p.closed || p.open >= p.maxConns {
 		p.mu.Unlock()
 		return ErrNoConns
 	}
@@ -110,24 +110,24 @@
 	if err != nil {
 		return err
 	}
-	c.idle, c.life = p.link.Now(), p.link.Idle
-	p.rest(c)
+	c.idleSince, c.idleTimeout = p.link.Now(), p.link.Idle
+	p.putIdle(c)
 	return nil
 }
 
-// rest keeps a connection for later, unless the pool is closed.
-func (p *Pool) rest(c *Conn) {
+// putIdle adds a connection to the idle ones, or closes it if the pool is closed.
+func (p *Pool) putIdle(c *Conn) {
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
-		p.drop(c)
+		p.closeConn(c)
 		return
 	}
 	p.idle = append(p.idle, c)
 	p.mu.Unlock()
 }
 
-// Get returns an idle connection on which nothing has come, or a new one.
+// Get returns an idle connection without unread data, or a new one.
 func (p *Pool) Get(ctx context.Context) (*Conn, error) {
 	for {
 		c, err := p.take()
@@ -137,14 +137,15 @@
 		if c == nil {
 			return p.dial(ctx)
 		}
-		if c.rested(p.link.Now()) && c.clean() {
+		if c.isFresh(p.link.Now()) && c.isQuiet() {
 			return c, nil
 		}
-		p.drop(c)
+		p.closeConn(c)
 	}
 }
 
-// take returns the connection used last, or nil if a new one may be opened.
+// take returns the idle connection used last. Without one it counts a new connection,
+// which the caller opens, and returns nil.
 func (p *Pool) take() (*Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,7 +154,7 @@
 		p.idle = p.idle[:n-1]
 		return c, nil
 	}
-	if p.closed || p.open >= p.most {
+	if p.closed || p.open >= p.maxConns {
 		return nil, ErrNoConns
 	}
 	p.open++
@@ -172,56 +173,56 @@
 	return c, nil
 }
 
-func (p *Pool) drop(c *Conn) {
-	_ = c.net.Close() // nothing is awaited on it
+func (p *Pool) closeConn(c *Conn) {
+	_ = c.net.Close() // no request is pending on it
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// Return takes a connection back on which nothing was sent since Get.
+// Return puts back a connection on which nothing was sent since Get.
 func (p *Pool) Return(c *Conn) {
 	if c.Aborted() {
-		p.drop(c)
+		p.closeConn(c)
 		return
 	}
-	if c.life == 0 {
-		c.idle, c.life = p.link.Now(), p.link.Idle
+	if c.idleTimeout == 0 {
+		c.idleSince, c.idleTimeout = p.link.Now(), p.link.Idle
 	}
-	p.rest(c)
+	p.putIdle(c)
 }
 
-// Put takes a connection back after an answer; h is the answer's head, nil if
-// there was none. The connection is closed unless its next answer is certain
-// to be its own.
+// Put puts back a connection after a response; h is the response's head, nil if
+// there was none. The connection is closed unless the next response on it is
+// certain to belong to the next request.
 func (p *Pool) Put(c *Conn, h *fasthttp.ResponseHeader, b *Body) {
 	if h == nil || !b.done || !c.sent() || c.Aborted() || !c.reusable || c.in.Buffered() > 0 {
-		p.drop(c)
+		p.closeConn(c)
 		return
 	}
-	c.idle, c.life = p.link.Now(), idleLife(string(httpfield.Value(h, "Keep-Alive")), p.link.Idle)
-	if c.life <= 0 {
-		p.drop(c)
+	c.idleSince, c.idleTimeout = p.link.Now(), parseIdleTimeout(string(httpfield.Value(h, "Keep-Alive")), p.link.Idle)
+	if c.idleTimeout <= 0 {
+		p.closeConn(c)
 		return
 	}
-	p.rest(c)
+	p.putIdle(c)
 }
 
-// Prune closes connections that were idle for too long.
+// Prune closes connections that exceed their idle timeout.
 func (p *Pool) Prune() {
 	p.mu.Lock()
-	var old, keep []*Conn
+	var expired, keep []*Conn
 	for _, c := range p.idle {
-		if c.rested(p.link.Now()) {
+		if c.isFresh(p.link.Now()) {
 			keep = append(keep, c)
 			continue
 		}
-		old = append(old, c)
+		expired = append(expired, c)
 	}
 	p.idle = keep
 	p.mu.Unlock()
-	for _, c := range old {
-		p.drop(c)
+	for _, c := range expired {
+		p.closeConn(c)
 	}
 }
 
@@ -232,13 +233,13 @@
 	return p.dialed
 }
 
-// Close closes idle connections; those in use end with their request.
+// Close closes idle connections; those in use are closed after their request.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
 	p.idle, p.closed = nil, true
 	p.mu.Unlock()
 	for _, c := range idle {
-		p.drop(c)
+		p.closeConn(c)
 	}
 }
--- a/wake/watch.go
+++ b/wake/watch.go
@@ -1,5 +1,5 @@
-// Package wake notices that a process stood still: its machine was suspended, or the
-// process was frozen or not given the processor.
+// Package wake detects that the process was stalled: its machine was suspended, or the
+// process was stopped or not scheduled.
 package wake
 
 import (
@@ -10,38 +10,40 @@
 	"wheelgauge"
 )
 
-// least is the least time that is worth a line: less is lost in a busy second.
-const least = time.Second
+// minStall is the shortest stall that is reported: a busy machine causes shorter ones.
+const minStall = time.Second
 
-// Watch compares two clocks at each look. It is used by one goroutine.
+// Watch compares a clock that counts suspended time with the monotonic one. It must not be
+// used concurrently.
 type Watch struct {
-	clock  wheelgauge.Clock
-	steady wheelgauge.Clock
-	log    logr.Logger
+	clock     wheelgauge.Clock
+	monotonic wheelgauge.Clock
+	log       logr.Logger
 
-	seen       time.Time
-	seenSteady time.Time
+	lastTime      time.Time
+	lastMonotonic time.Time
 }
 
-// New returns a watch that begins now.
+// New returns a watch that starts now.
 func New(clock wheelgauge.Clock, log logr.Logger) *Watch {
-	w := &Watch{clock: clock, steady: wheelgauge.SteadyClock{}, log: log}
-	w.seen, w.seenSteady = clock.Now(), w.steady.Now()
+	w := &Watch{clock: clock, monotonic: wheelgauge.SteadyClock{}, log: log}
+	w.lastTime, w.lastMonotonic = clock.Now(), w.monotonic.Now()
 	return w
 }
 
-// Look tells how much time has passed since the last look, should it be an interval, and
-// how much of it the steady clock did not count. It writes one line if the process stood
-// still: what it knew is as much older, and leases have run out by as much.
-func (w *Watch) Look(interval time.Duration) (stood, suspended time.Duration) {
-	now, steady := w.clock.Now(), w.steady.Now()
-	passed := now.Sub(w.seen)
-	suspended = passed - steady.Sub(w.seenSteady)
-	w.seen, w.seenSteady = now, steady
-	stood = passed - interval
-	if stood < least {
+// Look is called once per interval. It returns the time since the last call beyond interval,
+// 0 below minStall, and how long the machine was suspended, by the difference between the
+// clocks. It logs a stall: the process's data is older by that much, and leases may have
+// expired.
+func (w *Watch) Look(interval time.Duration) (stalled, suspended time.Duration) {
+	now, monotonic := w.clock.Now(), w.monotonic.Now()
+	elapsed := now.Sub(w.lastTime)
+	suspended = elapsed - monotonic.Sub(w.lastMonotonic)
+	w.lastTime, w.lastMonotonic = now, monotonic
+	stalled = elapsed - interval
+	if stalled < minStall {
 		return 0, 0
 	}
-	w.log.Info("The process stood still.", "stood_ms", stood.Milliseconds(), "suspended_ms", max(0, suspended).Milliseconds())
-	return stood, max(0, suspended)
+	w.log.Info("The process stood still.", "stood_ms", stalled.Milliseconds(), "suspended_ms", max(0, suspended).Milliseconds())
+	return stalled, max(0, suspended)
 }
--- a/wake/watch_test.go
+++ b/wake/watch_test.go
@@ -11,20 +11,20 @@
 	"wheelgauge/fake/fakeclock"
 )
 
-// moved is a clock that stands where a test puts it.
-type moved struct{ at time.Time }
+// manualClock is a clock that a test sets.
+type manualClock struct{ at time.Time }
 
-func (m *moved) Now() time.Time { return m.at }
+func (m *manualClock) Now() time.Time { return m.at }
 
-func TestStandingStill(t *testing.T) {
+func TestStall(t *testing.T) {
 	const interval = 100 * time.Millisecond
 	tests := []struct {
-		name             string
-		steady, lost     time.Duration
-		stood, suspended time.Duration
+		name               string
+		steady, lost       time.Duration
+		stalled, suspended time.Duration
 	}{
 		{"as it should be", interval, 0, 0, 0},
-		{"a busy second", interval + least/2, 0, 0, 0},
+		{"a busy second", interval + minStall/2, 0, 0, 0},
 		{"frozen", interval + 4*time.Second, 0, 4 * time.Second, 0},
 		{"suspended", interval, 4 * time.Second, 4 * time.Second, 4 * time.Second},
 		{"both", interval + 2*time.Second, 3 * time.Second, 5 * time.Second, 3 * time.Second},
@@ -37,18 +37,18 @@
 					lines++
 				}
 			}, funcr.Options{})
-			clock, steady := &moved{at: time.Unix(1000, 0)}, &moved{at: time.Unix(500, 0)}
+			clock, steady := &manualClock{at: time.Unix(1000, 0)}, &manualClock{at: time.Unix(500, 0)}
 			w := New(clock, log)
-			w.steady, w.seenSteady = steady, steady.at
+			w.monotonic, w.lastMonotonic = steady, steady.at
 			steady.at = steady.at.Add(tt.steady)
 			clock.at = clock.at.Add(tt.steady + tt.lost)
-			stood, suspended := w.Look(interval)
-			if stood != tt.stood || suspended != tt.suspended || lines != min(1, int(tt.stood)) {
-				t.Errorf("stood %s, suspended %s, %d lines; want %s, %s", stood, suspended, lines, tt.stood, tt.suspended)
+			stalled, suspended := w.Look(interval)
+			if stalled != tt.stalled || suspended != tt.suspended || lines != min(1, int(tt.stalled)) {
+				t.Errorf("stalled %s, suspended %s, %d log lines; want %s, %s", stalled, suspended, lines, tt.stalled, tt.suspended)
 			}
 			clock.at, steady.at = clock.at.Add(interval), steady.at.Add(interval)
-			if stood, _ := w.Look(interval); stood != 0 {
-				t.Errorf("still stands: %s", stood)
+			if stalled, _ := w.Look(interval); stalled != 0 {
+				t.Errorf("stalled %s at the next look, want 0", stalled)
 			}
 		})
 	}
@@ -59,6 +59,6 @@
 	w := New(c, logr.Discard())
 	c.Suspend(time.Minute)
 	if _, suspended := w.Look(0); suspended < time.Minute-time.Second || suspended > time.Minute+time.Second {
-		t.Errorf("suspended for %s", suspended)
+		t.Errorf("suspended for %s, want about 1m", suspended)
 	}
 }
