--- a/bootclock/clock.go
+++ b/bootclock/clock.go
@@ -27,7 +27,7 @@
 
 // Clock implements wheelgauge.Clock. It is safe for concurrent use.
 type Clock struct {
-	// boot reads the boot clock, now the monotonic one.
+	// boot reads the boot clock and now the monotonic clock.
 	boot func() (time.Duration, error)
 	now  func() time.Time
 
--- a/callerhttp/request.go
+++ b/callerhttp/request.go
@@ -16,7 +16,7 @@
 	"wheelgauge"
 )
 
-// maxWriteBytes is the size of one write, which must finish within Options.Unread.
+// maxWriteBytes bounds one write, which must finish within Options.Unread.
 const maxWriteBytes = 8 << 10
 
 // Request is a request with the methods to respond to it. A handler calls exactly
@@ -29,7 +29,7 @@
 	started     bool
 	finished    bool
 	chunked     bool
-	pendingHead []byte // not sent yet: it leaves with the first part of the body
+	pendingHead []byte // sent with the first part of the body
 	length      int
 	written     int
 }
--- a/httpserve/close_test.go
+++ b/httpserve/close_test.go
@@ -47,7 +47,7 @@
 	}
 	for range count {
 		if err := <-answered; err != nil {
-			t.Errorf("a request in flight was not answered: %v", err)
+			t.Errorf("a request in flight got no response: %v", err)
 		}
 	}
 }
--- a/relay/stream_test.go
+++ b/relay/stream_test.go
@@ -118,7 +118,7 @@
 	s := New(context.Background(), answer(nil, event(0)), Options{OnEnd: func(e Ending) { ending = e }})
 	buf := make([]byte, 100)
 	if n, err := s.Read(buf); err != nil || string(buf[:n]) != event(0) {
-		t.Fatalf("got %q, %v", buf[:n], err)
+		t.Fatalf("got %q, %v, want the first event", buf[:n], err)
 	}
 	if n, err := s.Read(buf); err != nil || !strings.HasPrefix(string(buf[:n]), ":") {
 		t.Fatalf("got %q, %v, want a comment while the server is silent", buf[:n], err)
@@ -138,7 +138,7 @@
 	s := New(context.Background(), answer(nil, event(0)), Options{Resume: resume, Dead: func() bool { return true }, OnEnd: func(Ending) {}})
 	got, err := io.ReadAll(s)
 	if err != nil || strings.ReplaceAll(string(got), string(keepAlive), "") != events(0, 2)+doneText {
-		t.Fatalf("got %q, %v", got, err)
+		t.Fatalf("got %q, %v, want the complete stream", got, err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
--- a/serverconn/body.go
+++ b/serverconn/body.go
@@ -41,7 +41,7 @@
 	return b
 }
 
-// Length returns the Content-Length, negative when there is none.
+// Length returns the Content-Length, less than 0 if there is none.
 func (b *Body) Length() int { return b.length }
 
 // Read implements io.Reader.
--- a/serverconn/conn.go
+++ b/serverconn/conn.go
@@ -54,9 +54,9 @@
 
 func dial(ctx context.Context, address string, l Link) (*Conn, error) {
 	d := net.Dialer{
-		Timeout:         l.Connect,
+		Timeout:         l.ConnectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
-		Control:         setUserTimeout(l.Unacknowledged),
+		Control:         setUserTimeout(l.UserTimeout),
 	}
 	c, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/serverconn/pool.go
+++ b/serverconn/pool.go
@@ -24,12 +24,12 @@
 
 // Link holds the timeouts of a pool's connections.
 type Link struct {
-	// Connect bounds the opening of a connection.
-	Connect time.Duration
-	// Unacknowledged is how long sent bytes may stay unacknowledged.
-	Unacknowledged time.Duration
-	// Idle is how long a connection may stay idle if the server announces no timeout.
-	Idle time.Duration
+	// ConnectTimeout bounds the opening of a connection.
+	ConnectTimeout time.Duration
+	// UserTimeout (TCP_USER_TIMEOUT) is how long sent bytes may stay unacknowledged.
+	UserTimeout time.Duration
+	// IdleTimeout is how long a connection may stay idle if the server announces no timeout.
+	IdleTimeout time.Duration
 	// Now is the clock for idle times. It must count suspended time: the other side closes
 	// connections during suspension, and the packet that says so may be lost.
 	Now func() time.Time
@@ -39,13 +39,13 @@
 // SYN is only sent again after a second, so the connect times out earlier and the request
 // goes to another server.
 func Near(now func() time.Time) Link {
-	return Link{Connect: 350 * time.Millisecond, Unacknowledged: 3 * time.Second, Idle: nearIdleTimeout, Now: now}
+	return Link{ConnectTimeout: 350 * time.Millisecond, UserTimeout: 3 * time.Second, IdleTimeout: nearIdleTimeout, Now: now}
 }
 
 // Far returns the timeouts for other regions, where one link may be cut while others
 // work: three round trips of a long link to connect, two retransmissions for sent bytes.
 func Far(now func() time.Time) Link {
-	return Link{Connect: 400 * time.Millisecond, Unacknowledged: 1200 * time.Millisecond, Idle: farIdleTimeout, Now: now}
+	return Link{ConnectTimeout: 400 * time.Millisecond, UserTimeout: 1200 * time.Millisecond, IdleTimeout: farIdleTimeout, Now: now}
 }
 
 // ErrNoConns is returned when a server has its maximum number of connections.
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	c.idleSince, c.idleTimeout = p.link.Now(), p.link.Idle
+	c.idleSince, c.idleTimeout = p.link.Now(), p.link.IdleTimeout
 	p.putIdle(c)
 	return nil
 }
@@ -187,7 +187,7 @@
 		return
 	}
 	if c.idleTimeout == 0 {
-		c.idleSince, c.idleTimeout = p.link.Now(), p.link.Idle
+		c.idleSince, c.idleTimeout = p.link.Now(), p.link.IdleTimeout
 	}
 	p.putIdle(c)
 }
@@ -200,7 +200,7 @@
 		p.closeConn(c)
 		return
 	}
-	c.idleSince, c.idleTimeout = p.link.Now(), parseIdleTimeout(string(httpfield.Value(h, "Keep-Alive")), p.link.Idle)
+	c.idleSince, c.idleTimeout = p.link.Now(), parseIdleTimeout(string(httpfield.Value(h, "Keep-Alive")), p.link.IdleTimeout)
 	if c.idleTimeout <= 0 {
 		p.closeConn(c)
 		return
--- a/wake/watch_test.go
+++ b/wake/watch_test.go
@@ -19,9 +19,9 @@
 func TestStall(t *testing.T) {
 	const interval = 100 * time.Millisecond
 	tests := []struct {
-		name               string
-		steady, lost       time.Duration
-		stalled, suspended time.Duration
+		name                  string
+		monotonic, suspension time.Duration
+		stalled, suspended    time.Duration
 	}{
 		{"as it should be", interval, 0, 0, 0},
 		{"a busy second", interval + minStall/2, 0, 0, 0},
@@ -37,16 +37,16 @@
 					lines++
 				}
 			}, funcr.Options{})
-			clock, steady := &manualClock{at: time.Unix(1000, 0)}, &manualClock{at: time.Unix(500, 0)}
+			clock, monotonic := &manualClock{at: time.Unix(1000, 0)}, &manualClock{at: time.Unix(500, 0)}
 			w := New(clock, log)
-			w.monotonic, w.lastMonotonic = steady, steady.at
-			steady.at = steady.at.Add(tt.steady)
-			clock.at = clock.at.Add(tt.steady + tt.lost)
+			w.monotonic, w.lastMonotonic = monotonic, monotonic.at
+			monotonic.at = monotonic.at.Add(tt.monotonic)
+			clock.at = clock.at.Add(tt.monotonic + tt.suspension)
 			stalled, suspended := w.Look(interval)
 			if stalled != tt.stalled || suspended != tt.suspended || lines != min(1, int(tt.stalled)) {
 				t.Errorf("stalled %s, suspended %s, %d log lines; want %s, %s", stalled, suspended, lines, tt.stalled, tt.suspended)
 			}
-			clock.at, steady.at = clock.at.Add(interval), steady.at.Add(interval)
+			clock.at, monotonic.at = clock.at.Add(interval), monotonic.at.Add(interval)
 			if stalled, _ := w.Look(interval); stalled != 0 {
 				t.Errorf("stalled %s at the next look, want 0", stalled)
 			}
