--- a/raft/core.go
+++ b/raft/core.go
@@ -1,5 +1,5 @@
-// Package raft is a replicated log without I/O or clock: a driver feeds it
-// ticks and messages and carries out what Ready returns.
+// Package raft implements the Raft consensus algorithm without I/O or a clock:
+// a driver feeds it ticks and messages and processes what Ready returns.
 //
 // Source: Ongaro, "Consensus: bridging theory and practice", 2014: chapters 3
 // (log), 4.1 (one member at a time), 4.2.1 (learners), 6.4 (read index), 9.6
@@ -14,7 +14,7 @@
 	"slices"
 )
 
-// Role is what a replica does now.
+// Role is the Raft role of a replica.
 type Role int
 
 // Roles.
@@ -27,15 +27,15 @@
 
 // Limits of one append message.
 const (
-	maxEntriesPerMessage = 256
-	maxBytesPerMessage   = 512 << 10
+	maxEntriesPerMessage    = 256
+	maxEntryBytesPerMessage = 512 << 10
 )
 
 var (
-	// ErrNotLeader is returned by what only a leader does.
+	// ErrNotLeader is returned by operations that only the leader can perform.
 	ErrNotLeader = errors.New("raft: not the leader")
-	// ErrChangePending is returned while a change of members is under way.
-	ErrChangePending = errors.New("raft: a change of members is under way")
+	// ErrChangePending is returned while a membership change is in progress.
+	ErrChangePending = errors.New("raft: a membership change is in progress")
 )
 
 // Options of a Core, in ticks.
@@ -46,7 +46,7 @@
 	Seed           uint64
 }
 
-// State is what was persisted.
+// State is the persisted state that a Core starts from.
 type State struct {
 	HardState HardState
 	Snapshot  *Snapshot
@@ -55,19 +55,19 @@
 
 // progress is the leader's view of one member.
 type progress struct {
-	match  uint64
-	next   uint64
-	active bool
-	round  uint64
-	// silent is the number of ticks since the member's last answer.
-	silent int
-	// paused is the number of ticks left before a snapshot is sent again.
-	paused int
-	// flight is the last large message of entries.
-	flight flight
+	match          uint64
+	next           uint64
+	recentlyActive bool
+	round          uint64
+	// sinceReply is the number of ticks since the member's last reply.
+	sinceReply int
+	// snapshotRetryTicks is the number of ticks left before a snapshot is sent again.
+	snapshotRetryTicks int
+	// transfer is the last large message of entries.
+	transfer transfer
 }
 
-type read struct {
+type readRequest struct {
 	id    uint64
 	round uint64
 	index uint64
@@ -76,64 +76,67 @@
 // Core is one replica. It is not safe for concurrent use.
 type Core struct {
 	options Options
-	rnd     *rand.Rand
+	random  *rand.Rand
 
 	role   Role
 	term   uint64
 	vote   uint64
 	leader uint64
 
-	// entries stand after base, which is at or before the snapshot.
-	entries  []Entry
-	base     uint64
-	baseTerm uint64
-	snap     *Snapshot
-	snapNew  bool
-	stable   uint64
-	commit   uint64
-	applied  uint64
-	lastHard HardState
-
-	members    []Member
-	progress   map[uint64]*progress
-	votes      map[uint64]bool
-	changeAt   uint64
-	tell       bool // the commit is news for the members
-	barred     bool
-	elapsed    int
-	heartbeat  int
-	timeout    int
-	round      uint64
-	reads      []read
-	readsReady []uint64
-	dropped    []uint64
-	messages   []Message
+	// entries are the log after the index base, which is at or before the
+	// snapshot's index.
+	entries          []Entry
+	base             uint64
+	baseTerm         uint64
+	snapshot         *Snapshot
+	snapshotUnsaved  bool
+	stable           uint64
+	commit           uint64
+	applied          uint64
+	handledHardState HardState
+
+	members          []Member
+	progress         map[uint64]*progress
+	votes            map[uint64]bool
+	lastChangeIndex  uint64
+	announceCommit   bool // members have not been sent the current commit index
+	writesSuspended  bool
+	electionElapsed  int
+	heartbeatElapsed int
+	electionTimeout  int
+	round            uint64
+	pendingReads     []readRequest
+	confirmedReads   []uint64
+	droppedReads     []uint64
+	messages         []Message
 }
 
 // New returns a follower with the persisted state.
 func New(options Options, state State) *Core {
 	c := &Core{
-		options: options,
-		rnd:     rand.New(rand.NewPCG(options.Seed, options.ID)),
-		term:    state.HardState.Term,
-		vote:    state.HardState.Vote,
-		snap:    &Snapshot{},
-		entries: slices.Clone(state.Entries),
+		options:  options,
+		random:   rand.New(rand.NewPCG(options.Seed, options.ID)),
+		term:     state.HardState.Term,
+		vote:     state.HardState.Vote,
+		snapshot: &Snapshot{},
+		entries:  slices.Clone(state.Entries),
 	}
 	if state.Snapshot != nil {
-		c.snap = state.Snapshot
+		c.snapshot = state.Snapshot
 		c.members = slices.Clone(state.Snapshot.Members)
 	}
-	c.base, c.baseTerm = c.snap.Index, c.snap.Term
-	c.commit = max(c.snap.Index, min(state.HardState.Commit, c.lastIndex()))
-	c.applied = c.snap.Index
+	c.base, c.baseTerm = c.snapshot.Index, c.snapshot.Term
+	c.commit = max(c.snapshot.Index, min(state.HardState.Commit, c.lastIndex()))
+	c.applied = c.snapshot.Index
 	c.stable = c.lastIndex()
-	c.lastHard = c.hard()
+	c.handledHardState = c.currentHardState()
 	c.resetTimeout()
 	return c
 }
 
-func (c *Core) hard() HardState { return HardState{Term: c.term, Vote: c.vote, Commit: c.commit} }
+func (c *Core) currentHardState() HardState {
+	return HardState{Term: c.term, Vote: c.vote, Commit: c.commit}
+}
 
 func (c *Core) lastIndex() uint64 { return c.base + uint64(len(c.entries)) }
 
@@ -148,50 +151,51 @@
 }
 
 func (c *Core) resetTimeout() {
-	c.elapsed = 0
-	c.timeout = c.options.ElectionTicks + c.rnd.IntN(c.options.ElectionTicks)
+	c.electionElapsed = 0
+	c.electionTimeout = c.options.ElectionTicks + c.random.IntN(c.options.ElectionTicks)
 }
 
-func (c *Core) voter(id uint64) bool {
+func (c *Core) isVoter(id uint64) bool {
 	i := slices.IndexFunc(c.members, func(m Member) bool { return m.ID == id })
 	return i >= 0 && c.members[i].Voter
 }
 
-func (c *Core) quorum(yes func(id uint64) bool) bool {
+func (c *Core) quorum(counts func(id uint64) bool) bool {
 	voters, count := 0, 0
 	for _, m := range c.members {
 		if !m.Voter {
 			continue
 		}
 		voters++
-		if yes(m.ID) {
+		if counts(m.ID) {
 			count++
 		}
 	}
 	return voters > 0 && count > voters/2
 }
 
-// Tick moves time by one step.
+// Tick advances the election and heartbeat timers by one tick.
 func (c *Core) Tick() {
-	c.elapsed++
+	c.electionElapsed++
 	if c.role == Leader {
 		c.tickLeader()
 		return
 	}
-	if c.elapsed < c.timeout {
+	if c.electionElapsed < c.electionTimeout {
 		return
 	}
 	c.leader = 0
-	if c.voter(c.options.ID) && !c.barred {
+	if c.isVoter(c.options.ID) && !c.writesSuspended {
 		c.campaign(PreCandidate)
 	}
 }
 
-// Bar keeps a replica whose log cannot be written out of the group's decisions:
-// it leads no more, campaigns not, votes for nobody and takes no entries. What
-// is not on disk is dropped; nobody was told that it is held.
-func (c *Core) Bar() {
-	c.barred = true
+// SuspendWrites excludes a replica whose log cannot be written from elections
+// and commits: it steps down, does not campaign, grants no votes and accepts no
+// entries. Entries that are not on disk are dropped; none of them was
+// acknowledged.
+func (c *Core) SuspendWrites() {
+	c.writesSuspended = true
 	if c.role != Follower {
 		c.become(Follower, c.term, 0)
 	}
@@ -200,30 +204,30 @@
 	c.messages = nil
 }
 
-// Unbar ends Bar.
-func (c *Core) Unbar() { c.barred = false }
+// ResumeWrites undoes SuspendWrites.
+func (c *Core) ResumeWrites() { c.writesSuspended = false }
 
-// Barred tells whether Bar is in force.
-func (c *Core) Barred() bool { return c.barred }
+// WritesSuspended reports whether SuspendWrites is in effect.
+func (c *Core) WritesSuspended() bool { return c.writesSuspended }
 
 func (c *Core) tickLeader() {
 	for _, p := range c.progress {
-		p.paused = max(0, p.paused-1)
-		p.flight.ticks = max(0, p.flight.ticks-1)
-		p.silent++
-	}
-	c.heartbeat++
-	if c.elapsed >= c.options.ElectionTicks {
-		c.elapsed = 0
-		if !c.quorum(func(id uint64) bool { return id == c.options.ID || c.Active(id) }) {
+		p.snapshotRetryTicks = max(0, p.snapshotRetryTicks-1)
+		p.transfer.ticksLeft = max(0, p.transfer.ticksLeft-1)
+		p.sinceReply++
+	}
+	c.heartbeatElapsed++
+	if c.electionElapsed >= c.options.ElectionTicks {
+		c.electionElapsed = 0
+		if !c.quorum(func(id uint64) bool { return id == c.options.ID || c.RecentlyActive(id) }) {
 			c.become(Follower, c.term, 0)
 			return
 		}
 		for _, p := range c.progress {
-			p.active = false
+			p.recentlyActive = false
 		}
 	}
-	if c.heartbeat >= c.options.HeartbeatTicks {
+	if c.heartbeatElapsed >= c.options.HeartbeatTicks {
 		c.broadcast()
 	}
 }
@@ -234,10 +238,10 @@
 		c.vote = 0
 	}
 	if c.role == Leader && role != Leader {
-		for _, r := range c.reads {
-			c.dropped = append(c.dropped, r.id)
+		for _, r := range c.pendingReads {
+			c.droppedReads = append(c.droppedReads, r.id)
 		}
-		c.reads = nil
+		c.pendingReads = nil
 	}
 	c.role = role
 	c.leader = leader
@@ -257,7 +261,7 @@
 	}
 	c.votes[c.options.ID] = true
 	if c.quorum(func(id uint64) bool { return c.votes[id] }) {
-		c.won()
+		c.electionWon()
 		return
 	}
 	last := c.lastIndex()
@@ -268,32 +272,32 @@
 	}
 }
 
-func (c *Core) won() {
+func (c *Core) electionWon() {
 	if c.role == PreCandidate {
 		c.campaign(Candidate)
 		return
 	}
 	c.become(Leader, c.term, c.options.ID)
 	c.progress = map[uint64]*progress{}
-	c.changeAt = c.lastIndex()
+	c.lastChangeIndex = c.lastIndex()
 	c.syncProgress()
-	c.append(EntryEmpty, nil)
+	c.appendEntry(EntryNoOp, nil)
 	c.broadcast()
 }
 
 func (c *Core) syncProgress() {
-	keep := map[uint64]*progress{}
+	updated := map[uint64]*progress{}
 	for _, m := range c.members {
 		p := c.progress[m.ID]
 		if p == nil {
-			p = &progress{next: c.lastIndex() + 1, active: true}
+			p = &progress{next: c.lastIndex() + 1, recentlyActive: true}
 		}
-		keep[m.ID] = p
+		updated[m.ID] = p
 	}
-	c.progress = keep
+	c.progress = updated
 }
 
-func (c *Core) append(kind EntryType, data []byte) uint64 {
+func (c *Core) appendEntry(kind EntryType, data []byte) uint64 {
 	index := c.lastIndex() + 1
 	c.entries = append(c.entries, Entry{Index: index, Term: c.term, Type: kind, Data: data})
 	return index
@@ -304,31 +308,32 @@
 	if c.role != Leader {
 		return 0, 0, ErrNotLeader
 	}
-	index = c.append(EntryCommand, data)
+	index = c.appendEntry(EntryCommand, data)
 	return index, c.term, nil
 }
 
-// ProposeMembers changes the list of members by one.
+// ProposeMembers proposes a list of members that differs by at most one member
+// from the current list.
 func (c *Core) ProposeMembers(members []Member) (index, term uint64, err error) {
 	if c.role != Leader {
 		return 0, 0, ErrNotLeader
 	}
-	if c.changeAt > c.applied {
+	if c.lastChangeIndex > c.applied {
 		return 0, 0, ErrChangePending
 	}
-	if difference(c.members, members) > 1 {
-		return 0, 0, fmt.Errorf("raft: more than one member changes: %w", ErrChangePending)
+	if countMemberChanges(c.members, members) > 1 {
+		return 0, 0, fmt.Errorf("raft: only one member may change at a time: %w", ErrChangePending)
 	}
 	data, err := json.Marshal(members)
 	if err != nil {
 		return 0, 0, fmt.Errorf("encode members: %w", err)
 	}
-	index = c.append(EntryMembers, data)
-	c.changeAt = index
+	index = c.appendEntry(EntryMembers, data)
+	c.lastChangeIndex = index
 	return index, c.term, nil
 }
 
-func difference(a, b []Member) int {
+func countMemberChanges(a, b []Member) int {
 	count := 0
 	for _, m := range a {
 		if !slices.ContainsFunc(b, func(o Member) bool { return o.ID == m.ID && o.Voter == m.Voter }) {
@@ -343,26 +348,26 @@
 	return count
 }
 
-// Read registers a barrier with a number of the caller's.
-func (c *Core) Read(id uint64) error {
+// ReadIndex registers a read barrier under an ID chosen by the caller.
+func (c *Core) ReadIndex(id uint64) error {
 	if c.role != Leader || c.termAt(c.commit) != c.term {
 		return ErrNotLeader
 	}
 	c.broadcast()
-	c.reads = append(c.reads, read{id: id, round: c.round, index: c.commit})
+	c.pendingReads = append(c.pendingReads, readRequest{id: id, round: c.round, index: c.commit})
 	c.confirmReads()
 	return nil
 }
 
 func (c *Core) confirmReads() {
-	for len(c.reads) > 0 {
-		r := c.reads[0]
-		ok := c.quorum(func(id uint64) bool { return id == c.options.ID || c.progress[id].round >= r.round })
-		if !ok {
+	for len(c.pendingReads) > 0 {
+		r := c.pendingReads[0]
+		confirmed := c.quorum(func(id uint64) bool { return id == c.options.ID || c.progress[id].round >= r.round })
+		if !confirmed {
 			return
 		}
-		c.readsReady = append(c.readsReady, r.id)
-		c.reads = c.reads[1:]
+		c.confirmedReads = append(c.confirmedReads, r.id)
+		c.pendingReads = c.pendingReads[1:]
 	}
 }
 
@@ -372,7 +377,7 @@
 }
 
 func (c *Core) broadcast() {
-	c.heartbeat = 0
+	c.heartbeatElapsed = 0
 	c.round++
 	for _, m := range c.members {
 		if m.ID != c.options.ID {
@@ -387,39 +392,40 @@
 		c.sendSnapshot(to, p)
 		return
 	}
-	if c.inFlight(p) {
-		c.send(c.appendAfter(to, p.flight.prev))
+	if c.inTransfer(p) {
+		c.send(c.emptyAppend(to, p.transfer.prev))
 		return
 	}
-	m := c.appendAfter(to, p.next-1)
-	m.Entries = c.window(p.next)
+	m := c.emptyAppend(to, p.next-1)
+	m.Entries = c.entriesFrom(p.next)
 	p.next += uint64(len(m.Entries))
-	p.flight = c.newFlight(m)
+	p.transfer = c.newTransfer(m)
 	c.send(m)
 }
 
-// appendAfter returns an append without entries.
-func (c *Core) appendAfter(to, prev uint64) Message {
+// emptyAppend returns an append message without entries.
+func (c *Core) emptyAppend(to, prev uint64) Message {
 	return Message{Type: MessageAppend, To: to, Term: c.term, Index: prev, LogTerm: c.termAt(prev), Commit: c.commit, Round: c.round}
 }
 
 func (c *Core) sendSnapshot(to uint64, p *progress) {
-	if p.paused > 0 {
-		// A heartbeat keeps the member from campaigning while it takes the snapshot in.
+	if p.snapshotRetryTicks > 0 {
+		// A heartbeat keeps the member from campaigning while it installs the snapshot.
 		c.send(Message{Type: MessageAppend, To: to, Term: c.term, Index: c.base, LogTerm: c.baseTerm, Round: c.round})
 		return
 	}
-	p.paused = c.options.ElectionTicks + c.travelTicks(len(c.snap.Data))
-	c.send(Message{Type: MessageSnapshot, To: to, Term: c.term, Snapshot: c.snap, Round: c.round})
+	p.snapshotRetryTicks = c.options.ElectionTicks + c.transferTicks(len(c.snapshot.Data))
+	c.send(Message{Type: MessageSnapshot, To: to, Term: c.term, Snapshot: c.snapshot, Round: c.round})
 }
 
-// window returns a copy of the entries from index on, as one message may hold.
-func (c *Core) window(index uint64) []Entry {
-	rest := c.entries[index-c.base-1:]
+// entriesFrom returns a copy of the entries from index on, up to the limits of
+// one message.
+func (c *Core) entriesFrom(index uint64) []Entry {
+	remaining := c.entries[index-c.base-1:]
 	size, n := 0, 0
-	for n < len(rest) && n < maxEntriesPerMessage && size < maxBytesPerMessage {
-		size += len(rest[n].Data)
+	for n < len(remaining) && n < maxEntriesPerMessage && size < maxEntryBytesPerMessage {
+		size += len(remaining[n].Data)
 		n++
 	}
-	return slices.Clone(rest[:n])
+	return slices.Clone(remaining[:n])
 }
--- a/raft/core_test.go
+++ b/raft/core_test.go
@@ -9,38 +9,38 @@
 	"testing"
 )
 
-// replicaUnderTest is a core with a disk that loses what was not synced.
-type replicaUnderTest struct {
-	core    *Core
-	disk    State
-	applied []string
-	base    []string
-	down    bool
-	frozen  bool
-	// full is set while the disk takes no writes.
-	full bool
-	seed uint64
+// testReplica is a core with a disk that loses unsynced data in a crash.
+type testReplica struct {
+	core         *Core
+	disk         State
+	applied      []string
+	baseCommands []string
+	down         bool
+	frozen       bool
+	// diskFull makes writes to the disk fail.
+	diskFull bool
+	seed     uint64
 }
 
-type schedule struct {
-	t        *testing.T
-	rnd      *rand.Rand
-	replicas map[uint64]*replicaUnderTest
-	order    []uint64
-	net      []Message
-	cut      map[[2]uint64]bool
-	leaders  map[uint64]uint64
-	chosen   map[uint64]string
-	loss     float64
-	// large is the length of some commands; all are small when it is 0.
-	large int
-	acked []string
+type cluster struct {
+	t         *testing.T
+	random    *rand.Rand
+	replicas  map[uint64]*testReplica
+	ids       []uint64
+	network   []Message
+	cutLinks  map[[2]uint64]bool
+	leaders   map[uint64]uint64
+	committed map[uint64]string
+	lossRate  float64
+	// largeCommandBytes is the length of some commands; all are small when it is 0.
+	largeCommandBytes int
+	acked             []string
 }
 
-func newSchedule(t *testing.T, seed uint64, voters int) *schedule {
-	s := &schedule{
-		t: t, rnd: rand.New(rand.NewPCG(seed, 7)), replicas: map[uint64]*replicaUnderTest{},
-		cut: map[[2]uint64]bool{}, leaders: map[uint64]uint64{}, chosen: map[uint64]string{},
+func newCluster(t *testing.T, seed uint64, voters int) *cluster {
+	s := &cluster{
+		t: t, random: rand.New(rand.NewPCG(seed, 7)), replicas: map[uint64]*testReplica{},
+		cutLinks: map[[2]uint64]bool{}, leaders: map[uint64]uint64{}, committed: map[uint64]string{},
 	}
 	var members []Member
 	for id := uint64(1); id <= uint64(voters); id++ {
@@ -52,14 +52,14 @@
 	return s
 }
 
-func (s *schedule) add(id uint64, disk State) {
-	r := &replicaUnderTest{disk: disk, seed: id}
+func (s *cluster) add(id uint64, disk State) {
+	r := &testReplica{disk: disk, seed: id}
 	s.replicas[id] = r
-	s.order = append(s.order, id)
+	s.ids = append(s.ids, id)
 	s.start(id)
 }
 
-func (s *schedule) start(id uint64) {
+func (s *cluster) start(id uint64) {
 	r := s.replicas[id]
 	r.seed += 100
 	r.core = New(Options{ID: id, ElectionTicks: 10, HeartbeatTicks: 2, Seed: r.seed}, r.disk)
@@ -70,14 +70,14 @@
 	r.down = false
 }
 
-func (r *replicaUnderTest) restore(snap *Snapshot) {
-	r.base = nil
-	_ = json.Unmarshal(snap.Data, &r.base)
-	r.applied = slices.Clone(r.base)
+func (r *testReplica) restore(snap *Snapshot) {
+	r.baseCommands = nil
+	_ = json.Unmarshal(snap.Data, &r.baseCommands)
+	r.applied = slices.Clone(r.baseCommands)
 }
 
-// persist writes a Ready; point says where a crash strikes (0 for none).
-func (r *replicaUnderTest) persist(rd Ready, point int) bool {
+// persist writes a Ready; point selects where the replica crashes (0: nowhere).
+func (r *testReplica) persist(rd Ready, point int) bool {
 	if point == 1 {
 		return false
 	}
@@ -89,16 +89,16 @@
 		r.disk.HardState = *rd.HardState
 	}
 	for _, e := range rd.Entries {
-		keep := slices.IndexFunc(r.disk.Entries, func(o Entry) bool { return o.Index >= e.Index })
-		if keep >= 0 {
-			r.disk.Entries = slices.Clone(r.disk.Entries[:keep])
+		from := slices.IndexFunc(r.disk.Entries, func(o Entry) bool { return o.Index >= e.Index })
+		if from >= 0 {
+			r.disk.Entries = slices.Clone(r.disk.Entries[:from])
 		}
 		r.disk.Entries = append(r.disk.Entries, e)
 	}
 	return point != 2
 }
 
-func (s *schedule) pump(id uint64, point int) {
+func (s *cluster) processReady(id uint64, point int) {
 	r := s.replicas[id]
 	if r.down || r.frozen {
 		return
@@ -107,20 +107,20 @@
 	if rd.Empty() {
 		return
 	}
-	if r.full && r.core.Durable(rd) {
-		r.core.Bar()
+	if r.diskFull && r.core.MustSync(rd) {
+		r.core.SuspendWrites()
 		return
 	}
-	if !r.full && !r.persist(rd, point) {
+	if !r.diskFull && !r.persist(rd, point) {
 		r.down = true
 		return
 	}
 	if point == 3 {
-		s.net = append(s.net, rd.Messages[:len(rd.Messages)/2]...)
+		s.network = append(s.network, rd.Messages[:len(rd.Messages)/2]...)
 		r.down = true
 		return
 	}
-	s.net = append(s.net, rd.Messages...)
+	s.network = append(s.network, rd.Messages...)
 	if rd.Snapshot != nil {
 		r.restore(rd.Snapshot)
 	}
@@ -133,18 +133,18 @@
 	s.checkLeader(id)
 }
 
-func (s *schedule) apply(r *replicaUnderTest, e Entry) {
+func (s *cluster) apply(r *testReplica, e Entry) {
 	text := fmt.Sprint(e.Term, e.Type, string(e.Data))
-	if was, ok := s.chosen[e.Index]; ok && was != text {
-		s.t.Fatalf("index %d committed twice: %s and %s", e.Index, was, text)
+	if earlier, ok := s.committed[e.Index]; ok && earlier != text {
+		s.t.Fatalf("index %d committed twice: %s and %s", e.Index, earlier, text)
 	}
-	s.chosen[e.Index] = text
+	s.committed[e.Index] = text
 	if e.Type == EntryCommand {
 		r.applied = append(r.applied, string(e.Data))
 	}
 }
 
-func (s *schedule) checkLeader(id uint64) {
+func (s *cluster) checkLeader(id uint64) {
 	c := s.replicas[id].core
 	if c.Role() != Leader {
 		return
@@ -155,44 +155,44 @@
 	s.leaders[c.Term()] = id
 }
 
-func (s *schedule) deliver() {
-	n := len(s.net)
+func (s *cluster) deliver() {
+	n := len(s.network)
 	for range min(n, 6) {
-		i := s.rnd.IntN(len(s.net))
-		m := s.net[i]
-		if s.rnd.Float64() > 0.1 { // the rest is delivered again later
-			s.net = slices.Delete(s.net, i, i+1)
+		i := s.random.IntN(len(s.network))
+		m := s.network[i]
+		if s.random.Float64() > 0.1 { // other messages stay queued and are delivered again
+			s.network = slices.Delete(s.network, i, i+1)
 		}
 		r := s.replicas[m.To]
-		if r == nil || r.down || r.frozen || s.cut[[2]uint64{m.From, m.To}] || s.rnd.Float64() < s.loss {
+		if r == nil || r.down || r.frozen || s.cutLinks[[2]uint64{m.From, m.To}] || s.random.Float64() < s.lossRate {
 			continue
 		}
 		r.core.Step(m)
-		s.pump(m.To, s.crashPoint())
+		s.processReady(m.To, s.crashPoint())
 	}
-	if len(s.net) > 400 {
-		s.net = s.net[len(s.net)-400:]
+	if len(s.network) > 400 {
+		s.network = s.network[len(s.network)-400:]
 	}
 }
 
-func (s *schedule) crashPoint() int {
-	if s.loss > 0 && s.rnd.IntN(400) == 0 {
-		return 1 + s.rnd.IntN(3)
+func (s *cluster) crashPoint() int {
+	if s.lossRate > 0 && s.random.IntN(400) == 0 {
+		return 1 + s.random.IntN(3)
 	}
 	return 0
 }
 
-func (s *schedule) trouble() {
-	a, b := s.pick(), s.pick()
-	switch s.rnd.IntN(10) {
+func (s *cluster) injectFault() {
+	a, b := s.randomID(), s.randomID()
+	switch s.random.IntN(10) {
 	case 8:
-		s.replicas[a].full = true
+		s.replicas[a].diskFull = true
 	case 9:
-		s.replicas[a].write()
+		s.replicas[a].freeDisk()
 	case 0:
-		s.cut[[2]uint64{a, b}] = true // one way
+		s.cutLinks[[2]uint64{a, b}] = true // in one direction only
 	case 1, 2:
-		clear(s.cut)
+		clear(s.cutLinks)
 	case 3:
 		s.replicas[a].frozen = true
 	case 4, 5:
@@ -204,19 +204,19 @@
 	}
 }
 
-// write lets the disk take writes again.
-func (r *replicaUnderTest) write() {
-	r.full = false
-	r.core.Unbar()
+// freeDisk makes the disk writable again.
+func (r *testReplica) freeDisk() {
+	r.diskFull = false
+	r.core.ResumeWrites()
 }
 
-func (s *schedule) pick() uint64 { return s.order[s.rnd.IntN(len(s.order))] }
+func (s *cluster) randomID() uint64 { return s.ids[s.random.IntN(len(s.ids))] }
 
-func (s *schedule) round(number int) {
-	for _, id := range s.order {
+func (s *cluster) round(number int) {
+	for _, id := range s.ids {
 		if r := s.replicas[id]; !r.down && !r.frozen {
 			r.core.Tick()
-			s.pump(id, s.crashPoint())
+			s.processReady(id, s.crashPoint())
 		}
 	}
 	s.deliver()
@@ -228,26 +228,26 @@
 	}
 }
 
-func (s *schedule) propose(number int) {
-	for _, id := range s.order {
+func (s *cluster) propose(number int) {
+	for _, id := range s.ids {
 		r := s.replicas[id]
 		if r.down || r.frozen || r.core.Role() != Leader {
 			continue
 		}
 		command := fmt.Appendf(nil, "%d", number)
-		if s.large > 0 && s.rnd.IntN(8) == 0 {
-			command = fmt.Appendf(nil, "%0*d", s.large, number)
+		if s.largeCommandBytes > 0 && s.random.IntN(8) == 0 {
+			command = fmt.Appendf(nil, "%0*d", s.largeCommandBytes, number)
 		}
 		if _, _, err := r.core.Propose(command); err == nil {
-			s.pump(id, 0)
+			s.processReady(id, 0)
 		}
 	}
 }
 
-func (s *schedule) compact() {
-	for _, id := range s.order {
+func (s *cluster) compact() {
+	for _, id := range s.ids {
 		r := s.replicas[id]
-		if r.down || r.frozen || r.full || s.rnd.IntN(2) == 0 {
+		if r.down || r.frozen || r.diskFull || s.random.IntN(2) == 0 {
 			continue
 		}
 		data, _ := json.Marshal(r.applied)
@@ -257,15 +257,16 @@
 	}
 }
 
-// healed numbers the command that every group takes once all faults are over.
-const healed = 1 << 20
+// healedCommand is the number of a command proposed in every cluster after all
+// faults have ended.
+const healedCommand = 1 << 20
 
-func (s *schedule) heal() {
-	s.loss = 0
-	clear(s.cut)
-	for _, id := range s.order {
+func (s *cluster) heal() {
+	s.lossRate = 0
+	clear(s.cutLinks)
+	for _, id := range s.ids {
 		s.replicas[id].frozen = false
-		s.replicas[id].write()
+		s.replicas[id].freeDisk()
 		if s.replicas[id].down {
 			s.start(id)
 		}
@@ -273,14 +274,15 @@
 	for i := range 2000 {
 		s.round(3*i + 1)
 		if i == 1000 {
-			s.propose(healed) // a schedule may be so rough that none was taken before
+			s.propose(healedCommand) // a schedule may have had so many faults that no command was accepted before
 		}
 	}
 }
 
-// TestSchedules runs seeded schedules of loss, reordering, duplicates, crashes
-// at each point of persisting, one-way cuts, freezes and full disks.
-func TestSchedules(t *testing.T) {
+// TestRandomSchedules runs seeded random schedules of message loss, reordering,
+// duplicates, crashes at each point of persisting, one-way link failures, frozen
+// processes and full disks.
+func TestRandomSchedules(t *testing.T) {
 	tests := []struct {
 		name   string
 		voters int
@@ -292,8 +294,8 @@
 		{"three rough", 3, 0.1, 40, 0},
 		{"five rough", 5, 0.1, 20, 0},
 		{"one", 1, 0.1, 3, 0},
-		{"three calm, large commands", 3, 0, 3, largeBytes},
-		{"five rough, large commands", 5, 0.1, 10, largeBytes},
+		{"three calm, large commands", 3, 0, 3, largeMessageBytes},
+		{"five rough, large commands", 5, 0.1, 10, largeMessageBytes},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -306,29 +308,30 @@
 
 func runSchedule(t *testing.T, seed uint64, voters int, loss float64, large int) {
 	t.Helper()
-	s := newSchedule(t, seed, voters)
-	s.loss, s.large = loss, large
+	s := newCluster(t, seed, voters)
+	s.lossRate, s.largeCommandBytes = loss, large
 	for i := range 1500 {
 		s.round(i)
 		if loss > 0 && i%20 == 0 {
-			s.trouble()
+			s.injectFault()
 		}
 	}
 	s.heal()
 	want := s.replicas[1].applied
-	if !slices.ContainsFunc(want, func(command string) bool { return strings.HasSuffix(command, fmt.Sprint(healed)) }) {
-		t.Fatalf("seed %d: the command after all faults was not committed", seed)
+	if !slices.ContainsFunc(want, func(command string) bool { return strings.HasSuffix(command, fmt.Sprint(healedCommand)) }) {
+		t.Fatalf("seed %d: the command proposed after all faults was not committed", seed)
 	}
-	for _, id := range s.order {
+	for _, id := range s.ids {
 		if got := s.replicas[id].applied; !slices.Equal(got, want) {
-			t.Fatalf("seed %d: replica %d applied %d commands, replica 1 %d", seed, id, len(got), len(want))
+			t.Fatalf("seed %d: replica %d applied %d commands, want the %d of replica 1", seed, id, len(got), len(want))
 		}
 	}
 }
 
-// TestBlankReplicaJoinsAsLearner replaces a member that lost its disk.
+// TestBlankReplicaJoinsAsLearner replaces a member that lost its disk by a blank
+// replica, which joins as a learner and becomes a voter.
 func TestBlankReplicaJoinsAsLearner(t *testing.T) {
-	s := newSchedule(t, 3, 3)
+	s := newCluster(t, 3, 3)
 	run := func(n int) {
 		for i := range n {
 			s.round(i)
@@ -338,40 +341,40 @@
 	s.replicas[3].down = true
 	run(300)
 	s.add(4, State{})
-	step := func(members ...Member) {
+	changeMembers := func(members ...Member) {
 		t.Helper()
 		for range 400 {
 			run(1)
-			for _, id := range s.order {
+			for _, id := range s.ids {
 				r := s.replicas[id]
 				if !r.down && r.core.Role() == Leader {
 					if _, _, err := r.core.ProposeMembers(members); err == nil {
-						s.pump(id, 0)
+						s.processReady(id, 0)
 						run(100)
 						return
 					}
 				}
 			}
 		}
-		t.Fatal("no leader took the change of members")
+		t.Fatal("no leader accepted the membership change")
 	}
 	one, two, three := Member{ID: 1, Voter: true}, Member{ID: 2, Voter: true}, Member{ID: 3, Voter: true}
-	step(one, two, three, Member{ID: 4})
-	if s.replicas[4].core.Role() != Follower || s.replicas[4].core.voter(4) {
-		t.Fatal("a learner votes")
-	}
-	step(one, two, Member{ID: 4})
-	step(one, two, Member{ID: 4, Voter: true})
-	// A second failure right after the repair loses nothing.
-	before := len(s.replicas[1].applied)
+	changeMembers(one, two, three, Member{ID: 4})
+	if s.replicas[4].core.Role() != Follower || s.replicas[4].core.isVoter(4) {
+		t.Fatal("replica 4 is a voter, want a learner")
+	}
+	changeMembers(one, two, Member{ID: 4})
+	changeMembers(one, two, Member{ID: 4, Voter: true})
+	// The cluster tolerates a second failure right after the replacement.
+	appliedBefore := len(s.replicas[1].applied)
 	s.replicas[2].down = true
 	run(1000)
-	if len(s.replicas[4].applied) <= before {
-		t.Fatal("nothing is committed after the second failure")
+	if len(s.replicas[4].applied) <= appliedBefore {
+		t.Fatal("no command was committed after the second failure")
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestRejectedMessages(t *testing.T) {
 	members := []Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}
 	start := func() *Core {
 		return New(Options{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2}, State{Snapshot: &Snapshot{Index: 5, Term: 2, Members: members}, HardState: HardState{Term: 2}})
@@ -399,49 +402,52 @@
 	}
 }
 
-// TestCommitIsTold: followers learn of a commit without waiting for a tick.
-func TestCommitIsTold(t *testing.T) {
-	s := newSchedule(t, 1, 3)
+// TestCommitIsAnnounced checks that followers learn a new commit index without
+// waiting for a tick.
+func TestCommitIsAnnounced(t *testing.T) {
+	s := newCluster(t, 1, 3)
 	for i := 0; len(s.leaders) == 0; i++ {
 		s.round(3*i + 1)
 	}
 	deliverAll := func() {
-		for len(s.net) > 0 {
-			m := s.net[0]
-			s.net = s.net[1:]
+		for len(s.network) > 0 {
+			m := s.network[0]
+			s.network = s.network[1:]
 			s.replicas[m.To].core.Step(m)
-			s.pump(m.To, 0)
+			s.processReady(m.To, 0)
 		}
 	}
 	deliverAll()
 	s.propose(7)
 	deliverAll()
-	for _, id := range s.order {
+	for _, id := range s.ids {
 		if got := s.replicas[id].applied; len(got) == 0 || got[len(got)-1] != "7" {
 			t.Errorf("replica %d applied %v", id, got)
 		}
 	}
 }
 
-// restored returns replica 1 of three with a log of its own.
-func restored(hard HardState, entries ...Entry) *Core {
+// newRestored returns replica 1 of three, restarted with the given hard state
+// and entries.
+func newRestored(hard HardState, entries ...Entry) *Core {
 	members := []Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}
 	return New(Options{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2}, State{
 		Snapshot: &Snapshot{Index: 1, Term: 1, Members: members}, HardState: hard, Entries: entries,
 	})
 }
 
-// TestOldTermIsNotCountedIn: an entry of an earlier term that a quorum holds is
-// committed only with one of the leader's own term (Raft, section 5.4.2).
-func TestOldTermIsNotCountedIn(t *testing.T) {
-	c := restored(HardState{Term: 3}, Entry{Index: 2, Term: 2})
+// TestOldTermEntryIsNotCommittedByCount checks that an entry of an earlier term
+// that a quorum holds is committed only together with an entry of the leader's
+// own term (Raft, section 5.4.2).
+func TestOldTermEntryIsNotCommittedByCount(t *testing.T) {
+	c := newRestored(HardState{Term: 3}, Entry{Index: 2, Term: 2})
 	for c.role != PreCandidate {
 		c.Tick()
 	}
 	c.Step(Message{Type: MessagePreVoteReply, From: 2, To: 1, Term: 4})
 	c.Step(Message{Type: MessageVoteReply, From: 2, To: 1, Term: 4})
 	if c.role != Leader {
-		t.Fatalf("role is %d", c.role)
+		t.Fatalf("got role %d, want leader", c.role)
 	}
 	advance := func() {
 		if err := c.Advance(c.Ready()); err != nil {
@@ -452,74 +458,75 @@
 	c.Step(Message{Type: MessageAppendReply, From: 2, To: 1, Term: 4, Index: 2})
 	advance()
 	if c.Commit() != 1 {
-		t.Fatalf("an old entry was committed by counting: %d", c.Commit())
+		t.Fatalf("an entry of an earlier term was committed by counting replicas: commit %d, want 1", c.Commit())
 	}
 	c.Step(Message{Type: MessageAppendReply, From: 2, To: 1, Term: 4, Index: 3})
 	if c.Commit() != 3 {
-		t.Fatalf("commit is %d with an entry of its own term at a quorum", c.Commit())
+		t.Fatalf("got commit %d with an entry of the leader's own term at a quorum, want 3", c.Commit())
 	}
 }
 
-// TestVoteIsKept: a replica that restarts does not vote twice in a term.
-func TestVoteIsKept(t *testing.T) {
-	c := restored(HardState{Term: 3})
+// TestVoteSurvivesRestart checks that a replica does not vote twice in a term
+// when it restarts in between.
+func TestVoteSurvivesRestart(t *testing.T) {
+	c := newRestored(HardState{Term: 3})
 	c.Step(Message{Type: MessageVote, From: 2, To: 1, Term: 4, Index: 1, LogTerm: 1})
 	rd := c.Ready()
 	if rd.HardState == nil || len(rd.Messages) != 1 || rd.Messages[0].Reject {
-		t.Fatalf("no vote was given: %+v", rd)
+		t.Fatalf("no vote was granted: %+v", rd)
 	}
-	again := restored(*rd.HardState)
-	again.Step(Message{Type: MessageVote, From: 3, To: 1, Term: 4, Index: 9, LogTerm: 3})
-	if rd := again.Ready(); len(rd.Messages) != 1 || !rd.Messages[0].Reject {
-		t.Fatalf("a second vote was given: %+v", rd.Messages)
+	restarted := newRestored(*rd.HardState)
+	restarted.Step(Message{Type: MessageVote, From: 3, To: 1, Term: 4, Index: 9, LogTerm: 3})
+	if rd := restarted.Ready(); len(rd.Messages) != 1 || !rd.Messages[0].Reject {
+		t.Fatalf("a second vote was granted in the same term: %+v", rd.Messages)
 	}
 }
 
-// TestFullDisk: a leader that cannot write leads no more, votes for nobody and
-// takes no entries, while the others elect a leader and commit; it follows again
-// once it can write.
+// TestFullDisk checks that a leader that cannot write steps down, grants no votes
+// and accepts no entries, while the others elect a leader and commit, and that it
+// follows the new leader once it can write.
 func TestFullDisk(t *testing.T) {
-	s := newSchedule(t, 1, 3)
+	s := newCluster(t, 1, 3)
 	run := func(n int) {
 		for i := range n {
 			s.round(i)
 		}
 	}
 	leader := func() uint64 {
-		for _, id := range s.order {
-			if r := s.replicas[id]; !r.full && r.core.Role() == Leader {
+		for _, id := range s.ids {
+			if r := s.replicas[id]; !r.diskFull && r.core.Role() == Leader {
 				return id
 			}
 		}
 		return 0
 	}
 	run(300)
-	old := leader()
-	if old == 0 {
+	oldLeader := leader()
+	if oldLeader == 0 {
 		t.Fatal("no leader was elected")
 	}
-	full := s.replicas[old]
-	full.full = true
-	before := len(full.disk.Entries)
-	vote := full.disk.HardState
+	blocked := s.replicas[oldLeader]
+	blocked.diskFull = true
+	entriesBefore := len(blocked.disk.Entries)
+	hardStateBefore := blocked.disk.HardState
 	run(600)
-	if full.core.Role() == Leader || !full.core.Barred() {
-		t.Fatalf("role %d, barred %v with a full disk", full.core.Role(), full.core.Barred())
+	if blocked.core.Role() == Leader || !blocked.core.WritesSuspended() {
+		t.Fatalf("got role %d, writes suspended %v with a full disk", blocked.core.Role(), blocked.core.WritesSuspended())
 	}
-	if len(full.disk.Entries) != before || full.disk.HardState != vote {
-		t.Fatal("a full disk was written")
+	if len(blocked.disk.Entries) != entriesBefore || blocked.disk.HardState != hardStateBefore {
+		t.Fatal("the state on the full disk changed")
 	}
-	next := leader()
-	if next == 0 || next == old {
-		t.Fatalf("the others follow %d", next)
+	newLeader := leader()
+	if newLeader == 0 || newLeader == oldLeader {
+		t.Fatalf("got leader %d among the others, want a new one", newLeader)
 	}
-	if full.core.Leader() != next {
-		t.Errorf("the store with the full disk names %d as the leader, want %d", full.core.Leader(), next)
+	if blocked.core.Leader() != newLeader {
+		t.Errorf("the replica with the full disk follows leader %d, want %d", blocked.core.Leader(), newLeader)
 	}
-	done := len(s.replicas[next].applied)
-	full.write()
+	appliedBefore := len(s.replicas[newLeader].applied)
+	blocked.freeDisk()
 	run(600)
-	if len(full.applied) <= done {
-		t.Errorf("%d commands applied after the disk took writes again, %d before", len(full.applied), done)
+	if len(blocked.applied) <= appliedBefore {
+		t.Errorf("%d commands applied after the disk became writable, want more than %d", len(blocked.applied), appliedBefore)
 	}
 }
--- a/raft/message.go
+++ b/raft/message.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Member is one replica of the group.
+// Member is one replica of the Raft group.
 type Member struct {
 	ID      uint64 `json:"id"`
 	Name    string `json:"name"`
@@ -10,15 +10,15 @@
 	Voter   bool   `json:"voter"`
 }
 
-// EntryType tells commands from the core's own entries.
+// EntryType distinguishes commands from the entries that the core creates.
 type EntryType int
 
 // Types of entries.
 const (
 	EntryCommand EntryType = iota
-	// EntryEmpty opens a leader's term.
-	EntryEmpty
-	// EntryMembers carries the whole new list of members.
+	// EntryNoOp is the first entry of a leader's term.
+	EntryNoOp
+	// EntryMembers holds the complete new list of members.
 	EntryMembers
 )
 
@@ -30,14 +30,14 @@
 	Data  json.RawMessage `json:"d,omitempty"`
 }
 
-// HardState must be on disk before any message that follows from it leaves.
+// HardState must be on disk before any message that depends on it is sent.
 type HardState struct {
 	Term   uint64 `json:"term"`
 	Vote   uint64 `json:"vote"`
 	Commit uint64 `json:"commit"`
 }
 
-// Snapshot stands for all entries up to Index.
+// Snapshot replaces all entries up to and including Index.
 type Snapshot struct {
 	Index   uint64          `json:"index"`
 	Term    uint64          `json:"term"`
@@ -59,8 +59,8 @@
 	MessageSnapshot
 )
 
-// Message travels between replicas. Any of them may be lost, repeated, late or
-// out of order.
+// Message is sent between replicas. Messages may be lost, duplicated, delayed or
+// reordered.
 type Message struct {
 	Type    MessageType `json:"type"`
 	From    uint64      `json:"from"`
@@ -70,14 +70,14 @@
 	LogTerm uint64      `json:"log_term,omitempty"`
 	Commit  uint64      `json:"commit,omitempty"`
 	Reject  bool        `json:"reject,omitempty"`
-	// Round numbers the leader's heartbeats; a reply gives it back.
+	// Round is the number of the leader's heartbeat; a reply echoes it.
 	Round    uint64    `json:"round,omitempty"`
 	Entries  []Entry   `json:"entries,omitempty"`
 	Snapshot *Snapshot `json:"snapshot,omitempty"`
 }
 
-// Size is the length of what a message carries, in bytes.
-func (m *Message) Size() int {
+// PayloadBytes returns the total length of the entries and the snapshot.
+func (m *Message) PayloadBytes() int {
 	size := 0
 	for _, e := range m.Entries {
 		size += len(e.Data)
@@ -88,7 +88,7 @@
 	return size
 }
 
-// Ready is what the driver must do, in this order: persist Snapshot, HardState
+// Ready is the work for the driver, in this order: persist Snapshot, HardState
 // and Entries and sync; send Messages; apply Committed; call Advance.
 type Ready struct {
 	Snapshot  *Snapshot
@@ -96,11 +96,13 @@
 	Entries   []Entry
 	Messages  []Message
 	Committed []Entry
-	// Reads are the barriers that hold once Committed is applied.
-	Reads []uint64
-	// Dropped are barriers that were asked of a leader that is none any more.
-	Dropped []uint64
+	// ConfirmedReads are the read barriers that are satisfied once Committed is
+	// applied.
+	ConfirmedReads []uint64
+	// DroppedReads are the pending read barriers of a replica that lost the
+	// leadership.
+	DroppedReads []uint64
 }
 
-// AsksForVote tells whether the message is of a campaign.
-func (m *Message) AsksForVote() bool { return m.Type == MessagePreVote || m.Type == MessageVote }
+// IsVoteRequest reports whether the message requests a vote or pre-vote.
+func (m *Message) IsVoteRequest() bool { return m.Type == MessagePreVote || m.Type == MessageVote }
--- a/raft/step.go
+++ b/raft/step.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Step takes in one message.
+// Step processes one received message.
 func (c *Core) Step(m Message) {
-	if m.To != c.options.ID || c.barred && m.AsksForVote() {
+	if m.To != c.options.ID || c.writesSuspended && m.IsVoteRequest() {
 		return
 	}
-	if m.Term > c.term && !c.newerTerm(m) {
+	if m.Term > c.term && !c.stepNewerTerm(m) {
 		return
 	}
 	if m.Term < c.term {
-		c.stale(m)
+		c.rejectStale(m)
 		return
 	}
 	switch m.Type {
@@ -32,12 +32,13 @@
 	}
 }
 
-// newerTerm handles a message of a later term; false means it is dropped.
-func (c *Core) newerTerm(m Message) bool {
+// stepNewerTerm handles a message of a later term; it returns false if Step must
+// not process the message further.
+func (c *Core) stepNewerTerm(m Message) bool {
 	switch m.Type {
 	case MessagePreVote, MessageVote:
-		if c.leader != 0 && c.elapsed < c.options.ElectionTicks {
-			return false // a leader is in touch: no vote now
+		if c.leader != 0 && c.electionElapsed < c.options.ElectionTicks {
+			return false // a current leader is known, so no vote is granted
 		}
 		if m.Type == MessagePreVote {
 			c.grantPreVote(m)
@@ -58,8 +59,8 @@
 	return true
 }
 
-// stale tells a sender of an old term about the present one.
-func (c *Core) stale(m Message) {
+// rejectStale answers a message of an earlier term with the current term.
+func (c *Core) rejectStale(m Message) {
 	switch m.Type {
 	case MessageAppend, MessageSnapshot:
 		c.send(Message{Type: MessageAppendReply, To: m.From, Term: c.term, Reject: true})
@@ -68,14 +69,14 @@
 	}
 }
 
-func (c *Core) upToDate(m Message) bool {
+func (c *Core) isUpToDate(m Message) bool {
 	last := c.lastIndex()
 	term := c.termAt(last)
 	return m.LogTerm > term || (m.LogTerm == term && m.Index >= last)
 }
 
 func (c *Core) grantPreVote(m Message) {
-	if c.upToDate(m) {
+	if c.isUpToDate(m) {
 		c.send(Message{Type: MessagePreVoteReply, To: m.From, Term: m.Term})
 		return
 	}
@@ -84,44 +85,44 @@
 
 func (c *Core) stepVote(m Message) {
 	if m.Type == MessagePreVote {
-		if c.leader == 0 || c.elapsed >= c.options.ElectionTicks {
+		if c.leader == 0 || c.electionElapsed >= c.options.ElectionTicks {
 			c.grantPreVote(m)
 		}
 		return
 	}
-	free := c.vote == 0 && c.leader == 0 || c.vote == m.From
-	grant := free && c.upToDate(m)
+	canVote := c.vote == 0 && c.leader == 0 || c.vote == m.From
+	grant := canVote && c.isUpToDate(m)
 	if grant {
 		c.vote = m.From
-		c.elapsed = 0
+		c.electionElapsed = 0
 	}
 	c.send(Message{Type: MessageVoteReply, To: m.From, Term: c.term, Reject: !grant})
 }
 
 func (c *Core) stepVoteReply(m Message) {
-	pre := m.Type == MessagePreVoteReply
-	if pre && (c.role != PreCandidate || (!m.Reject && m.Term != c.term+1)) {
+	preVote := m.Type == MessagePreVoteReply
+	if preVote && (c.role != PreCandidate || (!m.Reject && m.Term != c.term+1)) {
 		return
 	}
-	if !pre && c.role != Candidate {
+	if !preVote && c.role != Candidate {
 		return
 	}
 	c.votes[m.From] = !m.Reject
 	if c.quorum(func(id uint64) bool { return c.votes[id] }) {
-		c.won()
+		c.electionWon()
 	}
 }
 
-func (c *Core) follow(m Message) {
+func (c *Core) followLeader(m Message) {
 	if c.role != Follower || c.leader != m.From {
 		c.become(Follower, c.term, m.From)
 	}
-	c.elapsed = 0
+	c.electionElapsed = 0
 }
 
 func (c *Core) stepAppend(m Message) {
-	c.follow(m)
-	if c.barred {
+	c.followLeader(m)
+	if c.writesSuspended {
 		m.Entries = nil
 	}
 	reply := Message{Type: MessageAppendReply, To: m.From, Term: c.term, Round: m.Round}
@@ -136,15 +137,15 @@
 		c.send(reply)
 		return
 	}
-	c.merge(m.Entries)
+	c.mergeEntries(m.Entries)
 	last := m.Index + uint64(len(m.Entries))
 	c.commit = max(c.commit, min(m.Commit, last))
 	reply.Index = last
 	c.send(reply)
 }
 
-// merge appends entries, dropping a tail that conflicts.
-func (c *Core) merge(entries []Entry) {
+// mergeEntries appends entries after dropping a conflicting tail of the log.
+func (c *Core) mergeEntries(entries []Entry) {
 	for i, e := range entries {
 		if e.Index <= c.lastIndex() && c.termAt(e.Index) == e.Term {
 			continue
@@ -159,28 +160,28 @@
 }
 
 func (c *Core) stepSnapshot(m Message) {
-	c.follow(m)
-	if c.barred {
+	c.followLeader(m)
+	if c.writesSuspended {
 		return
 	}
 	s := m.Snapshot
 	reply := Message{Type: MessageAppendReply, To: m.From, Term: c.term, Round: m.Round, Index: c.commit}
 	if s.Index > c.commit {
-		c.install(s)
+		c.installSnapshot(s)
 		reply.Index = s.Index
 	}
 	c.send(reply)
 }
 
-func (c *Core) install(s *Snapshot) {
+func (c *Core) installSnapshot(s *Snapshot) {
 	if c.termAt(s.Index) == s.Term && s.Index <= c.lastIndex() {
 		c.entries = slices.Clone(c.entries[s.Index-c.base:])
 	} else {
 		c.entries = nil
 	}
 	c.base, c.baseTerm = s.Index, s.Term
-	c.snap = s
-	c.snapNew = true
+	c.snapshot = s
+	c.snapshotUnsaved = true
 	c.commit = s.Index
 	c.applied = s.Index
 	c.stable = s.Index
@@ -192,105 +193,105 @@
 	if c.role != Leader || p == nil {
 		return
 	}
-	p.active = true
-	p.silent = 0
+	p.recentlyActive = true
+	p.sinceReply = 0
 	p.round = max(p.round, m.Round)
 	if m.Reject {
-		p.flight = flight{}
+		p.transfer = transfer{}
 		p.next = max(p.match+1, min(p.next, m.Index+1))
-		if p.paused == 0 {
+		if p.snapshotRetryTicks == 0 {
 			c.sendAppend(m.From)
 		}
 		return
 	}
 	if m.Index > p.match {
 		p.match = m.Index
-		p.paused = 0
+		p.snapshotRetryTicks = 0
 		c.advanceCommit()
 	}
 	p.next = max(p.next, p.match+1)
 	c.confirmReads()
-	if c.inFlight(p) {
-		if p.flight.ticks > 0 {
+	if c.inTransfer(p) {
+		if p.transfer.ticksLeft > 0 {
 			return
 		}
-		p.next, p.flight = p.flight.prev+1, flight{}
+		p.next, p.transfer = p.transfer.prev+1, transfer{}
 	}
 	if p.next <= c.lastIndex() {
 		c.sendAppend(m.From)
 	}
 }
 
-// advanceCommit commits what a quorum holds, of the present term only. The
+// advanceCommit commits entries of the current term that a quorum holds. The
 // leader's own entries count once they are on disk.
 func (c *Core) advanceCommit() {
 	for index := c.lastIndex(); index > c.commit && c.termAt(index) == c.term; index-- {
-		held := func(id uint64) bool {
+		persisted := func(id uint64) bool {
 			if id == c.options.ID {
 				return c.stable >= index
 			}
 			return c.Match(id) >= index
 		}
-		if c.quorum(held) {
+		if c.quorum(persisted) {
 			c.commit = index
-			c.tell = true
+			c.announceCommit = true
 			return
 		}
 	}
 }
 
-// Ready returns what is to be done now.
+// Ready returns the pending work for the driver.
 func (c *Core) Ready() Ready {
 	if c.role == Leader {
 		c.replicate()
 	}
 	var rd Ready
-	if c.snapNew {
-		rd.Snapshot = c.snap
+	if c.snapshotUnsaved {
+		rd.Snapshot = c.snapshot
 	}
-	if h := c.hard(); h != c.lastHard {
+	if h := c.currentHardState(); h != c.handledHardState {
 		rd.HardState = &h
 	}
 	rd.Entries = slices.Clone(c.entries[c.stable-c.base:])
 	rd.Messages = c.messages
 	c.messages = nil
 	rd.Committed = slices.Clone(c.entries[c.applied-c.base : c.commit-c.base])
-	rd.Reads, c.readsReady = c.readsReady, nil
-	rd.Dropped, c.dropped = c.dropped, nil
+	rd.ConfirmedReads, c.confirmedReads = c.confirmedReads, nil
+	rd.DroppedReads, c.droppedReads = c.droppedReads, nil
 	return rd
 }
 
-// replicate sends entries that members do not have on the way yet, and tells of
-// a new commit, which would else wait for the next heartbeat.
+// replicate sends entries that have not been sent to members yet, and announces
+// a new commit index, which would otherwise wait for the next heartbeat.
 func (c *Core) replicate() {
 	for id, p := range c.progress {
-		if id != c.options.ID && (p.next <= c.lastIndex() || c.tell) && p.next > c.base && p.active && !c.inFlight(p) {
+		if id != c.options.ID && (p.next <= c.lastIndex() || c.announceCommit) && p.next > c.base && p.recentlyActive && !c.inTransfer(p) {
 			c.sendAppend(id)
 		}
 	}
-	c.tell = false
+	c.announceCommit = false
 }
 
-// Empty tells whether there is nothing to do.
+// Empty reports whether there is nothing to do.
 func (r *Ready) Empty() bool {
 	return r.Snapshot == nil && r.HardState == nil && len(r.Entries) == 0 && len(r.Messages) == 0 &&
-		len(r.Committed) == 0 && len(r.Reads) == 0 && len(r.Dropped) == 0
+		len(r.Committed) == 0 && len(r.ConfirmedReads) == 0 && len(r.DroppedReads) == 0
 }
 
-// Durable tells whether a Ready must be on disk before its messages leave. A
-// later commit alone need not be: it is learned again.
-func (c *Core) Durable(rd Ready) bool {
-	changed := rd.HardState != nil && (rd.HardState.Term != c.lastHard.Term || rd.HardState.Vote != c.lastHard.Vote)
-	return rd.Snapshot != nil || len(rd.Entries) > 0 || changed
+// MustSync reports whether a Ready must be on disk before its messages are sent.
+// A higher commit index alone need not be: it is learned again after a restart.
+func (c *Core) MustSync(rd Ready) bool {
+	voteChanged := rd.HardState != nil && (rd.HardState.Term != c.handledHardState.Term || rd.HardState.Vote != c.handledHardState.Vote)
+	return rd.Snapshot != nil || len(rd.Entries) > 0 || voteChanged
 }
 
-// Advance tells the core that a Ready has been carried out.
+// Advance notifies the core that a Ready has been processed.
 func (c *Core) Advance(rd Ready) error {
-	if rd.Snapshot != nil && c.snap == rd.Snapshot {
-		c.snapNew = false
+	if rd.Snapshot != nil && c.snapshot == rd.Snapshot {
+		c.snapshotUnsaved = false
 	}
 	if rd.HardState != nil {
-		c.lastHard = *rd.HardState
+		c.handledHardState = *rd.HardState
 	}
 	if n := len(rd.Entries); n > 0 {
 		last := rd.Entries[n-1]
@@ -322,7 +323,7 @@
 	if c.role != Leader {
 		return nil
 	}
-	if !c.voter(c.options.ID) {
+	if !c.isVoter(c.options.ID) {
 		c.become(Follower, c.term, 0)
 		return nil
 	}
@@ -331,23 +332,24 @@
 }
 
 // Compact makes data, the state machine at the applied index, the newest
-// snapshot. The last keep entries before it stay, for members that lag a little.
+// snapshot. The last keep entries before it are retained, so that members that
+// lag slightly need no snapshot.
 func (c *Core) Compact(data []byte, keep uint64) *Snapshot {
-	if c.applied <= c.snap.Index {
-		return c.snap
+	if c.applied <= c.snapshot.Index {
+		return c.snapshot
 	}
-	c.snap = &Snapshot{Index: c.applied, Term: c.termAt(c.applied), Members: slices.Clone(c.members), Data: data}
+	c.snapshot = &Snapshot{Index: c.applied, Term: c.termAt(c.applied), Members: slices.Clone(c.members), Data: data}
 	if c.applied <= c.base+keep {
-		return c.snap
+		return c.snapshot
 	}
 	first := c.applied - keep
 	term := c.termAt(first)
 	c.entries = slices.Clone(c.entries[first-c.base:])
 	c.base, c.baseTerm = first, term
-	return c.snap
+	return c.snapshot
 }
 
 // Tail returns the entries after the snapshot that are on disk.
 func (c *Core) Tail() []Entry {
-	return slices.Clone(c.entries[c.snap.Index-c.base : c.stable-c.base])
+	return slices.Clone(c.entries[c.snapshot.Index-c.base : c.stable-c.base])
 }
--- a/replica/founders_test.go
+++ b/replica/bootstrap_test.go
@@ -18,28 +18,28 @@
 	"wheelgauge/raft"
 )
 
-const testLimit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// machine keeps the last command.
-type machine struct {
+// testMachine keeps the last command.
+type testMachine struct {
 	mu   sync.Mutex
 	last string
 }
 
-func (m *machine) Apply(_ uint64, command []byte) []byte {
+func (m *testMachine) Apply(_ uint64, command []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.last = string(command)
 	return []byte(`{}`)
 }
 
-func (m *machine) Snapshot() ([]byte, error) {
+func (m *testMachine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return json.Marshal(m.last)
 }
 
-func (m *machine) Restore(snapshot []byte) error {
+func (m *testMachine) Restore(snapshot []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.last = ""
@@ -49,7 +49,7 @@
 	return json.Unmarshal(snapshot, &m.last)
 }
 
-func (m *machine) value() string {
+func (m *testMachine) value() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.last
@@ -58,24 +58,24 @@
 // node is one replica with its listener.
 type node struct {
 	replica *Replica
-	machine *machine
+	machine *testMachine
 	http    *httpserve.Server
 	address string
 	dir     string
 }
 
-// group starts replicas at addresses of their own.
-type group struct {
+// cluster starts replicas at addresses of their own.
+type cluster struct {
 	t     *testing.T
 	seeds []string
 	nodes map[string]*node
 	// options changes those of the next replicas; nil changes nothing.
-	options func(o *Options)
+	editOptions func(o *Options)
 }
 
-func (g *group) start(address, dir string, first bool) *node {
+func (g *cluster) start(address, dir string, first bool) *node {
 	g.t.Helper()
-	n := &node{machine: &machine{}, address: address, dir: dir}
+	n := &node{machine: &testMachine{}, address: address, dir: dir}
 	o := Options{
 		Dir: dir, Name: address, Address: address, Peers: g.seeds, Voters: 5, Tick: 5 * time.Millisecond,
 		Client: peerhttp.NewClient(nil, ""), Log: logr.Discard(),
@@ -83,8 +83,8 @@
 	if first {
 		o.Founders = g.seeds
 	}
-	if g.options != nil {
-		g.options(&o)
+	if g.editOptions != nil {
+		g.editOptions(&o)
 	}
 	var err error
 	if n.replica, err = Open(context.Background(), o, n.machine); err != nil {
@@ -102,7 +102,7 @@
 	return n
 }
 
-func (g *group) stop(n *node) {
+func (g *cluster) stop(n *node) {
 	delete(g.nodes, n.address)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -110,33 +110,33 @@
 	_ = n.replica.Close()
 }
 
-func (g *group) stopAll() {
+func (g *cluster) stopAll() {
 	for _, n := range g.nodes {
 		g.stop(n)
 	}
 }
 
-func (g *group) voters() int {
-	best := 0
+func (g *cluster) voters() int {
+	voters := 0
 	for _, n := range g.nodes {
 		if !n.replica.Leading() {
 			continue
 		}
-		best = 0
+		voters = 0
 		for _, m := range n.replica.Status().Members {
 			if m.Voter {
-				best++
+				voters++
 			}
 		}
 	}
-	return best
+	return voters
 }
 
-func (g *group) waitFor(what string, ok func() bool) {
+func (g *cluster) waitFor(what string, ok func() bool) {
 	g.t.Helper()
-	limit := time.Now().Add(testLimit)
+	deadline := time.Now().Add(testTimeout)
 	for !ok() {
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			for _, n := range g.nodes {
 				g.t.Logf("%s refuses %v: %+v", n.address, n.replica.Refuses(), n.replica.Status())
 			}
@@ -146,7 +146,7 @@
 	}
 }
 
-func (g *group) propose(n *node, value string) {
+func (g *cluster) propose(n *node, value string) {
 	g.t.Helper()
 	command, _ := json.Marshal(value)
 	g.waitFor("the change "+value, func() bool {
@@ -159,9 +159,9 @@
 
 // Three seeds found a group together, two stores join it, and a store whose
 // disk is lost comes back as a voter, without an operator.
-func TestGroupFoundsItself(t *testing.T) {
+func TestGroupBootstraps(t *testing.T) {
 	all := []string{"127.0.77.1:7801", "127.0.77.2:7801", "127.0.77.3:7801", "127.0.77.4:7801", "127.0.77.5:7801"}
-	g := &group{t: t, seeds: all[:3], nodes: map[string]*node{}}
+	g := &cluster{t: t, seeds: all[:3], nodes: map[string]*node{}}
 	defer g.stopAll()
 	for _, a := range all {
 		g.start(a, t.TempDir(), true)
@@ -170,38 +170,38 @@
 	g.propose(g.nodes[all[4]], "kept")
 
 	lost := g.nodes[all[0]]
-	before := lost.replica.Status().Self.ID
+	oldID := lost.replica.Status().Self.ID
 	g.stop(lost)
-	again := g.start(all[0], t.TempDir(), false)
+	restarted := g.start(all[0], t.TempDir(), false)
 	g.waitFor("five voters with the store on its new disk", func() bool {
-		return g.voters() == 5 && slices.ContainsFunc(again.replica.Status().Members, func(m raft.Member) bool {
-			return m.ID == again.replica.Status().Self.ID && m.Voter
+		return g.voters() == 5 && slices.ContainsFunc(restarted.replica.Status().Members, func(m raft.Member) bool {
+			return m.ID == restarted.replica.Status().Self.ID && m.Voter
 		})
 	})
-	if again.replica.Status().Self.ID == before {
+	if restarted.replica.Status().Self.ID == oldID {
 		t.Error("a store on a blank disk has its old identity")
 	}
-	g.waitFor("the state at the new disk", func() bool { return again.machine.value() == `"kept"` })
+	g.waitFor("the state at the new disk", func() bool { return restarted.machine.value() == `"kept"` })
 }
 
 // A sixth store stays a learner, and takes the place of a voter that is gone.
-func TestSpareTakesPlaceOfLostVoter(t *testing.T) {
+func TestLearnerReplacesLostVoter(t *testing.T) {
 	all := []string{"127.0.78.1:7801", "127.0.78.2:7801", "127.0.78.3:7801", "127.0.78.4:7801", "127.0.78.5:7801", "127.0.78.6:7801"}
-	g := &group{t: t, seeds: all[:3], nodes: map[string]*node{}}
+	g := &cluster{t: t, seeds: all[:3], nodes: map[string]*node{}}
 	defer g.stopAll()
 	for _, a := range all[:5] {
 		g.start(a, t.TempDir(), true)
 	}
 	g.waitFor("five voters", func() bool { return g.voters() == 5 })
-	spare := g.start(all[5], t.TempDir(), false)
+	learner := g.start(all[5], t.TempDir(), false)
 	g.waitFor("a learner", func() bool {
-		return g.voters() == 5 && len(spare.replica.Status().Members) == 6
+		return g.voters() == 5 && len(learner.replica.Status().Members) == 6
 	})
-	if spare.replica.Status().Self.Voter {
+	if learner.replica.Status().Self.Voter {
 		t.Error("a sixth store votes")
 	}
 	g.stop(g.nodes[all[1]])
-	g.waitFor("the spare votes", func() bool { return g.voters() == 5 && spare.replica.Status().Self.Voter })
+	g.waitFor("the spare votes", func() bool { return g.voters() == 5 && learner.replica.Status().Self.Voter })
 }
 
 // A write that is torn in its middle, as a loss of power leaves it, damages
@@ -215,7 +215,7 @@
 	if err := s.save(&raft.HardState{Term: 2}, []raft.Entry{{Index: 1, Term: 2, Data: []byte(`"a"`)}}); err != nil {
 		t.Fatal(err)
 	}
-	whole := s.log.Size()
+	intactBytes := s.log.Size()
 	if err := s.save(&raft.HardState{Term: 2, Commit: 1}, []raft.Entry{{Index: 2, Term: 2, Data: []byte(`"b"`)}, {Index: 3, Term: 2, Data: []byte(`"c"`)}}); err != nil {
 		t.Fatal(err)
 	}
@@ -227,7 +227,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := whole + 20; i < whole+40; i++ {
+	for i := intactBytes + 20; i < intactBytes+40; i++ {
 		data[i] = 0
 	}
 	if err := os.WriteFile(path, data, 0o600); err != nil {
@@ -241,7 +241,7 @@
 	if blank || len(state.Entries) != 1 || state.HardState.Term != 2 {
 		t.Errorf("blank %v, state %+v", blank, state)
 	}
-	if s.log.Size() != whole {
-		t.Errorf("log of %d bytes, want the %d that were whole", s.log.Size(), whole)
+	if s.log.Size() != intactBytes {
+		t.Errorf("log of %d bytes, want the %d that were whole", s.log.Size(), intactBytes)
 	}
 }
--- a/replica/disk.go
+++ b/replica/disk.go
@@ -13,78 +13,78 @@
 	"wheelgauge/wal"
 )
 
-// diskRetry is how often a disk that takes no writes is tried again: a full disk
+// diskRetryInterval is how often a disk that takes no writes is tried again: a full disk
 // costs one failed write each time, and the group misses the replica that long
 // after there is room.
-const diskRetry = 200 * time.Millisecond
+const diskRetryInterval = 200 * time.Millisecond
 
 // diskState tells whether the disk takes writes. While it takes none, the replica
 // stays a reader of the group, which decides without it.
 type diskState struct {
 	// refuses is read outside the run loop.
-	refuses atomic.Bool
-	tried   time.Time
+	unwritable  atomic.Bool
+	lastAttempt time.Time
 }
 
-// openWaiting opens the storage. While a blank disk has no room for its folder,
+// openStorageWithRetry opens the storage. While a blank disk has no room for its folder,
 // nothing can be known of who this replica is, and it waits.
-func openWaiting(ctx context.Context, o Options) (*storage, raft.State, bool, error) {
+func openStorageWithRetry(ctx context.Context, o Options) (*storage, raft.State, bool, error) {
 	for {
 		s, state, blank, err := openStorage(o.Dir)
-		if s != nil || !wal.Full(err) {
+		if s != nil || !wal.IsNoSpace(err) {
 			return s, state, blank, err
 		}
 		o.Log.Error(err, "Replica waits for its disk.")
 		select {
 		case <-ctx.Done():
 			return nil, state, false, err
-		case <-time.After(diskRetry):
+		case <-time.After(diskRetryInterval):
 		}
 	}
 }
 
 // Refuses tells whether the replica's disk takes no writes now.
-func (r *Replica) Refuses() bool { return r.disk.refuses.Load() }
+func (r *Replica) Refuses() bool { return r.disk.unwritable.Load() }
 
-// refuse goes on without the disk: the core takes no part in decisions, and who
+// suspendWrites goes on without the disk: the core takes no part in decisions, and who
 // waits for one is sent elsewhere.
-func (r *Replica) refuse(cause error) {
-	r.core.Bar()
-	r.disk.tried = time.Now()
-	if !r.disk.refuses.Swap(true) {
+func (r *Replica) suspendWrites(cause error) {
+	r.core.SuspendWrites()
+	r.disk.lastAttempt = time.Now()
+	if !r.disk.unwritable.Swap(true) {
 		r.options.Log.Error(cause, "Disk takes no writes: replica takes no part in decisions.", "term", r.core.Term(), "commit", r.core.Commit())
 	}
-	lost := noDisk().WithOutcome(wheelgauge.OutcomeUnknown)
+	err := diskUnwritableError().WithOutcome(wheelgauge.OutcomeUnknown)
 	for index, w := range r.waiters {
 		delete(r.waiters, index)
-		w.done <- result{err: lost}
+		w.done <- result{err: err}
 	}
 }
 
-func noDisk() *wheelgauge.Error {
+func diskUnwritableError() *wheelgauge.Error {
 	return wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable,
-		"the disk of this store takes no writes: ask another store").WithRetryAfter(leaderRetryTime)
+		"the disk of this store takes no writes: ask another store").WithRetryAfter(leaderRetryAfter)
 }
 
 // retryDisk tries a disk that took no writes again.
 func (r *Replica) retryDisk() {
-	if !r.disk.refuses.Load() || time.Since(r.disk.tried) < diskRetry {
+	if !r.disk.unwritable.Load() || time.Since(r.disk.lastAttempt) < diskRetryInterval {
 		return
 	}
-	r.disk.tried = time.Now()
-	if err := r.storage.mend(r.core.Snapshot(), r.core.Hard(), r.core.Tail()); err != nil {
+	r.disk.lastAttempt = time.Now()
+	if err := r.storage.repair(r.core.Snapshot(), r.core.HardState(), r.core.Tail()); err != nil {
 		return // told when it began
 	}
-	r.core.Unbar()
-	r.disk.refuses.Store(false)
+	r.core.ResumeWrites()
+	r.disk.unwritable.Store(false)
 	r.options.Log.Info("Disk takes writes again.", "term", r.core.Term(), "commit", r.core.Commit())
 }
 
-// keep persists what a Ready asks for; false means that nothing of the Ready may
+// tryPersist persists what a Ready asks for; false means that nothing of the Ready may
 // be carried out now.
-func (r *Replica) keep(rd raft.Ready) (bool, error) {
-	if r.disk.refuses.Load() {
-		return !r.core.Durable(rd), nil
+func (r *Replica) tryPersist(rd raft.Ready) (bool, error) {
+	if r.disk.unwritable.Load() {
+		return !r.core.MustSync(rd), nil
 	}
 	err := r.persist(rd)
 	if err == nil {
@@ -93,7 +93,7 @@
 	if errors.Is(err, errState) {
 		return false, err
 	}
-	r.refuse(err)
+	r.suspendWrites(err)
 	return false, nil
 }
 
--- a/replica/handler.go
+++ b/replica/handler.go
@@ -20,19 +20,19 @@
 
 // Handle answers the paths of the replica; false means the path is not its own.
 func (r *Replica) Handle(ctx *fasthttp.RequestCtx) bool {
-	limit, cancel := context.WithTimeout(context.Background(), requestTimeout)
+	callCtx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	switch string(ctx.Path()) {
 	case pathMessages:
-		r.takeMessages(limit, ctx)
+		r.handleMessages(callCtx, ctx)
 	case pathPropose:
-		p, err := r.proposeHere(limit, append([]byte(nil), ctx.PostBody()...))
+		p, err := r.proposeLocal(callCtx, append([]byte(nil), ctx.PostBody()...))
 		reply(ctx, p, err)
 	case pathBarrier:
-		p, err := r.barrierHere(limit)
+		p, err := r.barrierLocal(callCtx)
 		reply(ctx, p, err)
 	case pathJoin:
-		r.takeJoin(limit, ctx)
+		r.handleJoin(callCtx, ctx)
 	default:
 		return false
 	}
@@ -47,51 +47,51 @@
 	peerhttp.Answer(ctx, v)
 }
 
-func (r *Replica) takeMessages(limit context.Context, ctx *fasthttp.RequestCtx) {
+func (r *Replica) handleMessages(callCtx context.Context, ctx *fasthttp.RequestCtx) {
 	e, err := peerhttp.Decode[envelope](ctx)
 	if err != nil {
 		peerhttp.AnswerError(ctx, err)
 		return
 	}
 	r.net.learn(e.From)
-	gone := make(chan bool, 1)
-	err = r.submit(limit, func() {
-		gone <- r.replaced(e)
+	replaced := make(chan bool, 1)
+	err = r.submit(callCtx, func() {
+		replaced <- r.senderReplaced(e)
 		for _, m := range e.Messages {
 			r.core.Step(m)
 		}
 	})
 	if err == nil {
-		err = outcomeOf(limit, gone)
+		err = awaitReplaced(callCtx, replaced)
 	}
 	reply(ctx, struct{}{}, err)
 }
 
-// outcomeOf waits for what the run loop found, which a replica that has just
+// awaitReplaced waits for what the run loop found, which a replica that has just
 // ended never tells.
-func outcomeOf(limit context.Context, gone chan bool) error {
+func awaitReplaced(callCtx context.Context, result chan bool) error {
 	select {
-	case replaced := <-gone:
+	case replaced := <-result:
 		if replaced {
 			return errReplaced
 		}
 		return nil
-	case <-limit.Done():
-		return noLeader("the store stops")
+	case <-callCtx.Done():
+		return noLeaderError("the store stops")
 	}
 }
 
-// replaced tells whether the sender campaigns though it is no member any more:
+// senderReplaced tells whether the sender campaigns though it is no member any more:
 // a settled leader knows every change of members.
-func (r *Replica) replaced(e envelope) bool {
-	member := slices.ContainsFunc(r.core.Members(), func(m raft.Member) bool { return m.ID == e.From.ID })
-	campaigns := slices.ContainsFunc(e.Messages, func(m raft.Message) bool { return m.AsksForVote() })
-	return r.core.Settled() && campaigns && !member
+func (r *Replica) senderReplaced(e envelope) bool {
+	isMember := slices.ContainsFunc(r.core.Members(), func(m raft.Member) bool { return m.ID == e.From.ID })
+	campaigns := slices.ContainsFunc(e.Messages, func(m raft.Message) bool { return m.IsVoteRequest() })
+	return r.core.AppliedOwnTerm() && campaigns && !isMember
 }
 
-func (r *Replica) takeJoin(limit context.Context, ctx *fasthttp.RequestCtx) {
+func (r *Replica) handleJoin(callCtx context.Context, ctx *fasthttp.RequestCtx) {
 	if ctx.IsDelete() {
-		reply(ctx, struct{}{}, r.Remove(limit, string(ctx.QueryArgs().Peek("name"))))
+		reply(ctx, struct{}{}, r.Remove(callCtx, string(ctx.QueryArgs().Peek("name"))))
 		return
 	}
 	m, err := peerhttp.Decode[raft.Member](ctx)
@@ -100,5 +100,5 @@
 		return
 	}
 	r.net.learn(m)
-	reply(ctx, struct{}{}, r.Join(limit, m))
+	reply(ctx, struct{}{}, r.Join(callCtx, m))
 }
--- a/replica/identity.go
+++ b/replica/identity.go
@@ -12,17 +12,17 @@
 
 const markerName = "disk.marker"
 
-// mint returns a new random identity.
-func mint() uint64 {
+// newID returns a new random identity.
+func newID() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails: it ends the process instead
 	return binary.LittleEndian.Uint64(b[:])>>1 | 1
 }
 
-// disk names the file system object under dir. A copy or a restored backup of
+// diskID names the file system object under dir. A copy or a restored backup of
 // the folder has another inode, so its replica is not taken for the one whose
 // log it holds.
-func disk(dir string) (uint64, error) {
+func diskID(dir string) (uint64, error) {
 	path := filepath.Join(dir, markerName)
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDONLY, 0o600)
 	if err != nil {
--- a/replica/members.go
+++ b/replica/members.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	pathJoin    = "/raft/join"
-	joinEvery   = 400 * time.Millisecond
-	joinTimeout = 3 * time.Second
-	caughtUpLag = 16
-	maxMembers  = 15
-	// lostTicks is how long a voter must be silent before a learner that has
+	pathJoin       = "/raft/join"
+	joinInterval   = 400 * time.Millisecond
+	joinTimeout    = 3 * time.Second
+	maxCaughtUpLag = 16
+	maxMembers     = 15
+	// replaceVoterTicks is how long a voter must be silent before a learner that has
 	// caught up takes its place: more than any election.
-	lostTicks = 3 * electionTicks
-	// forgetTicks is how long a learner must be silent before it is forgotten.
-	forgetTicks = 20 * electionTicks
+	replaceVoterTicks = 3 * electionTicks
+	// removeLearnerTicks is how long a learner must be silent before it is forgotten.
+	removeLearnerTicks = 20 * electionTicks
 )
 
 // joiner asks the peers to take a replica on a blank disk in.
 type joiner struct {
-	r    *Replica
-	last time.Time
+	r           *Replica
+	lastAttempt time.Time
 }
 
 func newJoiner(r *Replica) *joiner { return &joiner{r: r} }
@@ -34,19 +34,19 @@
 // tick starts one attempt a second until this replica is a member.
 func (j *joiner) tick(ctx context.Context) {
 	r := j.r
-	known := slices.ContainsFunc(r.core.Members(), func(m raft.Member) bool { return m.ID == r.storage.self.ID })
-	if known || r.disk.refuses.Load() || time.Since(j.last) < joinEvery {
+	isMember := slices.ContainsFunc(r.core.Members(), func(m raft.Member) bool { return m.ID == r.storage.self.ID })
+	if isMember || r.disk.unwritable.Load() || time.Since(j.lastAttempt) < joinInterval {
 		return
 	}
-	j.last = time.Now()
-	r.net.group.Add(1)
+	j.lastAttempt = time.Now()
+	r.net.senders.Add(1)
 	go func() {
-		defer r.net.group.Done()
-		r.askToJoin(ctx)
+		defer r.net.senders.Done()
+		r.requestJoin(ctx)
 	}()
 }
 
-func (r *Replica) askToJoin(ctx context.Context) {
+func (r *Replica) requestJoin(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	for _, peer := range r.options.Peers {
@@ -64,15 +64,15 @@
 // Join adds a learner. Any replica passes it on to the leader.
 func (r *Replica) Join(ctx context.Context, m raft.Member) error {
 	if !r.Leading() {
-		return r.askLeader(ctx, http.MethodPost, pathJoin, m, nil)
+		return r.callLeader(ctx, http.MethodPost, pathJoin, m, nil)
 	}
 	m.Voter = false
 	return r.changeMembers(ctx, func(members []raft.Member) ([]raft.Member, error) {
 		if slices.ContainsFunc(members, func(o raft.Member) bool { return o.ID == m.ID }) {
 			return nil, nil
 		}
-		old := slices.IndexFunc(members, func(o raft.Member) bool { return o.Name == m.Name })
-		if old >= 0 && r.core.Active(members[old].ID) {
+		existing := slices.IndexFunc(members, func(o raft.Member) bool { return o.Name == m.Name })
+		if existing >= 0 && r.core.RecentlyActive(members[existing].ID) {
 			return nil, wheelgauge.NewError(wheelgauge.ReasonConflict, wheelgauge.OutcomeNotRun, http.StatusConflict, "a store of this name is alive: "+m.Name)
 		}
 		if len(members) >= maxMembers {
@@ -85,7 +85,7 @@
 // Remove takes a member out of the group.
 func (r *Replica) Remove(ctx context.Context, name string) error {
 	if !r.Leading() {
-		return r.askLeader(ctx, http.MethodDelete, pathJoin+"?name="+name, nil, nil)
+		return r.callLeader(ctx, http.MethodDelete, pathJoin+"?name="+name, nil, nil)
 	}
 	return r.changeMembers(ctx, func(members []raft.Member) ([]raft.Member, error) {
 		i := slices.IndexFunc(members, func(o raft.Member) bool { return o.Name == name })
@@ -106,7 +106,7 @@
 		}
 		index, term, err := r.core.ProposeMembers(next)
 		if err != nil {
-			done <- result{err: noLeader(err.Error())}
+			done <- result{err: noLeaderError(err.Error())}
 			return
 		}
 		r.waiters[index] = waiter{term: term, done: done}
@@ -118,14 +118,14 @@
 	case res := <-done:
 		return res.err
 	case <-ctx.Done():
-		return noLeader("the change of members is not committed in time").WithOutcome(wheelgauge.OutcomeUnknown)
+		return noLeaderError("the change of members is not committed in time").WithOutcome(wheelgauge.OutcomeUnknown)
 	}
 }
 
-// maintain lets the leader make a learner that has caught up a voter. The
+// maintainMembers lets the leader make a learner that has caught up a voter. The
 // member whose place it takes goes first, so that the number of failures the
 // group survives never shrinks below what it was.
-func (r *Replica) maintain() {
+func (r *Replica) maintainMembers() {
 	if r.core.Role() != raft.Leader {
 		return
 	}
@@ -135,11 +135,11 @@
 			continue
 		}
 		next := slices.Clone(members)
-		old := r.lost(members, m)
+		replaced := r.memberToReplace(members, m)
 		switch {
-		case old >= 0:
-			next = slices.Delete(next, old, old+1)
-		case r.full(members):
+		case replaced >= 0:
+			next = slices.Delete(next, replaced, replaced+1)
+		case r.hasAllVoters(members):
 			continue
 		default:
 			next[i].Voter = true
@@ -147,7 +147,7 @@
 		r.proposeMembers(next, m.Name)
 		return
 	}
-	i := slices.IndexFunc(members, func(m raft.Member) bool { return !m.Voter && r.core.Silent(m.ID) > forgetTicks })
+	i := slices.IndexFunc(members, func(m raft.Member) bool { return !m.Voter && r.core.TicksSinceReply(m.ID) > removeLearnerTicks })
 	if i >= 0 {
 		r.proposeMembers(slices.Delete(slices.Clone(members), i, i+1), members[i].Name)
 	}
@@ -161,11 +161,11 @@
 
 func (r *Replica) caughtUp(m raft.Member) bool {
 	match := r.core.Match(m.ID)
-	return match > 0 && r.core.Active(m.ID) && match+caughtUpLag >= r.core.Commit()
+	return match > 0 && r.core.RecentlyActive(m.ID) && match+maxCaughtUpLag >= r.core.Commit()
 }
 
-// full tells whether the group has as many voters as it should.
-func (r *Replica) full(members []raft.Member) bool {
+// hasAllVoters tells whether the group has as many voters as it should.
+func (r *Replica) hasAllVoters(members []raft.Member) bool {
 	voters := 0
 	for _, m := range members {
 		if m.Voter {
@@ -175,14 +175,14 @@
 	return r.options.Voters > 0 && voters >= r.options.Voters
 }
 
-// lost returns the member whose place a learner takes: the one of its own name,
+// memberToReplace returns the member whose place a learner takes: the one of its own name,
 // whose disk was lost, or in a full group a voter that has long been silent.
-func (r *Replica) lost(members []raft.Member, learner raft.Member) int {
-	old := slices.IndexFunc(members, func(m raft.Member) bool { return m.Name == learner.Name && m.ID != learner.ID })
-	if old >= 0 || !r.full(members) {
-		return old
+func (r *Replica) memberToReplace(members []raft.Member, learner raft.Member) int {
+	sameName := slices.IndexFunc(members, func(m raft.Member) bool { return m.Name == learner.Name && m.ID != learner.ID })
+	if sameName >= 0 || !r.hasAllVoters(members) {
+		return sameName
 	}
 	return slices.IndexFunc(members, func(m raft.Member) bool {
-		return m.Voter && m.ID != r.storage.self.ID && r.core.Silent(m.ID) > lostTicks
+		return m.Voter && m.ID != r.storage.self.ID && r.core.TicksSinceReply(m.ID) > replaceVoterTicks
 	})
 }
--- a/replica/network.go
+++ b/replica/network.go
@@ -15,13 +15,13 @@
 
 const (
 	sendersPerPeer = 4
-	// sendTimeout bounds a call without entries, and sendRate adds to it by their
+	// baseSendTimeout bounds a call without entries, and sendRate adds to it by their
 	// length, in bytes a second: 5 Mbit/s, as slow as the core waits for them. A
 	// whole configuration would else never come over a link that is too busy.
-	sendTimeout  = 2 * time.Second
-	sendRate     = 640 << 10
-	outboxLength = 512
-	pathMessages = "/raft/messages"
+	baseSendTimeout    = 2 * time.Second
+	sendBytesPerSecond = 640 << 10
+	peerQueueLength    = 512
+	pathMessages       = "/raft/messages"
 )
 
 // envelope carries messages and says how their sender is reached.
@@ -33,87 +33,87 @@
 // network sends messages. What a peer does not take in time is dropped: the
 // core repeats itself.
 type network struct {
-	ctx    context.Context
-	client *peerhttp.Client
-	self   raft.Member
-	mu     sync.Mutex
-	known  map[uint64]string
-	outbox map[string]chan raft.Message
-	group  sync.WaitGroup
+	ctx       context.Context
+	client    *peerhttp.Client
+	self      raft.Member
+	mu        sync.Mutex
+	addresses map[uint64]string
+	queues    map[string]chan raft.Message
+	senders   sync.WaitGroup
 	// replaced is set once a leader says that this replica is no member any more.
 	replaced atomic.Bool
 }
 
 func newNetwork(ctx context.Context, client *peerhttp.Client, self raft.Member) *network {
-	return &network{ctx: ctx, client: client, self: self, known: map[uint64]string{}, outbox: map[string]chan raft.Message{}}
+	return &network{ctx: ctx, client: client, self: self, addresses: map[uint64]string{}, queues: map[string]chan raft.Message{}}
 }
 
 // learn remembers where a member that is not in the list yet is reached.
 func (n *network) learn(m raft.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.known[m.ID] = m.Address
+	n.addresses[m.ID] = m.Address
 }
 
 func (n *network) send(members []raft.Member, messages []raft.Message) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, m := range members {
-		n.known[m.ID] = m.Address
+		n.addresses[m.ID] = m.Address
 	}
 	for _, m := range messages {
-		address, ok := n.known[m.To]
+		address, ok := n.addresses[m.To]
 		if !ok {
 			continue
 		}
 		select {
-		case n.box(address) <- m:
+		case n.queue(address) <- m:
 		default:
 		}
 	}
 }
 
-func (n *network) box(address string) chan raft.Message {
-	box, ok := n.outbox[address]
+func (n *network) queue(address string) chan raft.Message {
+	queue, ok := n.queues[address]
 	if ok {
-		return box
+		return queue
 	}
-	box = make(chan raft.Message, outboxLength)
-	n.outbox[address] = box
+	queue = make(chan raft.Message, peerQueueLength)
+	n.queues[address] = queue
 	for range sendersPerPeer {
-		n.group.Add(1)
-		go n.pump(address, box)
+		n.senders.Add(1)
+		go n.sendLoop(address, queue)
 	}
-	return box
+	return queue
 }
 
-func (n *network) pump(address string, box chan raft.Message) {
-	defer n.group.Done()
+func (n *network) sendLoop(address string, queue chan raft.Message) {
+	defer n.senders.Done()
 	for {
 		select {
 		case <-n.ctx.Done():
 			return
-		case m := <-box:
-			n.post(address, batch(m, box))
+		case m := <-queue:
+			n.sendBatch(address, collectBatch(m, queue))
 		}
 	}
 }
 
-func batch(first raft.Message, box chan raft.Message) []raft.Message {
-	out := []raft.Message{first}
-	for len(out) < batchLength {
+func collectBatch(first raft.Message, queue chan raft.Message) []raft.Message {
+	messages := []raft.Message{first}
+	for len(messages) < maxBatchLength {
 		select {
-		case m := <-box:
-			out = append(out, m)
+		case m := <-queue:
+			messages = append(messages, m)
 		default:
-			return out
+			return messages
 		}
 	}
-	return out
+	return messages
 }
 
-func (n *network) post(address string, messages []raft.Message) {
-	ctx, cancel := context.WithTimeout(n.ctx, sendLimit(messages))
+func (n *network) sendBatch(address string, messages []raft.Message) {
+	ctx, cancel := context.WithTimeout(n.ctx, sendTimeoutFor(messages))
 	defer cancel()
 	err := n.client.Call(ctx, http.MethodPost, address, pathMessages, envelope{From: n.self, Messages: messages}, nil)
 	// A lost message is repeated by the core; only this answer says something new.
@@ -122,13 +122,13 @@
 	}
 }
 
-// sendLimit is how long a call with messages may take.
-func sendLimit(messages []raft.Message) time.Duration {
+// sendTimeoutFor is how long a call with messages may take.
+func sendTimeoutFor(messages []raft.Message) time.Duration {
 	size := 0
 	for _, m := range messages {
-		size += m.Size()
+		size += m.PayloadBytes()
 	}
-	return sendTimeout + time.Duration(size)*time.Second/sendRate
+	return baseSendTimeout + time.Duration(size)*time.Second/sendBytesPerSecond
 }
 
-func (n *network) wait() { n.group.Wait() }
+func (n *network) wait() { n.senders.Wait() }
--- a/replica/progress.go
+++ b/replica/progress.go
@@ -8,16 +8,16 @@
 	"wheelgauge/raft"
 )
 
-// progress lets others wait until an index is applied.
-type progress struct {
+// appliedIndex lets others wait until an index is applied.
+type appliedIndex struct {
 	mu      sync.Mutex
 	index   uint64
 	changed chan struct{}
 }
 
-func newProgress() *progress { return &progress{changed: make(chan struct{})} }
+func newAppliedIndex() *appliedIndex { return &appliedIndex{changed: make(chan struct{})} }
 
-func (p *progress) set(index uint64) {
+func (p *appliedIndex) set(index uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.index = max(p.index, index)
@@ -25,16 +25,16 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *progress) get() (uint64, <-chan struct{}) {
+func (p *appliedIndex) get() (uint64, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.index, p.changed
 }
 
-func (p *progress) wait(ctx context.Context, index uint64) error {
+func (p *appliedIndex) wait(ctx context.Context, index uint64) error {
 	for {
-		at, changed := p.get()
-		if at >= index {
+		applied, changed := p.get()
+		if applied >= index {
 			return nil
 		}
 		select {
@@ -57,13 +57,13 @@
 	Members []raft.Member `json:"members"`
 }
 
-// view is the last published status, for readers outside the run loop.
-type view struct {
+// statusView is the last published status, for readers outside the run loop.
+type statusView struct {
 	mu     sync.RWMutex
 	status Status
 }
 
-func (v *view) get() Status {
+func (v *statusView) get() Status {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.status
@@ -85,7 +85,7 @@
 	}
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
-	if was := r.view.status; was.Role != s.Role || was.Leader != s.Leader {
+	if previous := r.view.status; previous.Role != s.Role || previous.Leader != s.Leader {
 		r.options.Log.Info("Replica changes role.", "role", s.Role, "term", s.Term, "leader", s.Leader)
 	}
 	r.view.status = s
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -23,15 +23,15 @@
 const (
 	heartbeatTicks = 4
 	electionTicks  = 20
-	compactEvery   = 512
+	compactEntries = 512
 	// compactBytes is the length of the log from which on it is compacted
 	// sooner: whole configurations may be megabytes each.
-	compactBytes    = 16 << 20
-	compactLeast    = 8
-	keptEntries     = 128
-	queueLength     = 1024
-	batchLength     = 256
-	leaderRetryTime = time.Second
+	compactBytes      = 16 << 20
+	minCompactEntries = 8
+	retainedEntries   = 128
+	taskQueueLength   = 1024
+	maxBatchLength    = 256
+	leaderRetryAfter  = time.Second
 )
 
 // Options of a Replica.
@@ -58,15 +58,15 @@
 	Log    logr.Logger
 	// journal stands before the log file in tests, and full is how its first
 	// write fails.
-	journal func(journal) journal
-	full    error
+	wrapLog       func(recordLog) recordLog
+	firstWriteErr error
 }
 
 // result is the end of a proposal or a barrier.
 type result struct {
-	index  uint64
-	answer []byte
-	err    error
+	index    uint64
+	response []byte
+	err      error
 }
 
 type waiter struct {
@@ -82,12 +82,12 @@
 	machine wheelgauge.StateMachine
 	net     *network
 
-	do       chan func()
+	tasks    chan func()
 	waiters  map[uint64]waiter
 	barriers map[uint64]chan result
 	nextRead uint64
-	applied  *progress
-	view     *view
+	applied  *appliedIndex
+	view     *statusView
 	disk     diskState
 
 	cancel context.CancelFunc
@@ -100,12 +100,12 @@
 	if options.Tick == 0 {
 		options.Tick = 50 * time.Millisecond
 	}
-	s, state, blank, full := openWaiting(ctx, options)
+	s, state, blank, openErr := openStorageWithRetry(ctx, options)
 	if s == nil {
-		return nil, full
+		return nil, openErr
 	}
-	if full != nil && !wal.Full(full) {
-		return nil, errors.Join(full, s.log.Close())
+	if openErr != nil && !wal.IsNoSpace(openErr) {
+		return nil, errors.Join(openErr, s.log.Close())
 	}
 	if state.Snapshot != nil {
 		if err := machine.Restore(state.Snapshot.Data); err != nil {
@@ -113,23 +113,23 @@
 		}
 	}
 	if blank && slices.Contains(options.Founders, options.Address) {
-		if state, full = s.foundTogether(options); full != nil && !wal.Full(full) {
-			return nil, errors.Join(full, s.log.Close())
+		if state, openErr = s.bootstrapGroup(options); openErr != nil && !wal.IsNoSpace(openErr) {
+			return nil, errors.Join(openErr, s.log.Close())
 		}
 	}
-	if options.journal != nil {
-		s.log, full = options.journal(s.log), cmp.Or(full, options.full)
+	if options.wrapLog != nil {
+		s.log, openErr = options.wrapLog(s.log), cmp.Or(openErr, options.firstWriteErr)
 	}
 	core := raft.New(raft.Options{ID: s.self.ID, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: s.self.ID}, state)
 	ctx, cancel := context.WithCancel(ctx)
 	r := &Replica{
 		options: options, core: core, storage: s, machine: machine,
-		do: make(chan func(), queueLength), waiters: map[uint64]waiter{}, barriers: map[uint64]chan result{},
-		applied: newProgress(), view: &view{}, cancel: cancel, done: make(chan error, 1),
+		tasks: make(chan func(), taskQueueLength), waiters: map[uint64]waiter{}, barriers: map[uint64]chan result{},
+		applied: newAppliedIndex(), view: &statusView{}, cancel: cancel, done: make(chan error, 1),
 	}
 	r.net = newNetwork(ctx, options.Client, r.self())
-	if full != nil {
-		r.refuse(full)
+	if openErr != nil {
+		r.suspendWrites(openErr)
 	}
 	r.publish()
 	options.Log.Info("Replica starts.", "id", s.self.ID, "blank", blank, "applied", core.Applied())
@@ -159,10 +159,10 @@
 	ticker := time.NewTicker(r.options.Tick)
 	defer ticker.Stop()
 	join := newJoiner(r)
-	defer r.fail()
+	defer r.failPending()
 	// What is committed on disk is applied before anything else, so that this
 	// replica knows whether it is a member.
-	if err := r.carryOut(); err != nil {
+	if err := r.processReady(); err != nil {
 		return err
 	}
 	for {
@@ -172,16 +172,16 @@
 		case <-ticker.C:
 			r.core.Tick()
 			r.retryDisk()
-			r.maintain()
+			r.maintainMembers()
 			join.tick(ctx)
-		case f := <-r.do:
+		case f := <-r.tasks:
 			f()
-			r.drain()
+			r.runQueued()
 		}
-		if r.net.replaced.Load() && !r.disk.refuses.Load() {
-			return r.giveUp()
+		if r.net.replaced.Load() && !r.disk.unwritable.Load() {
+			return r.discardIdentity()
 		}
-		if err := r.carryOut(); err != nil {
+		if err := r.processReady(); err != nil {
 			r.options.Log.Error(err, "Replica stops: its state cannot be kept.")
 			return err
 		}
@@ -189,22 +189,22 @@
 	}
 }
 
-// giveUp forgets the identity that was replaced. The next start joins as a new
+// discardIdentity forgets the identity that was replaced. The next start joins as a new
 // member.
-func (r *Replica) giveUp() error {
+func (r *Replica) discardIdentity() error {
 	r.options.Log.Info("Replica was replaced by another member of its name. Start again to join anew.")
-	r.storage.self.ID = mint()
+	r.storage.self.ID = newID()
 	if err := r.storage.rewrite(nil, raft.HardState{}, nil); err != nil {
 		return fmt.Errorf("give up identity: %w", err)
 	}
 	return errReplaced
 }
 
-// drain takes what else has come, so that one sync serves all of it.
-func (r *Replica) drain() {
-	for range batchLength {
+// runQueued takes what else has come, so that one sync serves all of it.
+func (r *Replica) runQueued() {
+	for range maxBatchLength {
 		select {
-		case f := <-r.do:
+		case f := <-r.tasks:
 			f()
 		default:
 			return
@@ -212,26 +212,26 @@
 	}
 }
 
-// fail answers all who still wait.
-func (r *Replica) fail() {
-	lost := wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeUnknown, http.StatusServiceUnavailable, "the store stops").WithRetryAfter(leaderRetryTime)
+// failPending answers all who still wait.
+func (r *Replica) failPending() {
+	stopErr := wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeUnknown, http.StatusServiceUnavailable, "the store stops").WithRetryAfter(leaderRetryAfter)
 	for _, w := range r.waiters {
-		w.done <- result{err: lost}
+		w.done <- result{err: stopErr}
 	}
 	for _, b := range r.barriers {
-		b <- result{err: lost}
+		b <- result{err: stopErr}
 	}
 }
 
-// carryOut does what the core asks for until it asks for nothing more.
-func (r *Replica) carryOut() error {
+// processReady does what the core asks for until it asks for nothing more.
+func (r *Replica) processReady() error {
 	for {
 		rd := r.core.Ready()
 		if rd.Empty() {
 			return nil
 		}
-		if kept, err := r.keep(rd); !kept {
-			r.endReads(rd.Dropped, rd.Reads)
+		if kept, err := r.tryPersist(rd); !kept {
+			r.failReads(rd.DroppedReads, rd.ConfirmedReads)
 			return err
 		}
 		r.net.send(r.core.Members(), rd.Messages)
@@ -239,8 +239,8 @@
 		if err := r.core.Advance(rd); err != nil {
 			return fmt.Errorf("advance: %w", err)
 		}
-		r.answerReads(rd.Reads)
-		r.endReads(rd.Dropped)
+		r.completeReads(rd.ConfirmedReads)
+		r.failReads(rd.DroppedReads)
 		if err := r.compact(); err != nil {
 			return err
 		}
@@ -278,49 +278,49 @@
 		}
 		delete(r.waiters, e.Index)
 		if w.term != e.Term {
-			w.done <- result{err: noLeader("another leader took over before the change was logged")}
+			w.done <- result{err: noLeaderError("another leader took over before the change was logged")}
 			continue
 		}
-		w.done <- result{index: e.Index, answer: answer}
+		w.done <- result{index: e.Index, response: answer}
 	}
 }
 
-func (r *Replica) answerReads(confirmed []uint64) {
+func (r *Replica) completeReads(confirmed []uint64) {
 	for _, id := range confirmed {
 		r.barriers[id] <- result{index: r.core.Applied()}
 		delete(r.barriers, id)
 	}
 }
 
-// endReads ends barriers that this replica confirms no more.
-func (r *Replica) endReads(lists ...[]uint64) {
+// failReads ends barriers that this replica confirms no more.
+func (r *Replica) failReads(lists ...[]uint64) {
 	for _, id := range slices.Concat(lists...) {
-		r.barriers[id] <- result{err: noLeader("the leader changed")}
+		r.barriers[id] <- result{err: noLeaderError("the leader changed")}
 		delete(r.barriers, id)
 	}
 }
 
 func (r *Replica) compact() error {
-	since := r.core.Applied() - r.core.SnapshotIndex()
-	large := r.storage.log.Size() > compactBytes && since >= compactLeast
-	if since < compactEvery && !large {
+	entriesSince := r.core.Applied() - r.core.SnapshotIndex()
+	large := r.storage.log.Size() > compactBytes && entriesSince >= minCompactEntries
+	if entriesSince < compactEntries && !large {
 		return nil
 	}
-	if r.disk.refuses.Load() {
+	if r.disk.unwritable.Load() {
 		return nil
 	}
 	data, err := r.machine.Snapshot()
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	snap := r.core.Compact(data, keptEntries)
+	snap := r.core.Compact(data, retainedEntries)
 	hard := raft.HardState{Term: r.core.Term(), Vote: r.core.Vote(), Commit: r.core.Commit()}
 	if err := r.storage.rewrite(snap, hard, r.core.Tail()); err != nil {
-		r.refuse(fmt.Errorf("compact: %w", err))
+		r.suspendWrites(fmt.Errorf("compact: %w", err))
 	}
 	return nil
 }
 
-func noLeader(detail string) *wheelgauge.Error {
-	return wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, detail).WithRetryAfter(leaderRetryTime)
+func noLeaderError(detail string) *wheelgauge.Error {
+	return wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, detail).WithRetryAfter(leaderRetryAfter)
 }
--- a/replica/storage.go
+++ b/replica/storage.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	logName    = "raft.log"
-	folderMode = 0o700
+	logName = "raft.log"
+	dirMode = 0o700
 )
 
 // identity says who this replica is and on which disk.
@@ -24,18 +24,18 @@
 
 // record is one record of the log on disk; one field is set.
 type record struct {
-	Identity *identity       `json:"identity,omitempty"`
-	Hard     *raft.HardState `json:"hard,omitempty"`
-	Snapshot *raft.Snapshot  `json:"snapshot,omitempty"`
-	Entry    *raft.Entry     `json:"entry,omitempty"`
+	Identity  *identity       `json:"identity,omitempty"`
+	HardState *raft.HardState `json:"hard,omitempty"`
+	Snapshot  *raft.Snapshot  `json:"snapshot,omitempty"`
+	Entry     *raft.Entry     `json:"entry,omitempty"`
 	// Batch is what one sync covers, as one record: a torn write then damages
 	// the last record only, which is cut at the next start.
 	Batch []record `json:"batch,omitempty"`
 }
 
-// journal is the part of *wal.Log that a replica needs; tests put faults
+// recordLog is the part of *wal.Log that a replica needs; tests put faults
 // behind it.
-type journal interface {
+type recordLog interface {
 	Append(records ...[]byte) error
 	Rewrite(records ...[]byte) error
 	Poisoned() bool
@@ -45,27 +45,27 @@
 
 // storage keeps a replica's state in one file.
 type storage struct {
-	log  journal
+	log  recordLog
 	self identity
 	// unwritten is set while the disk lacks what the log must begin with, such as
 	// an identity that is new.
-	unwritten bool
+	needsRewrite bool
 }
 
 // openStorage reads the state under dir. A blank folder, and a folder that was
 // copied or restored from a backup, get a new identity and no state. On a full
 // disk the storage comes with an error for which wal.Full holds.
 func openStorage(dir string) (*storage, raft.State, bool, error) {
-	if err := os.MkdirAll(dir, folderMode); err != nil {
+	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return nil, raft.State{}, false, fmt.Errorf("create data folder: %w", err)
 	}
-	inode, err := disk(dir)
+	inode, err := diskID(dir)
 	if err != nil {
 		return nil, raft.State{}, false, err
 	}
-	log, records, full := wal.Open(filepath.Join(dir, logName))
+	log, records, openErr := wal.Open(filepath.Join(dir, logName))
 	if log == nil {
-		return nil, raft.State{}, false, fmt.Errorf("open replica log: %w", full)
+		return nil, raft.State{}, false, fmt.Errorf("open replica log: %w", openErr)
 	}
 	s := &storage{log: log}
 	state, err := s.replay(records)
@@ -73,16 +73,16 @@
 		return nil, state, false, errors.Join(err, log.Close())
 	}
 	if s.self.ID != 0 && s.self.Disk == inode {
-		return s, state, false, full
+		return s, state, false, openErr
 	}
-	s.self, s.unwritten = identity{ID: mint(), Disk: inode}, true
+	s.self, s.needsRewrite = identity{ID: newID(), Disk: inode}, true
 	return s, raft.State{}, true, s.rewrite(nil, raft.HardState{}, nil)
 }
 
-// mend makes a storage that failed to write good again. hard, snap and tail are
+// repair makes a storage that failed to write good again. hard, snap and tail are
 // what it should hold: they are written anew where the file is not known.
-func (s *storage) mend(snap *raft.Snapshot, hard raft.HardState, tail []raft.Entry) error {
-	if s.log.Poisoned() || s.unwritten {
+func (s *storage) repair(snap *raft.Snapshot, hard raft.HardState, tail []raft.Entry) error {
+	if s.log.Poisoned() || s.needsRewrite {
 		return s.rewrite(snap, hard, tail)
 	}
 	return s.save(&hard, nil)
@@ -95,30 +95,30 @@
 		if err := json.Unmarshal(data, &r); err != nil {
 			return state, fmt.Errorf("decode replica log: %w", err)
 		}
-		s.take(&state, &r)
+		s.applyRecord(&state, &r)
 		for i := range r.Batch {
-			s.take(&state, &r.Batch[i])
+			s.applyRecord(&state, &r.Batch[i])
 		}
 	}
 	return state, nil
 }
 
-func (s *storage) take(state *raft.State, r *record) {
+func (s *storage) applyRecord(state *raft.State, r *record) {
 	switch {
 	case r.Identity != nil:
 		s.self = *r.Identity
-	case r.Hard != nil:
-		state.HardState = *r.Hard
+	case r.HardState != nil:
+		state.HardState = *r.HardState
 	case r.Snapshot != nil:
 		state.Snapshot = r.Snapshot
 		state.Entries = nil
 	case r.Entry != nil:
-		state.Entries = truncate(state.Entries, r.Entry.Index)
+		state.Entries = truncateFrom(state.Entries, r.Entry.Index)
 		state.Entries = append(state.Entries, *r.Entry)
 	}
 }
 
-func truncate(entries []raft.Entry, from uint64) []raft.Entry {
+func truncateFrom(entries []raft.Entry, from uint64) []raft.Entry {
 	for len(entries) > 0 && entries[len(entries)-1].Index >= from {
 		entries = entries[:len(entries)-1]
 	}
@@ -149,7 +149,7 @@
 func (s *storage) save(hard *raft.HardState, entries []raft.Entry) error {
 	records := entryRecords(entries)
 	if hard != nil {
-		records = append(records, record{Hard: hard})
+		records = append(records, record{HardState: hard})
 	}
 	if len(records) == 0 {
 		return nil
@@ -167,7 +167,7 @@
 	if snap != nil {
 		records = append(records, record{Snapshot: snap})
 	}
-	records = append(records, record{Hard: &hard})
+	records = append(records, record{HardState: &hard})
 	records = append(records, entryRecords(entries)...)
 	data, err := encode(records)
 	if err != nil {
@@ -176,7 +176,7 @@
 	if err := s.log.Rewrite(data...); err != nil {
 		return fmt.Errorf("rewrite replica log: %w", err)
 	}
-	s.unwritten = false
+	s.needsRewrite = false
 	return nil
 }
 
@@ -194,16 +194,16 @@
 		return errors.Join(fmt.Errorf("%s holds a replica already", dir), s.log.Close())
 	}
 	members := []raft.Member{{ID: s.self.ID, Name: name, Address: address, Voter: true}}
-	_, err = s.found(members)
+	_, err = s.bootstrap(members)
 	return errors.Join(err, s.log.Close())
 }
 
-// found writes the first state of a new group.
-func (s *storage) found(members []raft.Member) (raft.State, error) {
+// bootstrap writes the first state of a new group.
+func (s *storage) bootstrap(members []raft.Member) (raft.State, error) {
 	state := raft.State{
 		Snapshot:  &raft.Snapshot{Index: 1, Term: 1, Members: members, Data: json.RawMessage(`{}`)},
 		HardState: raft.HardState{Term: 1, Commit: 1},
 	}
-	s.unwritten = true
+	s.needsRewrite = true
 	return state, s.rewrite(state.Snapshot, state.HardState, nil)
 }
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	magic        = "WGLOG001"
-	headerBytes  = 8
-	maxRecord    = 256 << 20
-	fileMode     = 0o600
-	rewriteShape = ".new"
+	magic             = "WGLOG001"
+	recordHeaderBytes = 8
+	maxRecordBytes    = 256 << 20
+	fileMode          = 0o600
+	tempSuffix        = ".new"
 )
 
 var (
@@ -31,12 +31,12 @@
 	// ErrPoisoned is returned after a failed sync: what is on disk is not known
 	// until a Rewrite succeeds.
 	ErrPoisoned = errors.New("wal: an earlier write failed, rewrite or reopen the log")
-	// ErrFull is returned by Open when the disk takes no writes. The records are
+	// ErrNoSpace is returned by Open when the disk takes no writes. The records are
 	// whole, and the log is poisoned.
-	ErrFull = errors.New("wal: the disk takes no writes")
+	ErrNoSpace = errors.New("wal: the disk takes no writes")
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // file is the part of *os.File that Log needs; tests put faults behind it.
 type file interface {
@@ -57,8 +57,10 @@
 	closed   bool
 }
 
-// Full tells whether an error says that a disk has no room.
-func Full(err error) bool { return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) }
+// IsNoSpace tells whether an error says that a disk has no room.
+func IsNoSpace(err error) bool {
+	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
+}
 
 // Open opens or creates the log at path and returns the records it holds. On a
 // disk without room it returns them with ErrFull.
@@ -66,32 +68,32 @@
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		l := &Log{path: path}
-		return l.opened(nil, l.Rewrite())
+		return l.openResult(nil, l.Rewrite())
 	}
 	if err != nil {
 		return nil, nil, fmt.Errorf("read log: %w", err)
 	}
-	records, good, err := parse(data)
+	records, validBytes, err := parse(data)
 	if err != nil {
 		return nil, nil, fmt.Errorf("parse %s: %w", path, err)
 	}
 	l := &Log{path: path}
-	return l.opened(records, l.open(good))
+	return l.openResult(records, l.openFile(validBytes))
 }
 
-// opened is what Open returns, by how the first write went.
-func (l *Log) opened(records [][]byte, err error) (*Log, [][]byte, error) {
+// openResult is what Open returns, by how the first write went.
+func (l *Log) openResult(records [][]byte, err error) (*Log, [][]byte, error) {
 	switch {
 	case err == nil:
 		return l, records, nil
-	case Full(err):
+	case IsNoSpace(err):
 		l.poisoned = true
-		return l, records, fmt.Errorf("%w: %w", ErrFull, err)
+		return l, records, fmt.Errorf("%w: %w", ErrNoSpace, err)
 	}
 	return nil, nil, fmt.Errorf("open log: %w", err)
 }
 
-func (l *Log) open(size int64) error {
+func (l *Log) openFile(size int64) error {
 	f, err := os.OpenFile(l.path, os.O_RDWR, fileMode)
 	if err != nil {
 		return fmt.Errorf("open log: %w", err)
@@ -115,49 +117,49 @@
 		return nil, 0, ErrCorrupt
 	}
 	var records [][]byte
-	at := len(magic)
-	for at < len(data) {
-		payload, next, ok := record(data, at)
+	offset := len(magic)
+	for offset < len(data) {
+		payload, next, ok := decodeRecord(data, offset)
 		if ok {
 			records = append(records, payload)
-			at = next
+			offset = next
 			continue
 		}
-		if next < len(data) && !zero(data[at:]) || holdsRecord(data, at+1) {
+		if next < len(data) && !allZero(data[offset:]) || containsRecord(data, offset+1) {
 			return nil, 0, ErrCorrupt
 		}
 		break
 	}
-	return records, int64(at), nil
+	return records, int64(offset), nil
 }
 
-// record reads one record; next is where it ends by its own length.
-func record(data []byte, at int) (payload []byte, next int, ok bool) {
-	if len(data)-at < headerBytes {
+// decodeRecord reads one record; next is where it ends by its own length.
+func decodeRecord(data []byte, offset int) (payload []byte, next int, ok bool) {
+	if len(data)-offset < recordHeaderBytes {
 		return nil, len(data), false
 	}
-	size := int(binary.LittleEndian.Uint32(data[at:]))
-	sum := binary.LittleEndian.Uint32(data[at+4:])
-	start := at + headerBytes
+	size := int(binary.LittleEndian.Uint32(data[offset:]))
+	checksum := binary.LittleEndian.Uint32(data[offset+4:])
+	start := offset + recordHeaderBytes
 	if size == 0 || size > len(data)-start {
 		return nil, len(data), false
 	}
 	payload = data[start : start+size]
-	return payload, start + size, crc32.Checksum(payload, table) == sum
+	return payload, start + size, crc32.Checksum(payload, crcTable) == checksum
 }
 
-// holdsRecord tells whether a whole record begins at an offset or after it: what
+// containsRecord tells whether a whole record begins at an offset or after it: what
 // stands before it is then no torn tail, whatever its length says.
-func holdsRecord(data []byte, from int) bool {
-	for at := from; at < len(data); at++ {
-		if _, _, ok := record(data, at); ok {
+func containsRecord(data []byte, from int) bool {
+	for offset := from; offset < len(data); offset++ {
+		if _, _, ok := decodeRecord(data, offset); ok {
 			return true
 		}
 	}
 	return false
 }
 
-func zero(data []byte) bool {
+func allZero(data []byte) bool {
 	for _, b := range data {
 		if b != 0 {
 			return false
@@ -169,11 +171,11 @@
 func encode(records [][]byte) ([]byte, error) {
 	var buf []byte
 	for _, r := range records {
-		if len(r) == 0 || len(r) > maxRecord {
+		if len(r) == 0 || len(r) > maxRecordBytes {
 			return nil, fmt.Errorf("wal: record of %d bytes", len(r))
 		}
 		buf = binary.LittleEndian.AppendUint32(buf, uint32(len(r)))
-		buf = binary.LittleEndian.AppendUint32(buf, crc32.Checksum(r, table))
+		buf = binary.LittleEndian.AppendUint32(buf, crc32.Checksum(r, crcTable))
 		buf = append(buf, r...)
 	}
 	return buf, nil
@@ -192,7 +194,7 @@
 		return ErrPoisoned
 	}
 	if _, err := l.file.Write(buf); err != nil {
-		return errors.Join(fmt.Errorf("write log: %w", err), l.takeBack())
+		return errors.Join(fmt.Errorf("write log: %w", err), l.rollBack())
 	}
 	if err := l.file.Sync(); err != nil {
 		l.poisoned = true
@@ -202,7 +204,7 @@
 	return nil
 }
 
-func (l *Log) takeBack() error {
+func (l *Log) rollBack() error {
 	if err := l.file.Truncate(l.size); err != nil {
 		l.poisoned = true
 		return fmt.Errorf("take back a failed write: %w", err)
@@ -226,21 +228,21 @@
 	if l.closed {
 		return os.ErrClosed
 	}
-	temp := l.path + rewriteShape
-	if err := writeSynced(temp, append([]byte(magic), buf...)); err != nil {
-		return errors.Join(err, os.Remove(temp))
+	tempPath := l.path + tempSuffix
+	if err := writeSynced(tempPath, append([]byte(magic), buf...)); err != nil {
+		return errors.Join(err, os.Remove(tempPath))
 	}
-	if err := os.Rename(temp, l.path); err != nil {
+	if err := os.Rename(tempPath, l.path); err != nil {
 		return fmt.Errorf("rename log: %w", err)
 	}
-	old := l.file
-	if err := errors.Join(syncFolder(filepath.Dir(l.path)), l.open(int64(len(magic)+len(buf)))); err != nil {
+	oldFile := l.file
+	if err := errors.Join(syncDir(filepath.Dir(l.path)), l.openFile(int64(len(magic)+len(buf)))); err != nil {
 		l.poisoned = true
 		return err
 	}
 	l.poisoned = false
-	if old != nil {
-		return old.Close()
+	if oldFile != nil {
+		return oldFile.Close()
 	}
 	return nil
 }
@@ -262,7 +264,7 @@
 	return nil
 }
 
-func syncFolder(path string) error {
+func syncDir(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("open folder: %w", err)
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func texts(records [][]byte) string {
+func joinRecords(records [][]byte) string {
 	out := ""
 	for _, r := range records {
 		out += string(r) + ","
@@ -24,14 +24,14 @@
 	_ = log.Append([]byte("one"), []byte("two"))
 	_ = log.Close()
 	log, records, _ := Open(path)
-	fmt.Println(texts(records))
+	fmt.Println(joinRecords(records))
 	_ = log.Close()
 	// Output: one,two,
 }
 
-// TestDamage opens logs that were damaged on disk.
-func TestDamage(t *testing.T) {
-	const second = 8 + headerBytes + 3 // where the second record begins
+// TestOpenDamagedLog opens logs that were damaged on disk.
+func TestOpenDamagedLog(t *testing.T) {
+	const second = 8 + recordHeaderBytes + 3 // where the second record begins
 	tests := []struct {
 		name   string
 		damage func(data []byte) []byte
@@ -43,7 +43,7 @@
 		{"torn in the last head", func(d []byte) []byte { return d[:len(d)-6] }, "one,two,", nil},
 		{"a tail of zeros", func(d []byte) []byte { return append(d, make([]byte, 100)...) }, "one,two,six,", nil},
 		{"last payload flipped", func(d []byte) []byte { d[len(d)-1] ^= 1; return d }, "one,two,", nil},
-		{"middle payload flipped", func(d []byte) []byte { d[second+headerBytes] ^= 1; return d }, "", ErrCorrupt},
+		{"middle payload flipped", func(d []byte) []byte { d[second+recordHeaderBytes] ^= 1; return d }, "", ErrCorrupt},
 		{"middle checksum flipped", func(d []byte) []byte { d[second+4] ^= 1; return d }, "", ErrCorrupt},
 		{"middle length made too long", func(d []byte) []byte { d[second+2] ^= 0xff; return d }, "", ErrCorrupt},
 		{"middle length made nothing", func(d []byte) []byte { d[second] = 0; return d }, "", ErrCorrupt},
@@ -69,8 +69,8 @@
 				t.Fatal(err)
 			}
 			log, records, err := Open(path)
-			if !errors.Is(err, tt.err) || texts(records) != tt.want {
-				t.Fatalf("got %q, %v", texts(records), err)
+			if !errors.Is(err, tt.err) || joinRecords(records) != tt.want {
+				t.Fatalf("got %q, %v", joinRecords(records), err)
 			}
 			if err != nil {
 				return
@@ -78,8 +78,8 @@
 			if err := errors.Join(log.Append([]byte("new")), log.Close()); err != nil {
 				t.Fatal(err)
 			}
-			if _, records, err = Open(path); err != nil || texts(records) != tt.want+"new," {
-				t.Fatalf("after an append got %q, %v", texts(records), err)
+			if _, records, err = Open(path); err != nil || joinRecords(records) != tt.want+"new," {
+				t.Fatalf("after an append got %q, %v", joinRecords(records), err)
 			}
 		})
 	}
@@ -111,10 +111,10 @@
 
 func TestDiskFaults(t *testing.T) {
 	tests := []struct {
-		name  string
-		fault faultyFile
-		after string // what a reopened log holds
-		again error  // what a later append returns
+		name      string
+		fault     faultyFile
+		records   string // what a reopened log holds
+		appendErr error  // what a later append returns
 	}{
 		{"full disk takes a part", faultyFile{writeLimit: 5}, "one,two,", nil},
 		{"failed sync", faultyFile{writeLimit: -1, syncErr: errDisk}, "", ErrPoisoned},
@@ -129,21 +129,21 @@
 			if err := log.Append([]byte("one")); err != nil {
 				t.Fatal(err)
 			}
-			whole := log.file
-			tt.fault.file = whole
+			intact := log.file
+			tt.fault.file = intact
 			log.file = &tt.fault
 			if err := log.Append([]byte("lost")); !errors.Is(err, errDisk) {
 				t.Fatalf("append on a bad disk: %v", err)
 			}
-			log.file = whole
-			if err := log.Append([]byte("two")); !errors.Is(err, tt.again) {
+			log.file = intact
+			if err := log.Append([]byte("two")); !errors.Is(err, tt.appendErr) {
 				t.Fatalf("append after: %v", err)
 			}
-			if err := log.Close(); err != nil || tt.after == "" {
+			if err := log.Close(); err != nil || tt.records == "" {
 				return
 			}
-			if _, records, err := Open(path); err != nil || texts(records) != tt.after {
-				t.Fatalf("got %q, %v", texts(records), err)
+			if _, records, err := Open(path); err != nil || joinRecords(records) != tt.records {
+				t.Fatalf("got %q, %v", joinRecords(records), err)
 			}
 		})
 	}
@@ -164,11 +164,11 @@
 		t.Fatal(err)
 	}
 	// What a crash in a rewrite leaves beside the log does no harm.
-	if err := os.WriteFile(path+rewriteShape, []byte("half"), 0o600); err != nil {
+	if err := os.WriteFile(path+tempSuffix, []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, records, err := Open(path); err != nil || texts(records) != "all,next," {
-		t.Fatalf("got %q, %v", texts(records), err)
+	if _, records, err := Open(path); err != nil || joinRecords(records) != "all,next," {
+		t.Fatalf("got %q, %v", joinRecords(records), err)
 	}
 }
 
@@ -180,8 +180,8 @@
 		if err != nil {
 			return
 		}
-		again, _, err := parse(data[:size])
-		if err != nil || texts(again) != texts(records) {
+		reparsed, _, err := parse(data[:size])
+		if err != nil || joinRecords(reparsed) != joinRecords(records) {
 			t.Fatalf("the good part reads differently: %v", err)
 		}
 	})
