--- a/raft/core_test.go
+++ b/raft/core_test.go
@@ -22,7 +22,7 @@
 	seed     uint64
 }
 
-type cluster struct {
+type simulation struct {
 	t         *testing.T
 	random    *rand.Rand
 	replicas  map[uint64]*testReplica
@@ -37,8 +37,8 @@
 	acked             []string
 }
 
-func newCluster(t *testing.T, seed uint64, voters int) *cluster {
-	s := &cluster{
+func newSimulation(t *testing.T, seed uint64, voters int) *simulation {
+	s := &simulation{
 		t: t, random: rand.New(rand.NewPCG(seed, 7)), replicas: map[uint64]*testReplica{},
 		cutLinks: map[[2]uint64]bool{}, leaders: map[uint64]uint64{}, committed: map[uint64]string{},
 	}
@@ -52,14 +52,14 @@
 	return s
 }
 
-func (s *cluster) add(id uint64, disk State) {
+func (s *simulation) add(id uint64, disk State) {
 	r := &testReplica{disk: disk, seed: id}
 	s.replicas[id] = r
 	s.ids = append(s.ids, id)
 	s.start(id)
 }
 
-func (s *cluster) start(id uint64) {
+func (s *simulation) start(id uint64) {
 	r := s.replicas[id]
 	r.seed += 100
 	r.core = New(Options{ID: id, ElectionTicks: 10, HeartbeatTicks: 2, Seed: r.seed}, r.disk)
@@ -98,7 +98,7 @@
 	return point != 2
 }
 
-func (s *cluster) processReady(id uint64, point int) {
+func (s *simulation) processReady(id uint64, point int) {
 	r := s.replicas[id]
 	if r.down || r.frozen {
 		return
@@ -133,7 +133,7 @@
 	s.checkLeader(id)
 }
 
-func (s *cluster) apply(r *testReplica, e Entry) {
+func (s *simulation) apply(r *testReplica, e Entry) {
 	text := fmt.Sprint(e.Term, e.Type, string(e.Data))
 	if earlier, ok := s.committed[e.Index]; ok && earlier != text {
 		s.t.Fatalf("index %d committed twice: %s and %s", e.Index, earlier, text)
@@ -144,7 +144,7 @@
 	}
 }
 
-func (s *cluster) checkLeader(id uint64) {
+func (s *simulation) checkLeader(id uint64) {
 	c := s.replicas[id].core
 	if c.Role() != Leader {
 		return
@@ -155,7 +155,7 @@
 	s.leaders[c.Term()] = id
 }
 
-func (s *cluster) deliver() {
+func (s *simulation) deliver() {
 	n := len(s.network)
 	for range min(n, 6) {
 		i := s.random.IntN(len(s.network))
@@ -175,14 +175,14 @@
 	}
 }
 
-func (s *cluster) crashPoint() int {
+func (s *simulation) crashPoint() int {
 	if s.lossRate > 0 && s.random.IntN(400) == 0 {
 		return 1 + s.random.IntN(3)
 	}
 	return 0
 }
 
-func (s *cluster) injectFault() {
+func (s *simulation) injectFault() {
 	a, b := s.randomID(), s.randomID()
 	switch s.random.IntN(10) {
 	case 8:
@@ -210,9 +210,9 @@
 	r.core.ResumeWrites()
 }
 
-func (s *cluster) randomID() uint64 { return s.ids[s.random.IntN(len(s.ids))] }
+func (s *simulation) randomID() uint64 { return s.ids[s.random.IntN(len(s.ids))] }
 
-func (s *cluster) round(number int) {
+func (s *simulation) round(number int) {
 	for _, id := range s.ids {
 		if r := s.replicas[id]; !r.down && !r.frozen {
 			r.core.Tick()
@@ -228,7 +228,7 @@
 	}
 }
 
-func (s *cluster) propose(number int) {
+func (s *simulation) propose(number int) {
 	for _, id := range s.ids {
 		r := s.replicas[id]
 		if r.down || r.frozen || r.core.Role() != Leader {
@@ -244,7 +244,7 @@
 	}
 }
 
-func (s *cluster) compact() {
+func (s *simulation) compact() {
 	for _, id := range s.ids {
 		r := s.replicas[id]
 		if r.down || r.frozen || r.diskFull || s.random.IntN(2) == 0 {
@@ -261,7 +261,7 @@
 // faults have ended.
 const healedCommand = 1 << 20
 
-func (s *cluster) heal() {
+func (s *simulation) heal() {
 	s.lossRate = 0
 	clear(s.cutLinks)
 	for _, id := range s.ids {
@@ -308,7 +308,7 @@
 
 func runSchedule(t *testing.T, seed uint64, voters int, loss float64, large int) {
 	t.Helper()
-	s := newCluster(t, seed, voters)
+	s := newSimulation(t, seed, voters)
 	s.lossRate, s.largeCommandBytes = loss, large
 	for i := range 1500 {
 		s.round(i)
@@ -331,7 +331,7 @@
 // TestBlankReplicaJoinsAsLearner replaces a member that lost its disk by a blank
 // replica, which joins as a learner and becomes a voter.
 func TestBlankReplicaJoinsAsLearner(t *testing.T) {
-	s := newCluster(t, 3, 3)
+	s := newSimulation(t, 3, 3)
 	run := func(n int) {
 		for i := range n {
 			s.round(i)
@@ -396,7 +396,7 @@
 			c := start()
 			c.Step(tt.in)
 			if !tt.want(c) {
-				t.Fatalf("term %d, vote %d, messages %+v", c.term, c.vote, c.messages)
+				t.Fatalf("got term %d, vote %d, messages %+v", c.term, c.vote, c.messages)
 			}
 		})
 	}
@@ -405,7 +405,7 @@
 // TestCommitIsAnnounced checks that followers learn a new commit index without
 // waiting for a tick.
 func TestCommitIsAnnounced(t *testing.T) {
-	s := newCluster(t, 1, 3)
+	s := newSimulation(t, 1, 3)
 	for i := 0; len(s.leaders) == 0; i++ {
 		s.round(3*i + 1)
 	}
@@ -422,7 +422,7 @@
 	deliverAll()
 	for _, id := range s.ids {
 		if got := s.replicas[id].applied; len(got) == 0 || got[len(got)-1] != "7" {
-			t.Errorf("replica %d applied %v", id, got)
+			t.Errorf("replica %d applied %v, want 7 as the last command", id, got)
 		}
 	}
 }
@@ -486,7 +486,7 @@
 // and accepts no entries, while the others elect a leader and commit, and that it
 // follows the new leader once it can write.
 func TestFullDisk(t *testing.T) {
-	s := newCluster(t, 1, 3)
+	s := newSimulation(t, 1, 3)
 	run := func(n int) {
 		for i := range n {
 			s.round(i)
--- a/raft/transfer_test.go
+++ b/raft/transfer_test.go
@@ -7,7 +7,7 @@
 
 // deliverExcept delivers all messages except those that carry entries to one
 // replica, and returns these as still in transit.
-func (s *cluster) deliverExcept(to uint64) []Message {
+func (s *simulation) deliverExcept(to uint64) []Message {
 	var held []Message
 	for len(s.network) > 0 {
 		m := s.network[0]
@@ -23,7 +23,7 @@
 }
 
 // elect makes replica 1 the leader of a cluster without faults.
-func (s *cluster) elect() {
+func (s *simulation) elect() {
 	for s.replicas[1].core.Role() != Leader {
 		s.replicas[1].core.Tick()
 		s.processReady(1, 0)
@@ -34,7 +34,7 @@
 }
 
 // runHeartbeats advances the leader by a number of heartbeat intervals.
-func (s *cluster) runHeartbeats(heartbeats int) {
+func (s *simulation) runHeartbeats(heartbeats int) {
 	for range 2 * heartbeats {
 		s.replicas[1].core.Tick()
 		s.processReady(1, 0)
@@ -46,7 +46,7 @@
 // carry nothing else.
 func TestLargeEntryIsNotResentInTransit(t *testing.T) {
 	const transitHeartbeats = 8
-	s := newCluster(t, 1, 3)
+	s := newSimulation(t, 1, 3)
 	s.elect()
 	large := bytes.Repeat([]byte("1"), 1<<20)
 	if _, _, err := s.replicas[1].core.Propose(large); err != nil {
@@ -81,7 +81,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newCluster(t, 1, 3)
+			s := newSimulation(t, 1, 3)
 			s.elect()
 			if _, _, err := s.replicas[1].core.Propose(bytes.Repeat([]byte("1"), tt.size)); err != nil {
 				t.Fatal(err)
--- a/raft/view.go
+++ b/raft/view.go
@@ -36,8 +36,8 @@
 // term, and therefore every membership change that was committed before.
 func (c *Core) AppliedOwnTerm() bool { return c.role == Leader && c.termAt(c.applied) == c.term }
 
-// RecentlyActive reports whether a member replied to this leader within the
-// current election timeout.
+// RecentlyActive reports whether a member has replied since this leader's last
+// quorum check.
 func (c *Core) RecentlyActive(id uint64) bool {
 	p := c.progress[id]
 	return p != nil && p.recentlyActive
--- a/replica/bootstrap.go
+++ b/replica/bootstrap.go
@@ -6,12 +6,12 @@
 	"wheelgauge/raft"
 )
 
-// bootstrapID is the identity of a founder, which the others must know without
-// being told.
+// bootstrapID derives the ID of an initial voter from its address, so that the
+// other initial voters can compute it.
 func bootstrapID(address string) uint64 { return xxhash.Sum64String(address)>>1 | 1 }
 
-// bootstrapGroup writes the first state of a group that several replicas found
-// at the same time; it is the same at each of them.
+// bootstrapGroup writes the initial state of a new group whose initial voters
+// start at the same time. The state is identical on all of them.
 func (s *storage) bootstrapGroup(o Options) (raft.State, error) {
 	members := make([]raft.Member, 0, len(o.Founders))
 	for _, address := range o.Founders {
--- a/replica/bootstrap_test.go
+++ b/replica/bootstrap_test.go
@@ -20,7 +20,7 @@
 
 const testTimeout = 20 * time.Second
 
-// testMachine keeps the last command.
+// testMachine is a state machine that holds the last command.
 type testMachine struct {
 	mu   sync.Mutex
 	last string
@@ -55,7 +55,7 @@
 	return m.last
 }
 
-// node is one replica with its listener.
+// node is one replica with its HTTP server.
 type node struct {
 	replica *Replica
 	machine *testMachine
@@ -64,16 +64,16 @@
 	dir     string
 }
 
-// cluster starts replicas at addresses of their own.
-type cluster struct {
+// group is a Raft group of replicas in this process, by address.
+type group struct {
 	t     *testing.T
 	seeds []string
 	nodes map[string]*node
-	// options changes those of the next replicas; nil changes nothing.
+	// editOptions modifies the options of replicas started later; it may be nil.
 	editOptions func(o *Options)
 }
 
-func (g *cluster) start(address, dir string, first bool) *node {
+func (g *group) start(address, dir string, first bool) *node {
 	g.t.Helper()
 	n := &node{machine: &testMachine{}, address: address, dir: dir}
 	o := Options{
@@ -102,7 +102,7 @@
 	return n
 }
 
-func (g *cluster) stop(n *node) {
+func (g *group) stop(n *node) {
 	delete(g.nodes, n.address)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -110,13 +110,13 @@
 	_ = n.replica.Close()
 }
 
-func (g *cluster) stopAll() {
+func (g *group) stopAll() {
 	for _, n := range g.nodes {
 		g.stop(n)
 	}
 }
 
-func (g *cluster) voters() int {
+func (g *group) voters() int {
 	voters := 0
 	for _, n := range g.nodes {
 		if !n.replica.Leading() {
@@ -132,21 +132,21 @@
 	return voters
 }
 
-func (g *cluster) waitFor(what string, ok func() bool) {
+func (g *group) waitFor(what string, ok func() bool) {
 	g.t.Helper()
 	deadline := time.Now().Add(testTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
 			for _, n := range g.nodes {
-				g.t.Logf("%s refuses %v: %+v", n.address, n.replica.Refuses(), n.replica.Status())
+				g.t.Logf("%s: disk unwritable %v, status %+v", n.address, n.replica.Refuses(), n.replica.Status())
 			}
-			g.t.Fatalf("not seen: %s", what)
+			g.t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-func (g *cluster) propose(n *node, value string) {
+func (g *group) propose(n *node, value string) {
 	g.t.Helper()
 	command, _ := json.Marshal(value)
 	g.waitFor("the change "+value, func() bool {
@@ -157,11 +157,11 @@
 	})
 }
 
-// Three seeds found a group together, two stores join it, and a store whose
-// disk is lost comes back as a voter, without an operator.
+// Three seeds bootstrap a group, two stores join it, and a store that lost its
+// disk becomes a voter again, all without an operator.
 func TestGroupBootstraps(t *testing.T) {
 	all := []string{"127.0.77.1:7801", "127.0.77.2:7801", "127.0.77.3:7801", "127.0.77.4:7801", "127.0.77.5:7801"}
-	g := &cluster{t: t, seeds: all[:3], nodes: map[string]*node{}}
+	g := &group{t: t, seeds: all[:3], nodes: map[string]*node{}}
 	defer g.stopAll()
 	for _, a := range all {
 		g.start(a, t.TempDir(), true)
@@ -179,15 +179,15 @@
 		})
 	})
 	if restarted.replica.Status().Self.ID == oldID {
-		t.Error("a store on a blank disk has its old identity")
+		t.Error("a store on a blank disk still has its old ID")
 	}
-	g.waitFor("the state at the new disk", func() bool { return restarted.machine.value() == `"kept"` })
+	g.waitFor("the state on the new disk", func() bool { return restarted.machine.value() == `"kept"` })
 }
 
-// A sixth store stays a learner, and takes the place of a voter that is gone.
+// A sixth store remains a learner and replaces a voter that has failed.
 func TestLearnerReplacesLostVoter(t *testing.T) {
 	all := []string{"127.0.78.1:7801", "127.0.78.2:7801", "127.0.78.3:7801", "127.0.78.4:7801", "127.0.78.5:7801", "127.0.78.6:7801"}
-	g := &cluster{t: t, seeds: all[:3], nodes: map[string]*node{}}
+	g := &group{t: t, seeds: all[:3], nodes: map[string]*node{}}
 	defer g.stopAll()
 	for _, a := range all[:5] {
 		g.start(a, t.TempDir(), true)
@@ -198,14 +198,14 @@
 		return g.voters() == 5 && len(learner.replica.Status().Members) == 6
 	})
 	if learner.replica.Status().Self.Voter {
-		t.Error("a sixth store votes")
+		t.Error("the sixth store is a voter, want a learner")
 	}
 	g.stop(g.nodes[all[1]])
-	g.waitFor("the spare votes", func() bool { return g.voters() == 5 && learner.replica.Status().Self.Voter })
+	g.waitFor("the learner to become a voter", func() bool { return g.voters() == 5 && learner.replica.Status().Self.Voter })
 }
 
-// A write that is torn in its middle, as a loss of power leaves it, damages
-// the last record only: what was synced before is all there.
+// A write that is torn in the middle, as by a power failure, damages only the last
+// record: everything synced before is kept.
 func TestTornBatch(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _, err := openStorage(dir)
@@ -239,9 +239,9 @@
 	}
 	defer s.log.Close()
 	if blank || len(state.Entries) != 1 || state.HardState.Term != 2 {
-		t.Errorf("blank %v, state %+v", blank, state)
+		t.Errorf("got blank %v, state %+v, want entry 1 of term 2", blank, state)
 	}
 	if s.log.Size() != intactBytes {
-		t.Errorf("log of %d bytes, want the %d that were whole", s.log.Size(), intactBytes)
+		t.Errorf("got a log of %d bytes, want the %d before the torn write", s.log.Size(), intactBytes)
 	}
 }
--- a/replica/disk_test.go
+++ b/replica/disk_test.go
@@ -10,13 +10,13 @@
 	"wheelgauge/raft"
 )
 
-// fullDisk is a journal on a disk that takes no writes for a while.
+// fullDisk is a recordLog on a disk that can be made full.
 type fullDisk struct {
 	recordLog
 	full           atomic.Bool
 	poisoned       atomic.Bool
 	rejectedWrites atomic.Int64
-	// small has no room for a rewrite only.
+	// rewriteFull makes only rewrites fail for lack of space.
 	rewriteFull atomic.Bool
 }
 
@@ -49,8 +49,8 @@
 
 func (d *fullDisk) Poisoned() bool { return d.poisoned.Load() || d.recordLog.Poisoned() }
 
-// useFullDisks gives each replica of a group a disk that can be filled.
-func useFullDisks(g *cluster) map[string]*fullDisk {
+// useFullDisks gives each replica started later a disk that can be made full.
+func useFullDisks(g *group) map[string]*fullDisk {
 	out := map[string]*fullDisk{}
 	g.editOptions = func(o *Options) {
 		d := &fullDisk{}
@@ -63,7 +63,7 @@
 	return out
 }
 
-func (g *cluster) leader() *node {
+func (g *group) leader() *node {
 	for _, n := range g.nodes {
 		if n.replica.Leading() && !n.replica.Refuses() {
 			return n
@@ -81,8 +81,8 @@
 	}
 }
 
-// A leader whose disk is full stays up and leads no more; changes asked of it are
-// taken by the others, and it holds them once there is room again.
+// A leader whose disk is full keeps running but steps down. Changes sent to it are
+// committed by the others, and it applies them once its disk has space again.
 func TestFullDiskOnLeader(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -98,7 +98,7 @@
 			for _, a := range base {
 				all = append(all, a+":"+[]string{"7801", "7802"}[i])
 			}
-			g := &cluster{t: t, seeds: all, nodes: map[string]*node{}}
+			g := &group{t: t, seeds: all, nodes: map[string]*node{}}
 			defer g.stopAll()
 			filled := useFullDisks(g)
 			for _, a := range all {
@@ -111,19 +111,19 @@
 			disk.poisoned.Store(tt.poisoned)
 			disk.full.Store(true)
 			g.propose(oldLeader, "during")
-			g.waitFor("the full disk is noticed", oldLeader.replica.Refuses)
+			g.waitFor("the full disk to be detected", oldLeader.replica.Refuses)
 			g.waitFor("another leader", func() bool { return g.leader() != nil && g.leader() != oldLeader })
 			g.propose(oldLeader, "still")
-			g.waitFor("refused writes", func() bool { return disk.rejectedWrites.Load() > 2 })
+			g.waitFor("rejected writes", func() bool { return disk.rejectedWrites.Load() > 2 })
 			if oldLeader.machine.value() == `"still"` {
 				t.Error("a change was applied that is not on disk")
 			}
 			if !running(oldLeader) {
-				t.Fatal("the replica ended by a full disk")
+				t.Fatal("the replica stopped because of a full disk")
 			}
 			disk.full.Store(false)
-			g.waitFor("the disk takes writes", func() bool { return !oldLeader.replica.Refuses() })
-			g.waitFor("the change at the disk", func() bool { return oldLeader.machine.value() == `"still"` })
+			g.waitFor("the disk to be writable", func() bool { return !oldLeader.replica.Refuses() })
+			g.waitFor("the change on the replica with the full disk", func() bool { return oldLeader.machine.value() == `"still"` })
 			dir := oldLeader.dir
 			g.stop(oldLeader)
 			g.editOptions = nil
@@ -133,11 +133,11 @@
 	}
 }
 
-// A store that starts on a full disk keeps its identity to itself until it is on
-// disk, serves as a reader, and joins once there is room.
+// A store that starts on a full disk does not join until its ID is on disk, keeps
+// running meanwhile, and joins once there is space.
 func TestStartOnFullDisk(t *testing.T) {
 	all := []string{"127.0.80.1:7801", "127.0.80.2:7801", "127.0.80.3:7801", "127.0.80.4:7801"}
-	g := &cluster{t: t, seeds: all[:3], nodes: map[string]*node{}}
+	g := &group{t: t, seeds: all[:3], nodes: map[string]*node{}}
 	defer g.stopAll()
 	filled := useFullDisks(g)
 	for _, a := range all[:3] {
@@ -157,22 +157,23 @@
 		o.firstWriteErr = syscall.ENOSPC
 	}
 	newcomer := g.start(all[3], t.TempDir(), false)
-	g.waitFor("refused writes", func() bool { return filled[all[3]].rejectedWrites.Load() > 2 })
+	g.waitFor("rejected writes", func() bool { return filled[all[3]].rejectedWrites.Load() > 2 })
 	if !running(newcomer) || g.voters() != 3 {
-		t.Fatalf("running %v, %d voters, want a running store that has not joined", running(newcomer), g.voters())
+		t.Fatalf("got running %v, %d voters, want a running store that has not joined", running(newcomer), g.voters())
 	}
 	if err := newcomer.replica.ReadBarrier(context.Background()); err == nil {
-		t.Error("a store that holds nothing confirmed a read")
+		t.Error("a store without any state confirmed a read")
 	}
 	filled[all[3]].full.Store(false)
 	g.waitFor("four voters", func() bool { return g.voters() == 4 })
-	g.waitFor("the state at the new disk", func() bool { return newcomer.machine.value() == `"kept"` })
+	g.waitFor("the state on the new disk", func() bool { return newcomer.machine.value() == `"kept"` })
 }
 
-// A compaction that finds no room loses nothing and does not end the replica.
+// A compaction that fails on a full disk loses no data and does not stop the
+// replica.
 func TestFullDiskDuringCompaction(t *testing.T) {
 	a := "127.0.81.1:7801"
-	g := &cluster{t: t, seeds: []string{a}, nodes: map[string]*node{}}
+	g := &group{t: t, seeds: []string{a}, nodes: map[string]*node{}}
 	defer g.stopAll()
 	disk := useFullDisks(g)
 	n := g.start(a, t.TempDir(), true)
@@ -181,10 +182,10 @@
 	for range compactEntries + 1 {
 		g.propose(n, "filled")
 	}
-	g.waitFor("a compaction that is refused", func() bool { return disk[a].rejectedWrites.Load() > 0 })
+	g.waitFor("a compaction that fails", func() bool { return disk[a].rejectedWrites.Load() > 0 })
 	g.propose(n, "after")
 	if !running(n) || n.machine.value() != `"after"` {
-		t.Errorf("running %v, value %s", running(n), n.machine.value())
+		t.Errorf("got running %v, value %s, want a running replica with the last change", running(n), n.machine.value())
 	}
 	dir := n.dir
 	g.stop(n)
@@ -193,10 +194,10 @@
 	g.waitFor("all changes after a restart", func() bool { return restarted.machine.value() == `"after"` })
 }
 
-// A change that could not be written is not acknowledged.
+// A change that cannot be written to disk is not acknowledged.
 func TestFullDiskAcknowledgesNothing(t *testing.T) {
 	a := "127.0.81.1:7802"
-	g := &cluster{t: t, seeds: []string{a}, nodes: map[string]*node{}}
+	g := &group{t: t, seeds: []string{a}, nodes: map[string]*node{}}
 	defer g.stopAll()
 	disk := useFullDisks(g)
 	n := g.start(a, t.TempDir(), true)
@@ -206,12 +207,13 @@
 	defer cancel()
 	command, _ := json.Marshal("lost")
 	if _, err := n.replica.Propose(ctx, command); err == nil || ctx.Err() != nil {
-		t.Errorf("got %v, %v, want an error at once", err, ctx.Err())
+		t.Errorf("got %v, context error %v, want an error before the timeout", err, ctx.Err())
 	}
 }
 
-// A storage whose first records found no room holds them once there is some: what
-// it then appends must not stand under an identity that the disk does not have.
+// A storage whose first write failed on a full disk writes its identity and
+// initial state once there is space: entries must not be appended to a log that
+// lacks the identity they belong to.
 func TestRepairWritesIdentity(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _, err := openStorage(dir)
@@ -224,7 +226,7 @@
 	s.self.ID = newID()
 	state, err := s.bootstrap([]raft.Member{{ID: s.self.ID, Name: "a", Voter: true}})
 	if err == nil {
-		t.Fatal("a full disk was written")
+		t.Fatal("bootstrap on a full disk succeeded, want an error")
 	}
 	disk.full.Store(false)
 	if err := s.repair(state.Snapshot, state.HardState, nil); err != nil {
@@ -239,6 +241,6 @@
 	}
 	defer reopened.log.Close()
 	if blank || reopened.self.ID != s.self.ID || restored.Snapshot == nil {
-		t.Errorf("blank %v, identity %d, want %d, snapshot %v", blank, reopened.self.ID, s.self.ID, restored.Snapshot)
+		t.Errorf("got blank %v, ID %d, want %d, snapshot %v", blank, reopened.self.ID, s.self.ID, restored.Snapshot)
 	}
 }
--- a/replica/handler.go
+++ b/replica/handler.go
@@ -15,10 +15,11 @@
 
 const requestTimeout = 5 * time.Second
 
-// errReplaced answers a store whose place another member of its name has taken.
+// errReplaced is the response to a store that was replaced by another member of
+// the same name.
 var errReplaced = wheelgauge.NewError(wheelgauge.ReasonConflict, wheelgauge.OutcomeNotRun, http.StatusGone, "this store was replaced by another member")
 
-// Handle answers the paths of the replica; false means the path is not its own.
+// Handle serves the replica's paths; it returns false for any other path.
 func (r *Replica) Handle(ctx *fasthttp.RequestCtx) bool {
 	callCtx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
@@ -67,8 +68,8 @@
 	reply(ctx, struct{}{}, err)
 }
 
-// awaitReplaced waits for what the run loop found, which a replica that has just
-// ended never tells.
+// awaitReplaced waits for the run loop to report whether the sender was replaced.
+// The timeout covers a run loop that has just ended.
 func awaitReplaced(callCtx context.Context, result chan bool) error {
 	select {
 	case replaced := <-result:
@@ -77,12 +78,13 @@
 		}
 		return nil
 	case <-callCtx.Done():
-		return noLeaderError("the store stops")
+		return noLeaderError("the store is shutting down")
 	}
 }
 
-// senderReplaced tells whether the sender campaigns though it is no member any more:
-// a settled leader knows every change of members.
+// senderReplaced reports whether the sender campaigns although it is no longer a
+// member. Only a leader that has applied an entry of its own term can tell, as it
+// knows every committed membership change.
 func (r *Replica) senderReplaced(e envelope) bool {
 	isMember := slices.ContainsFunc(r.core.Members(), func(m raft.Member) bool { return m.ID == e.From.ID })
 	campaigns := slices.ContainsFunc(e.Messages, func(m raft.Message) bool { return m.IsVoteRequest() })
--- a/replica/identity.go
+++ b/replica/identity.go
@@ -12,16 +12,16 @@
 
 const markerName = "disk.marker"
 
-// newID returns a new random identity.
+// newID returns a random, nonzero replica ID.
 func newID() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails: it ends the process instead
+	_, _ = rand.Read(b[:]) // never fails: crypto/rand crashes the process instead
 	return binary.LittleEndian.Uint64(b[:])>>1 | 1
 }
 
-// diskID names the file system object under dir. A copy or a restored backup of
-// the folder has another inode, so its replica is not taken for the one whose
-// log it holds.
+// diskID returns the inode of the marker file in dir. A copy or a restored backup
+// of the folder has another inode, so its replica does not assume the identity of
+// the replica that wrote the log.
 func diskID(dir string) (uint64, error) {
 	path := filepath.Join(dir, markerName)
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDONLY, 0o600)
--- a/replica/members.go
+++ b/replica/members.go
@@ -16,14 +16,14 @@
 	joinTimeout    = 3 * time.Second
 	maxCaughtUpLag = 16
 	maxMembers     = 15
-	// replaceVoterTicks is how long a voter must be silent before a learner that has
-	// caught up takes its place: more than any election.
+	// replaceVoterTicks is how long a voter must not reply before a learner that
+	// has caught up replaces it: longer than any election.
 	replaceVoterTicks = 3 * electionTicks
-	// removeLearnerTicks is how long a learner must be silent before it is forgotten.
+	// removeLearnerTicks is how long a learner must not reply before it is removed.
 	removeLearnerTicks = 20 * electionTicks
 )
 
-// joiner asks the peers to take a replica on a blank disk in.
+// joiner requests that the peers add a replica that is not a member yet.
 type joiner struct {
 	r           *Replica
 	lastAttempt time.Time
@@ -31,7 +31,7 @@
 
 func newJoiner(r *Replica) *joiner { return &joiner{r: r} }
 
-// tick starts one attempt a second until this replica is a member.
+// tick starts an attempt every joinInterval until this replica is a member.
 func (j *joiner) tick(ctx context.Context) {
 	r := j.r
 	isMember := slices.ContainsFunc(r.core.Members(), func(m raft.Member) bool { return m.ID == r.storage.self.ID })
@@ -57,11 +57,11 @@
 		if err == nil {
 			return
 		}
-		r.options.Log.V(1).Info("Join is not taken.", "peer", peer, "cause", err.Error())
+		r.options.Log.V(1).Info("Join request failed.", "peer", peer, "cause", err.Error())
 	}
 }
 
-// Join adds a learner. Any replica passes it on to the leader.
+// Join adds a learner. Replicas other than the leader forward the request to it.
 func (r *Replica) Join(ctx context.Context, m raft.Member) error {
 	if !r.Leading() {
 		return r.callLeader(ctx, http.MethodPost, pathJoin, m, nil)
@@ -73,16 +73,16 @@
 		}
 		existing := slices.IndexFunc(members, func(o raft.Member) bool { return o.Name == m.Name })
 		if existing >= 0 && r.core.RecentlyActive(members[existing].ID) {
-			return nil, wheelgauge.NewError(wheelgauge.ReasonConflict, wheelgauge.OutcomeNotRun, http.StatusConflict, "a store of this name is alive: "+m.Name)
+			return nil, wheelgauge.NewError(wheelgauge.ReasonConflict, wheelgauge.OutcomeNotRun, http.StatusConflict, "a store of this name is still active: "+m.Name)
 		}
 		if len(members) >= maxMembers {
-			return nil, wheelgauge.NewError(wheelgauge.ReasonInvalid, wheelgauge.OutcomeNotRun, http.StatusConflict, "the group is full")
+			return nil, wheelgauge.NewError(wheelgauge.ReasonInvalid, wheelgauge.OutcomeNotRun, http.StatusConflict, "the group has the maximum number of members")
 		}
 		return append(members, m), nil
 	})
 }
 
-// Remove takes a member out of the group.
+// Remove removes a member from the group.
 func (r *Replica) Remove(ctx context.Context, name string) error {
 	if !r.Leading() {
 		return r.callLeader(ctx, http.MethodDelete, pathJoin+"?name="+name, nil, nil)
@@ -90,7 +90,7 @@
 	return r.changeMembers(ctx, func(members []raft.Member) ([]raft.Member, error) {
 		i := slices.IndexFunc(members, func(o raft.Member) bool { return o.Name == name })
 		if i < 0 {
-			return nil, wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound, "no store of this name: "+name)
+			return nil, wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound, "no store has this name: "+name)
 		}
 		return slices.Delete(members, i, i+1), nil
 	})
@@ -118,13 +118,14 @@
 	case res := <-done:
 		return res.err
 	case <-ctx.Done():
-		return noLeaderError("the change of members is not committed in time").WithOutcome(wheelgauge.OutcomeUnknown)
+		return noLeaderError("the membership change was not committed in time").WithOutcome(wheelgauge.OutcomeUnknown)
 	}
 }
 
-// maintainMembers lets the leader make a learner that has caught up a voter. The
-// member whose place it takes goes first, so that the number of failures the
-// group survives never shrinks below what it was.
+// maintainMembers makes the leader promote a learner that has caught up to a
+// voter. The member that it replaces is removed first, so that the number of
+// failures that the group tolerates never falls below what it was. Learners that
+// no longer reply are removed.
 func (r *Replica) maintainMembers() {
 	if r.core.Role() != raft.Leader {
 		return
@@ -155,7 +156,7 @@
 
 func (r *Replica) proposeMembers(next []raft.Member, cause string) {
 	if _, _, err := r.core.ProposeMembers(next); err == nil {
-		r.options.Log.Info("Members change.", "store", cause, "members", len(next))
+		r.options.Log.Info("Membership change proposed.", "store", cause, "members", len(next))
 	}
 }
 
@@ -164,7 +165,7 @@
 	return match > 0 && r.core.RecentlyActive(m.ID) && match+maxCaughtUpLag >= r.core.Commit()
 }
 
-// hasAllVoters tells whether the group has as many voters as it should.
+// hasAllVoters reports whether the group has the configured number of voters.
 func (r *Replica) hasAllVoters(members []raft.Member) bool {
 	voters := 0
 	for _, m := range members {
@@ -175,8 +176,9 @@
 	return r.options.Voters > 0 && voters >= r.options.Voters
 }
 
-// memberToReplace returns the member whose place a learner takes: the one of its own name,
-// whose disk was lost, or in a full group a voter that has long been silent.
+// memberToReplace returns the index of the member that a learner replaces, or -1:
+// the member of the same name, whose disk was lost, or, if the group has all
+// voters, a voter that has not replied for replaceVoterTicks.
 func (r *Replica) memberToReplace(members []raft.Member, learner raft.Member) int {
 	sameName := slices.IndexFunc(members, func(m raft.Member) bool { return m.Name == learner.Name && m.ID != learner.ID })
 	if sameName >= 0 || !r.hasAllVoters(members) {
--- a/replica/network.go
+++ b/replica/network.go
@@ -15,23 +15,23 @@
 
 const (
 	sendersPerPeer = 4
-	// baseSendTimeout bounds a call without entries, and sendRate adds to it by their
-	// length, in bytes a second: 5 Mbit/s, as slow as the core waits for them. A
-	// whole configuration would else never come over a link that is too busy.
+	// baseSendTimeout bounds a call without entries. sendBytesPerSecond extends it
+	// by the payload: 5 Mbit/s, the lowest throughput that the core allows for. With
+	// a fixed timeout a whole configuration would never get through a congested link.
 	baseSendTimeout    = 2 * time.Second
 	sendBytesPerSecond = 640 << 10
 	peerQueueLength    = 512
 	pathMessages       = "/raft/messages"
 )
 
-// envelope carries messages and says how their sender is reached.
+// envelope carries messages and the ID and address of their sender.
 type envelope struct {
 	From     raft.Member    `json:"from"`
 	Messages []raft.Message `json:"messages"`
 }
 
-// network sends messages. What a peer does not take in time is dropped: the
-// core repeats itself.
+// network sends messages to peers. Messages that a peer does not accept in time
+// are dropped: the core sends them again.
 type network struct {
 	ctx       context.Context
 	client    *peerhttp.Client
@@ -40,7 +40,7 @@
 	addresses map[uint64]string
 	queues    map[string]chan raft.Message
 	senders   sync.WaitGroup
-	// replaced is set once a leader says that this replica is no member any more.
+	// replaced is set once a leader reports that this replica is no longer a member.
 	replaced atomic.Bool
 }
 
@@ -48,7 +48,7 @@
 	return &network{ctx: ctx, client: client, self: self, addresses: map[uint64]string{}, queues: map[string]chan raft.Message{}}
 }
 
-// learn remembers where a member that is not in the list yet is reached.
+// learn records the address of a replica that may not be in the member list yet.
 func (n *network) learn(m raft.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -116,13 +116,13 @@
 	ctx, cancel := context.WithTimeout(n.ctx, sendTimeoutFor(messages))
 	defer cancel()
 	err := n.client.Call(ctx, http.MethodPost, address, pathMessages, envelope{From: n.self, Messages: messages}, nil)
-	// A lost message is repeated by the core; only this answer says something new.
+	// The core sends lost messages again, so all other errors are ignored.
 	if fault, ok := errors.AsType[*wheelgauge.Error](err); ok && fault.Status() == http.StatusGone {
 		n.replaced.Store(true)
 	}
 }
 
-// sendTimeoutFor is how long a call with messages may take.
+// sendTimeoutFor returns the timeout of a call that carries the messages.
 func sendTimeoutFor(messages []raft.Message) time.Duration {
 	size := 0
 	for _, m := range messages {
--- a/replica/progress.go
+++ b/replica/progress.go
@@ -8,7 +8,7 @@
 	"wheelgauge/raft"
 )
 
-// appliedIndex lets others wait until an index is applied.
+// appliedIndex lets callers wait until an index is applied.
 type appliedIndex struct {
 	mu      sync.Mutex
 	index   uint64
@@ -17,23 +17,23 @@
 
 func newAppliedIndex() *appliedIndex { return &appliedIndex{changed: make(chan struct{})} }
 
-func (p *appliedIndex) set(index uint64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.index = max(p.index, index)
-	close(p.changed)
-	p.changed = make(chan struct{})
+func (a *appliedIndex) set(index uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.index = max(a.index, index)
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-func (p *appliedIndex) get() (uint64, <-chan struct{}) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.index, p.changed
+func (a *appliedIndex) get() (uint64, <-chan struct{}) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.index, a.changed
 }
 
-func (p *appliedIndex) wait(ctx context.Context, index uint64) error {
+func (a *appliedIndex) wait(ctx context.Context, index uint64) error {
 	for {
-		applied, changed := p.get()
+		applied, changed := a.get()
 		if applied >= index {
 			return nil
 		}
@@ -45,7 +45,7 @@
 	}
 }
 
-// Status is what a replica knows of its group.
+// Status is a replica's view of itself and its group.
 type Status struct {
 	Self    raft.Member   `json:"self"`
 	Role    string        `json:"role"`
@@ -57,7 +57,7 @@
 	Members []raft.Member `json:"members"`
 }
 
-// statusView is the last published status, for readers outside the run loop.
+// statusView holds the last published status, for readers outside the run loop.
 type statusView struct {
 	mu     sync.RWMutex
 	status Status
@@ -94,7 +94,7 @@
 // Status returns the last published status.
 func (r *Replica) Status() Status { return r.view.get() }
 
-// Leading tells whether this replica is the leader.
+// Leading reports whether this replica is the leader.
 func (r *Replica) Leading() bool {
 	s := r.view.get()
 	return s.Leader == s.Self.ID
@@ -103,7 +103,7 @@
 // Term returns the term of the last published status.
 func (r *Replica) Term() uint64 { return r.view.get().Term }
 
-// LeaderAddress returns where the leader is reached; empty when there is none.
+// LeaderAddress returns the leader's address, or an empty string if none is known.
 func (r *Replica) LeaderAddress() string {
 	s := r.view.get()
 	for _, m := range s.Members {
@@ -114,7 +114,7 @@
 	return ""
 }
 
-// MemberAddresses returns where all members are reached.
+// MemberAddresses returns the addresses of all members, this replica included.
 func (r *Replica) MemberAddresses() []string {
 	members := r.view.get().Members
 	out := make([]string, 0, len(members))
--- a/replica/propose.go
+++ b/replica/propose.go
@@ -15,24 +15,24 @@
 	pathBarrier = "/raft/barrier"
 )
 
-// leaderResult is the answer of the leader to a forwarded command or barrier.
+// leaderResult is the leader's response to a forwarded command or read barrier.
 type leaderResult struct {
 	Index    uint64          `json:"index"`
 	Response json.RawMessage `json:"answer,omitempty"`
 }
 
-// submit runs f in the run loop.
+// submit queues f for the run loop.
 func (r *Replica) submit(ctx context.Context, f func()) error {
 	select {
 	case r.tasks <- f:
 		return nil
 	case <-ctx.Done():
-		return noLeaderError("the store is too busy to take the change")
+		return noLeaderError("the store is too busy to accept the request")
 	}
 }
 
-// Propose implements wheelgauge.Proposer; any replica takes commands and hands
-// them to the leader.
+// Propose implements wheelgauge.Proposer. Replicas other than the leader forward
+// the command to it.
 func (r *Replica) Propose(ctx context.Context, command []byte) ([]byte, error) {
 	if r.Leading() {
 		p, err := r.proposeLocal(ctx, command)
@@ -52,7 +52,7 @@
 	}
 	err := r.options.Client.Call(ctx, method, address, path, in, out)
 	if err != nil && peerhttp.NotSent(err) {
-		return noLeaderError("the leader is not reached")
+		return noLeaderError("the leader is unreachable")
 	}
 	return err
 }
@@ -75,7 +75,7 @@
 		return leaderResult{Index: res.index, Response: res.response}, res.err
 	case <-ctx.Done():
 		return leaderResult{}, wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeUnknown, http.StatusGatewayTimeout,
-			"not committed in time; it may be later: send the same change ID again").WithRetryAfter(leaderRetryAfter)
+			"not committed in time; it may still be committed: retry with the same change ID").WithRetryAfter(leaderRetryAfter)
 	}
 }
 
@@ -95,7 +95,7 @@
 		return diskUnwritableError()
 	}
 	if err := r.applied.wait(ctx, p.Index); err != nil {
-		return noLeaderError("this store lags behind")
+		return noLeaderError("this store did not catch up with the leader in time")
 	}
 	return nil
 }
@@ -117,6 +117,6 @@
 	case res := <-done:
 		return leaderResult{Index: res.index}, res.err
 	case <-ctx.Done():
-		return leaderResult{}, noLeaderError("the leader is not confirmed in time")
+		return leaderResult{}, noLeaderError("leadership was not confirmed in time")
 	}
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica drives one member of the replicated log: it owns the core,
-// the file it is kept in, the messages to the other members and the state
-// machine.
+// Package replica runs one member of a Raft group: it drives the core, persists
+// its log, exchanges messages with the other members and applies committed
+// commands to the state machine.
 package replica
 
 import (
@@ -24,8 +24,8 @@
 	heartbeatTicks = 4
 	electionTicks  = 20
 	compactEntries = 512
-	// compactBytes is the length of the log from which on it is compacted
-	// sooner: whole configurations may be megabytes each.
+	// compactBytes is the log size from which on it is compacted after
+	// minCompactEntries: an entry may hold a whole configuration of megabytes.
 	compactBytes      = 16 << 20
 	minCompactEntries = 8
 	retainedEntries   = 128
@@ -36,33 +36,33 @@
 
 // Options of a Replica.
 type Options struct {
-	// Dir is the data folder.
+	// Dir is the data directory.
 	Dir string
-	// Name is the host's name; a member of the same name with another identity
-	// is the one whose disk was lost.
+	// Name is the name of the host. A new replica replaces the member of the same
+	// name and another ID, whose disk was lost.
 	Name string
-	// Address is the peer address that others reach this replica at.
+	// Address is the peer address of this replica.
 	Address string
-	// Voters is the most voters of the group; 0 means all members vote. Further
-	// members stay learners and take the place of voters that are lost.
+	// Voters is the maximum number of voters; 0 means that all members vote.
+	// Further members remain learners and replace voters that fail.
 	Voters int
-	// Peers are the addresses of stores to join through.
+	// Peers are the addresses of the stores that a join request is sent to.
 	Peers []string
-	// Founders are the addresses of the first voters when a whole new group
-	// starts at once, the same at each replica; empty at any other start. A
-	// founder on a blank disk begins the group together with the others.
+	// Founders are the addresses of the initial voters when a whole new group
+	// starts at once, the same on each replica; empty at any other start. An
+	// initial voter on a blank disk bootstraps the group together with the others.
 	Founders []string
-	// Tick is the unit of election and heartbeat times; 50 ms when zero.
+	// Tick is the unit of the election and heartbeat timeouts; 0 means 50 ms.
 	Tick   time.Duration
 	Client *peerhttp.Client
 	Log    logr.Logger
-	// journal stands before the log file in tests, and full is how its first
-	// write fails.
+	// wrapLog wraps the log file in tests, and firstWriteErr is the error of its
+	// first write.
 	wrapLog       func(recordLog) recordLog
 	firstWriteErr error
 }
 
-// result is the end of a proposal or a barrier.
+// result is the outcome of a proposal or a read barrier.
 type result struct {
 	index    uint64
 	response []byte
@@ -94,8 +94,8 @@
 	done   chan error
 }
 
-// Open starts a replica on the folder of the options. A blank folder joins the
-// group through the peers as a learner.
+// Open starts a replica on the data directory. A replica with a blank directory
+// that does not bootstrap a group joins one through the peers as a learner.
 func Open(ctx context.Context, options Options, machine wheelgauge.StateMachine) (*Replica, error) {
 	if options.Tick == 0 {
 		options.Tick = 50 * time.Millisecond
@@ -132,7 +132,7 @@
 		r.suspendWrites(openErr)
 	}
 	r.publish()
-	options.Log.Info("Replica starts.", "id", s.self.ID, "blank", blank, "applied", core.Applied())
+	options.Log.Info("Replica started.", "id", s.self.ID, "blank", blank, "applied", core.Applied())
 	go func() {
 		r.done <- r.run(ctx)
 		close(r.done)
@@ -144,10 +144,11 @@
 	return raft.Member{ID: r.storage.self.ID, Name: r.options.Name, Address: r.options.Address}
 }
 
-// Done gives the error that ended the replica; a store stops with it.
+// Done returns a channel that delivers the error that stopped the replica; the
+// store must stop with it.
 func (r *Replica) Done() <-chan error { return r.done }
 
-// Close stops the replica and waits.
+// Close stops the replica and waits until it has ended.
 func (r *Replica) Close() error {
 	r.cancel()
 	err := <-r.done
@@ -160,8 +161,8 @@
 	defer ticker.Stop()
 	join := newJoiner(r)
 	defer r.failPending()
-	// What is committed on disk is applied before anything else, so that this
-	// replica knows whether it is a member.
+	// Committed entries on disk are applied first, so that this replica knows
+	// whether it is a member.
 	if err := r.processReady(); err != nil {
 		return err
 	}
@@ -182,25 +183,25 @@
 			return r.discardIdentity()
 		}
 		if err := r.processReady(); err != nil {
-			r.options.Log.Error(err, "Replica stops: its state cannot be kept.")
+			r.options.Log.Error(err, "Replica stops: its state cannot be persisted.")
 			return err
 		}
 		r.publish()
 	}
 }
 
-// discardIdentity forgets the identity that was replaced. The next start joins as a new
-// member.
+// discardIdentity replaces the ID of a replica that was replaced by a new one. The
+// next start joins as a new member.
 func (r *Replica) discardIdentity() error {
-	r.options.Log.Info("Replica was replaced by another member of its name. Start again to join anew.")
+	r.options.Log.Info("Replica was replaced by another member of the same name. Restart it to join as a new member.")
 	r.storage.self.ID = newID()
 	if err := r.storage.rewrite(nil, raft.HardState{}, nil); err != nil {
-		return fmt.Errorf("give up identity: %w", err)
+		return fmt.Errorf("discard identity: %w", err)
 	}
 	return errReplaced
 }
 
-// runQueued takes what else has come, so that one sync serves all of it.
+// runQueued runs further queued tasks, so that one sync covers them all.
 func (r *Replica) runQueued() {
 	for range maxBatchLength {
 		select {
@@ -212,9 +213,9 @@
 	}
 }
 
-// failPending answers all who still wait.
+// failPending fails all pending proposals and read barriers.
 func (r *Replica) failPending() {
-	stopErr := wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeUnknown, http.StatusServiceUnavailable, "the store stops").WithRetryAfter(leaderRetryAfter)
+	stopErr := wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeUnknown, http.StatusServiceUnavailable, "the store is shutting down").WithRetryAfter(leaderRetryAfter)
 	for _, w := range r.waiters {
 		w.done <- result{err: stopErr}
 	}
@@ -223,7 +224,7 @@
 	}
 }
 
-// processReady does what the core asks for until it asks for nothing more.
+// processReady processes the core's Ready until it is empty.
 func (r *Replica) processReady() error {
 	for {
 		rd := r.core.Ready()
@@ -278,7 +279,7 @@
 		}
 		delete(r.waiters, e.Index)
 		if w.term != e.Term {
-			w.done <- result{err: noLeaderError("another leader took over before the change was logged")}
+			w.done <- result{err: noLeaderError("another leader took over before the change was committed")}
 			continue
 		}
 		w.done <- result{index: e.Index, response: answer}
@@ -292,7 +293,7 @@
 	}
 }
 
-// failReads ends barriers that this replica confirms no more.
+// failReads fails read barriers that this replica can no longer confirm.
 func (r *Replica) failReads(lists ...[]uint64) {
 	for _, id := range slices.Concat(lists...) {
 		r.barriers[id] <- result{err: noLeaderError("the leader changed")}
--- a/replica/storage.go
+++ b/replica/storage.go
@@ -16,25 +16,25 @@
 	dirMode = 0o700
 )
 
-// identity says who this replica is and on which disk.
+// identity is the ID of this replica and the inode that it was created on.
 type identity struct {
 	ID   uint64 `json:"id"`
 	Disk uint64 `json:"disk"`
 }
 
-// record is one record of the log on disk; one field is set.
+// record is one record of the log on disk; exactly one field is set.
 type record struct {
 	Identity  *identity       `json:"identity,omitempty"`
 	HardState *raft.HardState `json:"hard,omitempty"`
 	Snapshot  *raft.Snapshot  `json:"snapshot,omitempty"`
 	Entry     *raft.Entry     `json:"entry,omitempty"`
-	// Batch is what one sync covers, as one record: a torn write then damages
-	// the last record only, which is cut at the next start.
+	// Batch holds all records of one sync as one record: a torn write then damages
+	// only the last record, which is truncated at the next start.
 	Batch []record `json:"batch,omitempty"`
 }
 
-// recordLog is the part of *wal.Log that a replica needs; tests put faults
-// behind it.
+// recordLog is the part of *wal.Log that a replica needs; tests inject faults
+// through it.
 type recordLog interface {
 	Append(records ...[]byte) error
 	Rewrite(records ...[]byte) error
@@ -43,21 +43,22 @@
 	Close() error
 }
 
-// storage keeps a replica's state in one file.
+// storage persists a replica's state in one file.
 type storage struct {
 	log  recordLog
 	self identity
-	// unwritten is set while the disk lacks what the log must begin with, such as
-	// an identity that is new.
+	// needsRewrite is set while the file lacks its first records, such as a new
+	// identity.
 	needsRewrite bool
 }
 
-// openStorage reads the state under dir. A blank folder, and a folder that was
-// copied or restored from a backup, get a new identity and no state. On a full
-// disk the storage comes with an error for which wal.Full holds.
+// openStorage reads the state in dir and reports whether it is blank. A new
+// directory, and one that was copied or restored from a backup, gets a new
+// identity and no state. On a full disk it returns both the storage and an error
+// that satisfies wal.IsNoSpace.
 func openStorage(dir string) (*storage, raft.State, bool, error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
-		return nil, raft.State{}, false, fmt.Errorf("create data folder: %w", err)
+		return nil, raft.State{}, false, fmt.Errorf("create data directory: %w", err)
 	}
 	inode, err := diskID(dir)
 	if err != nil {
@@ -79,8 +80,9 @@
 	return s, raft.State{}, true, s.rewrite(nil, raft.HardState{}, nil)
 }
 
-// repair makes a storage that failed to write good again. hard, snap and tail are
-// what it should hold: they are written anew where the file is not known.
+// repair makes a storage writable again after a failed write. snap, hard and tail
+// are its expected contents: they are rewritten if the contents of the file are
+// unknown or incomplete.
 func (s *storage) repair(snap *raft.Snapshot, hard raft.HardState, tail []raft.Entry) error {
 	if s.log.Poisoned() || s.needsRewrite {
 		return s.rewrite(snap, hard, tail)
@@ -145,7 +147,7 @@
 	return out
 }
 
-// save persists what a Ready asks for, with one sync.
+// save appends a hard state and entries with one sync.
 func (s *storage) save(hard *raft.HardState, entries []raft.Entry) error {
 	records := entryRecords(entries)
 	if hard != nil {
@@ -161,7 +163,8 @@
 	return s.log.Append(data...)
 }
 
-// rewrite replaces the file by a snapshot and what follows it.
+// rewrite replaces the file by the identity, a snapshot, the hard state and the
+// entries that follow.
 func (s *storage) rewrite(snap *raft.Snapshot, hard raft.HardState, entries []raft.Entry) error {
 	records := []record{{Identity: &s.self}}
 	if snap != nil {
@@ -180,8 +183,9 @@
 	return nil
 }
 
-// Found makes dir the first replica of a new group. It refuses a folder that
-// is in use, and is never done by a running store: a blank disk joins instead.
+// Found bootstraps a new group with a single replica in dir. It fails if dir
+// holds a replica already. A running store never calls it: with a blank disk it
+// joins a group instead.
 func Found(dir, name, address string) error {
 	s, state, blank, err := openStorage(dir)
 	if s == nil {
@@ -191,14 +195,14 @@
 		return errors.Join(err, s.log.Close())
 	}
 	if !blank || state.Snapshot != nil {
-		return errors.Join(fmt.Errorf("%s holds a replica already", dir), s.log.Close())
+		return errors.Join(fmt.Errorf("%s already holds a replica", dir), s.log.Close())
 	}
 	members := []raft.Member{{ID: s.self.ID, Name: name, Address: address, Voter: true}}
 	_, err = s.bootstrap(members)
 	return errors.Join(err, s.log.Close())
 }
 
-// bootstrap writes the first state of a new group.
+// bootstrap writes the initial state of a new group.
 func (s *storage) bootstrap(members []raft.Member) (raft.State, error) {
 	state := raft.State{
 		Snapshot:  &raft.Snapshot{Index: 1, Term: 1, Members: members, Data: json.RawMessage(`{}`)},
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -1,7 +1,7 @@
-// Package wal is an append-only file of checksummed records. A record counts
-// as written only when Append has returned, that is, once it is synced.
+// Package wal is a write-ahead log: an append-only file of checksummed records. A
+// record is durable once Append has returned, as it syncs the file.
 //
-// A torn tail, as a crash leaves it, is cut at Open. Damage in front of other
+// Open truncates a torn tail, as a crash may leave it. Damage before intact
 // records is an error: such a file must not be trusted.
 package wal
 
@@ -26,19 +26,19 @@
 )
 
 var (
-	// ErrCorrupt is returned by Open when a damaged record stands before others.
+	// ErrCorrupt is returned by Open when a damaged record precedes intact ones.
 	ErrCorrupt = errors.New("wal: corrupt record before the end of the file")
-	// ErrPoisoned is returned after a failed sync: what is on disk is not known
+	// ErrPoisoned is returned after a failed sync: the contents on disk are unknown
 	// until a Rewrite succeeds.
 	ErrPoisoned = errors.New("wal: an earlier write failed, rewrite or reopen the log")
-	// ErrNoSpace is returned by Open when the disk takes no writes. The records are
-	// whole, and the log is poisoned.
-	ErrNoSpace = errors.New("wal: the disk takes no writes")
+	// ErrNoSpace is returned by Open when the disk has no space. The records are
+	// complete, and the log is poisoned.
+	ErrNoSpace = errors.New("wal: no space left on the disk")
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// file is the part of *os.File that Log needs; tests put faults behind it.
+// file is the part of *os.File that Log needs; tests inject faults through it.
 type file interface {
 	io.Writer
 	io.Closer
@@ -57,13 +57,13 @@
 	closed   bool
 }
 
-// IsNoSpace tells whether an error says that a disk has no room.
+// IsNoSpace reports whether an error means a full disk or an exceeded disk quota.
 func IsNoSpace(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
 // Open opens or creates the log at path and returns the records it holds. On a
-// disk without room it returns them with ErrFull.
+// full disk it returns the log and the records together with ErrNoSpace.
 func Open(path string) (*Log, [][]byte, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -81,7 +81,7 @@
 	return l.openResult(records, l.openFile(validBytes))
 }
 
-// openResult is what Open returns, by how the first write went.
+// openResult returns the results of Open, given the error of the first write.
 func (l *Log) openResult(records [][]byte, err error) (*Log, [][]byte, error) {
 	switch {
 	case err == nil:
@@ -99,7 +99,7 @@
 		return fmt.Errorf("open log: %w", err)
 	}
 	if err := f.Truncate(size); err != nil {
-		return errors.Join(fmt.Errorf("cut torn tail: %w", err), f.Close())
+		return errors.Join(fmt.Errorf("truncate torn tail: %w", err), f.Close())
 	}
 	if _, err := f.Seek(size, io.SeekStart); err != nil {
 		return errors.Join(fmt.Errorf("seek log: %w", err), f.Close())
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// parse returns the whole records and the length of the part that holds them.
+// parse returns the intact records and the offset at which they end.
 func parse(data []byte) ([][]byte, int64, error) {
 	if len(data) < len(magic) || string(data[:len(magic)]) != magic {
 		return nil, 0, ErrCorrupt
@@ -133,7 +133,8 @@
 	return records, int64(offset), nil
 }
 
-// decodeRecord reads one record; next is where it ends by its own length.
+// decodeRecord reads the record at an offset; next is where it ends according to
+// its length field.
 func decodeRecord(data []byte, offset int) (payload []byte, next int, ok bool) {
 	if len(data)-offset < recordHeaderBytes {
 		return nil, len(data), false
@@ -148,8 +149,9 @@
 	return payload, start + size, crc32.Checksum(payload, crcTable) == checksum
 }
 
-// containsRecord tells whether a whole record begins at an offset or after it: what
-// stands before it is then no torn tail, whatever its length says.
+// containsRecord reports whether an intact record begins at or after an offset.
+// The damaged data before it is then not a torn tail, whatever its length field
+// says.
 func containsRecord(data []byte, from int) bool {
 	for offset := from; offset < len(data); offset++ {
 		if _, _, ok := decodeRecord(data, offset); ok {
@@ -172,7 +174,7 @@
 	var buf []byte
 	for _, r := range records {
 		if len(r) == 0 || len(r) > maxRecordBytes {
-			return nil, fmt.Errorf("wal: record of %d bytes", len(r))
+			return nil, fmt.Errorf("wal: invalid record length of %d bytes", len(r))
 		}
 		buf = binary.LittleEndian.AppendUint32(buf, uint32(len(r)))
 		buf = binary.LittleEndian.AppendUint32(buf, crc32.Checksum(r, crcTable))
@@ -181,8 +183,8 @@
 	return buf, nil
 }
 
-// Append writes records and syncs them. A write that fails, as on a full disk,
-// is taken back; a sync that fails poisons the log.
+// Append writes records and syncs the file. A failed write, as on a full disk, is
+// rolled back; a failed sync poisons the log.
 func (l *Log) Append(records ...[]byte) error {
 	buf, err := encode(records)
 	if err != nil {
@@ -216,8 +218,8 @@
 	return nil
 }
 
-// Rewrite replaces all records in one step: after a crash the file holds
-// either the old records or the new ones. It makes a poisoned log good again.
+// Rewrite replaces all records atomically: after a crash the file holds either the
+// old records or the new ones. It also makes a poisoned log usable again.
 func (l *Log) Rewrite(records ...[]byte) error {
 	buf, err := encode(records)
 	if err != nil {
@@ -267,12 +269,12 @@
 func syncDir(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
-		return fmt.Errorf("open folder: %w", err)
+		return fmt.Errorf("open directory: %w", err)
 	}
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Poisoned tells whether the log takes no records until it is rewritten.
+// Poisoned reports whether the log rejects records until it is rewritten.
 func (l *Log) Poisoned() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -286,7 +288,7 @@
 	return l.size
 }
 
-// Close closes the file.
+// Close closes the log for good: later writes fail.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -29,9 +29,10 @@
 	// Output: one,two,
 }
 
-// TestOpenDamagedLog opens logs that were damaged on disk.
+// TestOpenDamagedLog checks which records Open returns from a damaged file and
+// that the log accepts new ones afterwards.
 func TestOpenDamagedLog(t *testing.T) {
-	const second = 8 + recordHeaderBytes + 3 // where the second record begins
+	const second = 8 + recordHeaderBytes + 3 // offset of the second record
 	tests := []struct {
 		name   string
 		damage func(data []byte) []byte
@@ -70,7 +71,7 @@
 			}
 			log, records, err := Open(path)
 			if !errors.Is(err, tt.err) || joinRecords(records) != tt.want {
-				t.Fatalf("got %q, %v", joinRecords(records), err)
+				t.Fatalf("got records %q, error %v", joinRecords(records), err)
 			}
 			if err != nil {
 				return
@@ -79,13 +80,13 @@
 				t.Fatal(err)
 			}
 			if _, records, err = Open(path); err != nil || joinRecords(records) != tt.want+"new," {
-				t.Fatalf("after an append got %q, %v", joinRecords(records), err)
+				t.Fatalf("after an append got records %q, error %v", joinRecords(records), err)
 			}
 		})
 	}
 }
 
-// faultyFile fails as a disk does.
+// faultyFile injects short writes and failed syncs.
 type faultyFile struct {
 	file
 	writeLimit int
@@ -113,8 +114,8 @@
 	tests := []struct {
 		name      string
 		fault     faultyFile
-		records   string // what a reopened log holds
-		appendErr error  // what a later append returns
+		records   string // in the reopened log
+		appendErr error  // of a later append
 	}{
 		{"full disk takes a part", faultyFile{writeLimit: 5}, "one,two,", nil},
 		{"failed sync", faultyFile{writeLimit: -1, syncErr: errDisk}, "", ErrPoisoned},
@@ -133,17 +134,17 @@
 			tt.fault.file = intact
 			log.file = &tt.fault
 			if err := log.Append([]byte("lost")); !errors.Is(err, errDisk) {
-				t.Fatalf("append on a bad disk: %v", err)
+				t.Fatalf("got error %v from an append on a faulty disk, want the disk's error", err)
 			}
 			log.file = intact
 			if err := log.Append([]byte("two")); !errors.Is(err, tt.appendErr) {
-				t.Fatalf("append after: %v", err)
+				t.Fatalf("got error %v from the append after the fault", err)
 			}
 			if err := log.Close(); err != nil || tt.records == "" {
 				return
 			}
 			if _, records, err := Open(path); err != nil || joinRecords(records) != tt.records {
-				t.Fatalf("got %q, %v", joinRecords(records), err)
+				t.Fatalf("got records %q, error %v", joinRecords(records), err)
 			}
 		})
 	}
@@ -163,12 +164,12 @@
 	if err := errors.Join(log.Rewrite([]byte("all")), log.Append([]byte("next")), log.Close()); err != nil {
 		t.Fatal(err)
 	}
-	// What a crash in a rewrite leaves beside the log does no harm.
+	// A temporary file left by a crash during a rewrite is ignored.
 	if err := os.WriteFile(path+tempSuffix, []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, records, err := Open(path); err != nil || joinRecords(records) != "all,next," {
-		t.Fatalf("got %q, %v", joinRecords(records), err)
+		t.Fatalf("got records %q, error %v", joinRecords(records), err)
 	}
 }
 
@@ -182,7 +183,7 @@
 		}
 		reparsed, _, err := parse(data[:size])
 		if err != nil || joinRecords(reparsed) != joinRecords(records) {
-			t.Fatalf("the good part reads differently: %v", err)
+			t.Fatalf("the valid part parses to other records, error %v", err)
 		}
 	})
 }
