--- a/replica/storage.go
+++ b/replica/storage.go
@@ -183,7 +183,7 @@
 	return nil
 }
 
-// Found bootstraps a new group with a single replica in dir. It fails if dir
+// Found creates a new group whose only replica is in dir. It fails if dir
 // holds a replica already. A running store never calls it: with a blank disk it
 // joins a group instead.
 func Found(dir, name, address string) error {
