--- a/cmd/wheelgauge-fake/main.go
+++ b/cmd/wheelgauge-fake/main.go
@@ -1,5 +1,5 @@
-// Command wheelgauge-fake runs stand-ins of the system's neighbours, for tests
-// and demonstrations.
+// Command wheelgauge-fake runs fakes of the external systems that wheelgauge
+// depends on, for tests and demonstrations.
 package main
 
 import (
@@ -15,7 +15,7 @@
 
 func main() {
 	root := &cobra.Command{
-		Use: "wheelgauge-fake", Short: "Stand-ins of the system's neighbours", Version: wheelgauge.Version, SilenceUsage: true,
+		Use: "wheelgauge-fake", Short: "Fakes of external systems, for tests and demonstrations", Version: wheelgauge.Version, SilenceUsage: true,
 		Example: "  wheelgauge-fake engine --address 127.0.0.1:9001 --slots 8\n  wheelgauge-fake service --address 127.0.0.1:9101",
 	}
 	root.AddCommand(engineCommand(), serviceCommand(), directoryCommand(), hostListCommand(), weightsCommand())
--- a/cmd/wheelgauge-gateway/main.go
+++ b/cmd/wheelgauge-gateway/main.go
@@ -1,4 +1,4 @@
-// Command wheelgauge-gateway is the entry host's gateway.
+// Command wheelgauge-gateway runs the gateway of an entry host.
 package main
 
 import (
@@ -10,7 +10,7 @@
 func main() {
 	program.Main(program.Program{
 		Name: name, Short: "Gateway of an entry host", Long: long, Example: example,
-		Keys: keys, Check: check, Run: run,
-		More: []*cobra.Command{routes()},
+		Keys: keys, Validate: check, Run: run,
+		Subcommands: []*cobra.Command{routesCommand()},
 	})
 }
--- a/cmd/wheelgauge-gateway/routes.go
+++ b/cmd/wheelgauge-gateway/routes.go
@@ -17,9 +17,9 @@
 
 const (
 	routesName = "routes"
-	routesLong = `routes serves any HTTP request by host name and path, on hosts that find one
-another from a few seeds. Routes, services and limits come as one configuration
-under the operator's version number.`
+	routesLong = `routes serves any HTTP request by host name and path, on hosts that discover one
+another through a few seeds. Routes, services and limits form one configuration
+with a version number set by the operator.`
 	routesExample = `  wheelgauge-gateway routes --config gateway.ini`
 )
 
@@ -27,36 +27,36 @@
 	{Section: "host", Name: "name", Type: settings.Text, Required: true, Help: "name of this host, unique"},
 	{Section: "host", Name: "region", Type: settings.Text, Required: true, Help: "region of this host"},
 	{Section: "host", Name: "hall", Type: settings.Text, Required: true, Help: "hall of this host"},
-	{Section: "listen", Name: "caller", Type: settings.Address, Required: true, Help: "listener for callers"},
-	{Section: "listen", Name: "ready", Type: settings.Address, Help: "listener that tells whether the host is ready"},
-	{Section: "listen", Name: "peer", Type: settings.Address, Required: true, Help: "listener for other hosts"},
-	{Section: "listen", Name: "metrics", Type: settings.Address, Help: "listener for metrics"},
-	{Section: "listen", Name: "clear", Type: settings.Bool, Default: "false", Help: "let hosts talk in the clear off loopback, on a closed network"},
+	{Section: "listen", Name: "caller", Type: settings.Address, Required: true, Help: "listen address for callers"},
+	{Section: "listen", Name: "ready", Type: settings.Address, Help: "listen address for readiness checks"},
+	{Section: "listen", Name: "peer", Type: settings.Address, Required: true, Help: "listen address for other hosts"},
+	{Section: "listen", Name: "metrics", Type: settings.Address, Help: "listen address for metrics"},
+	{Section: "listen", Name: "clear", Type: settings.Bool, Default: "false", Help: "allow unencrypted connections between hosts off loopback, on a closed network"},
 	{Section: "stores", Name: "seeds", Type: settings.List, Required: true, Help: "hosts of some stores, with or without a port"},
 	{Section: "stores", Name: "port", Type: settings.Int, Required: true, Min: 1, Max: 65535, Help: "port of the stores' peer listeners"},
-	{Section: "members", Name: "heartbeat", Type: settings.Duration, Default: "150ms", Min: 0.02, Max: 60, Help: "interval of heartbeats to the region's stores; what hosts know of each other's work is about as old"},
+	{Section: "members", Name: "heartbeat", Type: settings.Duration, Default: "150ms", Min: 0.02, Max: 60, Help: "interval of heartbeats to the region's stores; the load that hosts know of each other is about as old"},
 	{Section: "members", Name: "far_heartbeat", Type: settings.Duration, Default: "1s", Min: 0.02, Max: 60, Help: "interval of heartbeats to other stores"},
-	{Section: "drain", Name: "grace_seconds", Type: settings.Float, Default: "8", Min: 2, Max: 3600, Help: "time from the signal to stop until the process must be gone"},
-	{Section: "retry", Name: "ratio", Type: settings.Float, Default: "0.2", Max: 10, Help: "repeats for each first send, over all hosts"},
-	{Section: "retry", Name: "slack", Type: settings.Float, Default: "50", Max: 1e6, Help: "repeats beyond that in a window, over all hosts"},
+	{Section: "drain", Name: "grace_seconds", Type: settings.Float, Default: "8", Min: 2, Max: 3600, Help: "time from the stop signal until the process must have exited"},
+	{Section: "retry", Name: "ratio", Type: settings.Float, Default: "0.2", Max: 10, Help: "retries for each first attempt, over all hosts"},
+	{Section: "retry", Name: "slack", Type: settings.Float, Default: "50", Max: 1e6, Help: "additional retries in each window, over all hosts"},
 	{Section: "retry", Name: "window_seconds", Type: settings.Float, Default: "10", Min: 1, Max: 3600, Help: "length of the window"},
-	{Section: "rollout", Name: "share", Type: settings.Float, Default: "0.1", Max: 1, Help: "part of a service's requests that may go to the version it is rolled out to before the rollout's time limit, from all hosts"},
-	{Section: "rollout", Name: "slack", Type: settings.Float, Default: "50", Max: 1e9, Help: "requests that may go there besides, from all hosts"},
-	{Section: "limits", Name: "memory_mb", Type: settings.Int, Default: "0", Max: 1 << 20, Help: "memory of the process; 0 means no limit"},
-	{Section: "dialect", Name: "name", Type: settings.Choice, Choices: dialect.Names(), Default: dialect.Native, Help: "how callers, servers and operators speak"},
+	{Section: "rollout", Name: "share", Type: settings.Float, Default: "0.1", Max: 1, Help: "fraction of a service's requests that may go to the target version before the rollout's time limit, from all hosts"},
+	{Section: "rollout", Name: "slack", Type: settings.Float, Default: "50", Max: 1e9, Help: "additional requests that may go to the target version, from all hosts"},
+	{Section: "limits", Name: "memory_mb", Type: settings.Int, Default: "0", Max: 1 << 20, Help: "memory limit of the process in MB; 0 means no limit"},
+	{Section: "dialect", Name: "name", Type: settings.Choice, Choices: dialect.Names(), Default: dialect.Native, Help: "protocol of callers, servers and operators"},
 }
 
-// routes is the command that serves the routes mode.
-func routes() *cobra.Command {
+// routesCommand returns the subcommand that runs a gateway of the routes mode.
+func routesCommand() *cobra.Command {
 	p := program.Program{
 		Name: routesName, Prefix: name, Short: "Serve any HTTP request by host name and path", Long: routesLong, Example: routesExample,
-		Keys: routesKeys, Check: checkRoutes, Run: runRoutes,
+		Keys: routesKeys, Validate: checkRoutes, Run: runRoutes,
 	}
 	return p.Command()
 }
 
 func checkRoutes(v *settings.Values) error {
-	return program.CheckClear(v, "peer")
+	return program.CheckCleartext(v, "peer")
 }
 
 func runRoutes(ctx context.Context, v *settings.Values, log logr.Logger) error {
@@ -65,7 +65,7 @@
 	o := entrynode.Options{
 		Name: v.Text("host", "name"), Region: v.Text("host", "region"), Hall: v.Text("host", "hall"),
 		Caller: v.Text("listen", "caller"), Ready: v.Text("listen", "ready"), Peer: v.Text("listen", "peer"), Metrics: v.Text("listen", "metrics"),
-		Seeds:    program.Seeds(v.List("stores", "seeds"), v.Int("stores", "port")),
+		Seeds:    program.SeedAddresses(v.List("stores", "seeds"), v.Int("stores", "port")),
 		Interval: v.Duration("members", "heartbeat"), FarInterval: v.Duration("members", "far_heartbeat"),
 		Grace: seconds(v.Float("drain", "grace_seconds")),
 		Budget: retrybudget.Options{
@@ -80,9 +80,9 @@
 		return fmt.Errorf("open gateway: %w", err)
 	}
 	<-ctx.Done()
-	limit, cancel := context.WithTimeout(context.WithoutCancel(ctx), o.Grace)
+	closeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), o.Grace)
 	defer cancel()
-	err = n.Close(limit)
+	err = n.Close(closeCtx)
 	log.Info("Gateway has stopped.")
 	return err
 }
--- a/cmd/wheelgauge-gateway/run.go
+++ b/cmd/wheelgauge-gateway/run.go
@@ -20,7 +20,7 @@
 )
 
 func run(ctx context.Context, v *settings.Values, log logr.Logger) error {
-	o, err := options(v, log)
+	o, err := gatewayOptions(v, log)
 	if err != nil {
 		return err
 	}
@@ -29,16 +29,16 @@
 		return err
 	}
 	<-ctx.Done()
-	limit, cancel := context.WithTimeout(context.WithoutCancel(ctx), v.Duration("drain", "limit"))
+	closeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), v.Duration("drain", "limit"))
 	defer cancel()
-	g.Drain(limit)
-	err = g.Close(limit)
+	g.Drain(closeCtx)
+	err = g.Close(closeCtx)
 	log.Info("Gateway has stopped.")
 	return err
 }
 
-func options(v *settings.Values, log logr.Logger) (gateway.Options, error) {
-	plain := peerhttp.NewClient(peerhttp.NewDialer(v.Text("host", "source"), nil), "")
+func gatewayOptions(v *settings.Values, log logr.Logger) (gateway.Options, error) {
+	client := peerhttp.NewClient(peerhttp.NewDialer(v.Text("host", "source"), nil), "")
 	o := gateway.Options{
 		Host: v.Text("host", "name"), Region: v.Text("host", "region"), Hall: v.Text("host", "hall"),
 		Caller: v.Text("listen", "caller"), Peer: v.Text("listen", "peer"), Operator: v.Text("listen", "operator"),
@@ -50,31 +50,31 @@
 		AffinityBytes: v.Int("requests", "affinity_bytes"), DrainNotice: v.Duration("drain", "notice"),
 		EntryTTL: v.Duration("entry", "ttl"), Heartbeat: v.Duration("members", "heartbeat"),
 		WatchWait: v.Duration("stores", "wait"), StoreSilent: v.Duration("stores", "silent"),
-		Directory: directory.New(v.Text("platform", "directory"), plain),
+		Directory: directory.New(v.Text("platform", "directory"), client),
 		Decider: away.New(v.Text("routing", "away"), away.Weights{
 			Second: v.Float("routing", "second_value"), Share: v.Float("routing", "away_cost"), ColdPrefill: v.Duration("routing", "cold_prefill"),
 		}),
 		Log: log,
 	}
 	if address := v.Text("platform", "host_list"); address != "" {
-		o.HostList = hostlist.New(address, plain)
+		o.HostList = hostlist.New(address, client)
 	}
-	picker, err := pickerOf(v.Text("routing", "picker"))
+	picker, err := newPicker(v.Text("routing", "picker"))
 	if err != nil {
 		return o, err
 	}
 	o.Picker = picker
-	return o, withTLS(v, &o)
+	return o, setTLS(v, &o)
 }
 
-func pickerOf(name string) (wheelgauge.Picker, error) {
+func newPicker(name string) (wheelgauge.Picker, error) {
 	if name == pickerAffinity {
 		return affinity.New(0), nil
 	}
 	return baseline.New(name)
 }
 
-func withTLS(v *settings.Values, o *gateway.Options) error {
+func setTLS(v *settings.Values, o *gateway.Options) error {
 	if v.Text("tls", "certificate") == "" {
 		if v.Bool("tls", "callers") {
 			return errors.New("[tls] callers: expected a certificate")
--- a/cmd/wheelgauge-load/main.go
+++ b/cmd/wheelgauge-load/main.go
@@ -1,11 +1,12 @@
-// Command wheelgauge-load sends a scenario and reports what callers saw.
+// Command wheelgauge-load generates the load of a scenario and reports latencies, costs and
+// errors as callers see them.
 package main
 
 import "wheelgauge/program"
 
 func main() {
 	program.Main(program.Program{
-		Name: name, Short: "Load and experiment tool", Long: long, Example: example,
-		Keys: keys, Check: check, Run: run,
+		Name: name, Short: "Load generator", Long: long, Example: example,
+		Keys: keys, Validate: check, Run: run,
 	})
 }
--- a/cmd/wheelgauge-load/run.go
+++ b/cmd/wheelgauge-load/run.go
@@ -13,10 +13,10 @@
 	"wheelgauge/settings"
 )
 
-var errWrong = errors.New("answers were wrong, mixed or cut")
+var errWrongAnswers = errors.New("responses were wrong, mixed up or truncated")
 
 func run(ctx context.Context, v *settings.Values, _ logr.Logger) error {
-	s, err := scenario(v)
+	s, err := scenarioFrom(v)
 	if err != nil {
 		return err
 	}
@@ -24,20 +24,20 @@
 	if err := report.WriteTable(os.Stdout); err != nil {
 		return err
 	}
-	if err := save(v.Text("load", "report"), &report); err != nil {
+	if err := saveReport(v.Text("load", "report"), &report); err != nil {
 		return err
 	}
 	if len(report.Wrong) > 0 {
-		return errWrong
+		return errWrongAnswers
 	}
 	return nil
 }
 
-func scenario(v *settings.Values) (load.Scenario, error) {
+func scenarioFrom(v *settings.Values) (load.Scenario, error) {
 	s := load.Scenario{
 		Mix: v.Text("load", "mix"), Duration: v.Duration("load", "duration"), Rate: v.Float("load", "rate"),
 		Peak: v.Float("load", "peak"), Seed: uint64(v.Int("load", "seed")), Clients: v.Int("load", "clients"),
-		Flood: v.Float("load", "flood"), Scale: v.Float("load", "scale"), LinkCost: v.Float("load", "link_cost"),
+		Flood: v.Float("load", "flood"), LengthFactor: v.Float("load", "scale"), LinkCost: v.Float("load", "link_cost"),
 	}
 	entries, prices := v.List("regions", "entries"), v.List("regions", "prices")
 	for i, name := range v.List("regions", "names") {
@@ -50,7 +50,7 @@
 	return s, nil
 }
 
-func save(path string, report *load.Report) error {
+func saveReport(path string, report *load.Report) error {
 	if path == "" {
 		return nil
 	}
--- a/cmd/wheelgauge-store/main.go
+++ b/cmd/wheelgauge-store/main.go
@@ -1,4 +1,5 @@
-// Command wheelgauge-store keeps the configuration, a region's claims and its hub.
+// Command wheelgauge-store runs a store: a replica of the configuration, the claims of a
+// region and its hub.
 package main
 
 import (
@@ -9,9 +10,9 @@
 
 func main() {
 	p := program.Program{
-		Name: name, Short: "Store of a host with a disk", Long: long, Example: example,
-		Keys: keys, Check: check, Run: run,
+		Name: name, Short: "Store on a host with a disk", Long: long, Example: example,
+		Keys: keys, Validate: check, Run: run,
 	}
-	p.More = []*cobra.Command{found(p), routes()}
+	p.Subcommands = []*cobra.Command{foundCommand(p), routesCommand()}
 	program.Main(p)
 }
--- a/cmd/wheelgauge-store/run.go
+++ b/cmd/wheelgauge-store/run.go
@@ -15,10 +15,10 @@
 	"wheelgauge/storenode"
 )
 
-const stopLimit = 20 * time.Second
+const shutdownTimeout = 20 * time.Second
 
 func run(ctx context.Context, v *settings.Values, log logr.Logger) error {
-	o, err := options(v, log)
+	o, err := storeOptions(v, log)
 	if err != nil {
 		return err
 	}
@@ -31,14 +31,14 @@
 	case err := <-n.Done():
 		return fmt.Errorf("replica ended: %w", err)
 	}
-	limit, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopLimit)
+	closeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
-	err = n.Close(limit)
+	err = n.Close(closeCtx)
 	log.Info("Store has stopped.")
 	return err
 }
 
-func options(v *settings.Values, log logr.Logger) (storenode.Options, error) {
+func storeOptions(v *settings.Values, log logr.Logger) (storenode.Options, error) {
 	o := storenode.Options{
 		Name: v.Text("store", "name"), Region: v.Text("store", "region"), Dir: v.Text("store", "folder"), Source: v.Text("store", "source"),
 		Peers: v.List("store", "peers"), Tick: v.Duration("store", "tick"), Heartbeat: v.Duration("store", "heartbeat"),
@@ -62,12 +62,13 @@
 	return o, nil
 }
 
-// found is the one act that begins a system; a running store never does it.
-func found(p program.Program) *cobra.Command {
+// foundCommand returns the subcommand that initializes the first store of a system. A running
+// store never does that by itself.
+func foundCommand(p program.Program) *cobra.Command {
 	var path string
 	var claimsOnly bool
 	c := &cobra.Command{
-		Use: "found", Short: "Set the data folder up as the first of a new system", Args: cobra.NoArgs,
+		Use: "found", Short: "Initialize the data folder as the first store of a new system", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			v, err := p.Load(path)
 			if err != nil {
@@ -81,6 +82,6 @@
 		},
 	}
 	c.Flags().StringVarP(&path, "config", "c", p.Name+".ini", "settings file")
-	c.Flags().BoolVar(&claimsOnly, "claims-only", false, "only the region's claims; the replica joins through its peers")
+	c.Flags().BoolVar(&claimsOnly, "claims-only", false, "initialize only the claims of the region; the replica joins through its peers")
 	return c
 }
--- a/cmd/wheelgaugectl/commands.go
+++ b/cmd/wheelgaugectl/commands.go
@@ -24,15 +24,15 @@
 	return strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-// show prints v as JSON, or rows as a table.
-func (o *options) show(w io.Writer, v any, head string, rows [][]string) error {
-	if o.form == formJSON {
+// print writes v as JSON, or rows as a table, as the output flag says.
+func (o *options) print(w io.Writer, v any, header string, rows [][]string) error {
+	if o.output == outputJSON {
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
 		return e.Encode(v)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(t, head) // Flush reports what failed
+	_, _ = fmt.Fprintln(t, header) // Flush reports any write error
 	for _, row := range rows {
 		_, _ = fmt.Fprintln(t, strings.Join(row, "\t"))
 	}
@@ -51,7 +51,7 @@
 	return rows
 }
 
-const resourceHead = "KIND\tNAME\tGENERATION\tOPERATOR\tSPEC"
+const resourceHeader = "KIND\tNAME\tGENERATION\tOPERATOR\tSPEC"
 
 func getCommand(o *options) *cobra.Command {
 	return &cobra.Command{
@@ -68,7 +68,7 @@
 				if err != nil {
 					return err
 				}
-				return o.show(c.OutOrStdout(), r, resourceHead, resourceRows([]wheelgauge.Resource{r}))
+				return o.print(c.OutOrStdout(), r, resourceHeader, resourceRows([]wheelgauge.Resource{r}))
 			}
 			kind := wheelgauge.Kind("")
 			if len(args) == 1 {
@@ -78,7 +78,7 @@
 			if err != nil {
 				return err
 			}
-			return o.show(c.OutOrStdout(), list, resourceHead, resourceRows(list.Resources))
+			return o.print(c.OutOrStdout(), list, resourceHeader, resourceRows(list.Resources))
 		},
 	}
 }
@@ -102,9 +102,9 @@
 		Use: "apply -f FILE", Short: "Create or update resources from a JSON list", Args: cobra.NoArgs,
 		Example: `  wheelgaugectl apply -f resources.json --wait
   wheelgaugectl get Route chat -o json | wheelgaugectl apply -f -`,
-		Long: `Apply puts each resource of the list. A resource with a generation is put only
-if it is still at that generation; one without is put whatever it is at now.
-Sending the same file again under the same --change makes nothing twice.`,
+		Long: `Apply writes each resource of the list. A resource with a generation is written
+only if the stored one is still at that generation; one without is always written.
+Applying the same file again under the same --change makes each change only once.`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			list, err := readResources(c.InOrStdin(), file)
 			if err != nil {
@@ -123,17 +123,17 @@
 			if err := client.WaitInForce(ctx, generation); err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "generation %d is in force at every host\n", generation)
+			_, err = fmt.Fprintf(c.OutOrStdout(), "generation %d is applied at every host\n", generation)
 			return err
 		},
 	}
 	f := c.Flags()
-	f.StringVarP(&file, "file", "f", "", "file with a list of resources, - for standard input")
-	f.StringVar(&id, "change", "", "change ID; made up when empty")
-	f.BoolVar(&wait, "wait", false, "return once every host obeys it, or name those that do not")
-	f.DurationVar(&limit, "wait-limit", 30*time.Second, "how long to wait")
-	f.BoolVar(&dryRun, "dry-run", false, "only check")
-	f.BoolVar(&force, "force", false, "put whatever generation the resource is at")
+	f.StringVarP(&file, "file", "f", "", "JSON file with a list of resources, - for standard input")
+	f.StringVar(&id, "change", "", "change ID; generated when empty")
+	f.BoolVar(&wait, "wait", false, "wait until every host applies the change, or list those that do not")
+	f.DurationVar(&limit, "wait-limit", 30*time.Second, "maximum time to wait")
+	f.BoolVar(&dryRun, "dry-run", false, "validate only")
+	f.BoolVar(&force, "force", false, "ignore the generations in the file")
 	return c
 }
 
@@ -154,7 +154,7 @@
 		newest = max(newest, result.Generation)
 		state := ""
 		if result.Pending {
-			state = " (pending until every host has it)"
+			state = " (pending until every host has applied it)"
 		}
 		if _, err := fmt.Fprintf(c.OutOrStdout(), "%s %s at generation %d%s\n", r.Kind, r.Name, result.Generation, state); err != nil {
 			return newest, err
@@ -163,7 +163,7 @@
 	return newest, nil
 }
 
-// readResources reads a list, one resource, or what "get -o json" printed.
+// readResources reads a list of resources, a single resource, or the output of "get -o json".
 func readResources(in io.Reader, file string) ([]wheelgauge.Resource, error) {
 	var data []byte
 	var err error
@@ -179,9 +179,9 @@
 	if err := json.Unmarshal(data, &list); err == nil {
 		return list, nil
 	}
-	var answer wheelgauge.ListAnswer
-	if err := json.Unmarshal(data, &answer); err == nil && len(answer.Resources) > 0 {
-		return answer.Resources, nil
+	var resp wheelgauge.ListAnswer
+	if err := json.Unmarshal(data, &resp); err == nil && len(resp.Resources) > 0 {
+		return resp.Resources, nil
 	}
 	var one wheelgauge.Resource
 	if err := json.Unmarshal(data, &one); err != nil || one.Kind == "" {
@@ -218,28 +218,28 @@
 func watchCommand(o *options) *cobra.Command {
 	var from uint64
 	c := &cobra.Command{
-		Use: "watch", Short: "Print changes as they are made", Args: cobra.NoArgs,
+		Use: "watch", Short: "Print changes as they happen", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := o.client()
 			if err != nil {
 				return err
 			}
 			for c.Context().Err() == nil {
-				answer, err := client.Watch(c.Context(), from, watchWait)
+				resp, err := client.Watch(c.Context(), from, watchWait)
 				if err != nil {
 					return err
 				}
-				for _, e := range answer.Events {
+				for _, e := range resp.Events {
 					if err := printEvent(c.OutOrStdout(), e); err != nil {
 						return err
 					}
 				}
-				from = answer.Generation
+				from = resp.Generation
 			}
 			return nil
 		},
 	}
-	c.Flags().Uint64Var(&from, "from", 0, "generation to start after")
+	c.Flags().Uint64Var(&from, "from", 0, "print changes after this generation")
 	return c
 }
 
@@ -254,7 +254,7 @@
 
 func statusCommand(o *options) *cobra.Command {
 	return &cobra.Command{
-		Use: "status", Short: "Show stores, and the generation in force at each host", Args: cobra.NoArgs,
+		Use: "status", Short: "Show the stores and the generation applied by each host", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := o.client()
 			if err != nil {
@@ -264,7 +264,7 @@
 			if err != nil {
 				return err
 			}
-			return o.show(c.OutOrStdout(), s, fmt.Sprintf("GENERATION %d, LEADER %s\nWHAT\tNAME\tGENERATION\tNOTE", s.Generation, leaderName(s)), statusRows(s))
+			return o.print(c.OutOrStdout(), s, fmt.Sprintf("GENERATION %d, LEADER %s\nWHAT\tNAME\tGENERATION\tNOTE", s.Generation, leaderName(s)), statusRows(s))
 		},
 	}
 }
@@ -284,10 +284,10 @@
 		rows = append(rows, []string{"store", r.Store, fmt.Sprint(r.Generation), ""})
 	}
 	for _, h := range s.Hosts {
-		rows = append(rows, []string{"host", h.Host, fmt.Sprint(h.Generation), fmt.Sprintf("%s, heard %d ms ago", h.Region, h.AgeMS)})
+		rows = append(rows, []string{"host", h.Host, fmt.Sprint(h.Generation), fmt.Sprintf("%s, last report %d ms ago", h.Region, h.AgeMS)})
 	}
 	for _, p := range s.Pending {
-		rows = append(rows, []string{"pending", p.Rule, fmt.Sprint(p.Generation), "waits for " + strings.Join(p.Waiting, ", ")})
+		rows = append(rows, []string{"pending", p.Rule, fmt.Sprint(p.Generation), "waiting for " + strings.Join(p.Waiting, ", ")})
 	}
 	return rows
 }
@@ -295,13 +295,13 @@
 func drainCommand(o *options) *cobra.Command {
 	var back bool
 	c := &cobra.Command{
-		Use: "drain host|server NAME", Short: "Take a host or a backend server out of use", Args: cobra.ExactArgs(2),
+		Use: "drain host|server NAME", Short: "Take a host or a backend server out of service", Args: cobra.ExactArgs(2),
 		Example: "  wheelgaugectl drain host khi-1\n  wheelgaugectl drain server engine-3 --back",
 		RunE: func(c *cobra.Command, args []string) error {
 			kinds := map[string]wheelgauge.Kind{"host": wheelgauge.KindHost, "server": wheelgauge.KindBackendServer}
 			kind, ok := kinds[args[0]]
 			if !ok {
-				return fmt.Errorf("drain what? expected host or server, got %q", args[0])
+				return fmt.Errorf("drain: expected host or server, got %q", args[0])
 			}
 			client, err := o.client()
 			if err != nil {
@@ -310,7 +310,7 @@
 			return drain(c, client, kind, args[1], !back)
 		},
 	}
-	c.Flags().BoolVar(&back, "back", false, "take it into use again")
+	c.Flags().BoolVar(&back, "back", false, "put it back into service")
 	return c
 }
 
@@ -348,9 +348,9 @@
 	return json.Marshal(s)
 }
 
-func storeCommand(o *options) *cobra.Command {
+func removeStoreCommand(o *options) *cobra.Command {
 	return &cobra.Command{
-		Use: "remove-store NAME", Short: "Take a store that will not come back out of the group", Args: cobra.ExactArgs(1),
+		Use: "remove-store NAME", Short: "Remove a store that will not come back from the group", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			client, err := o.client()
 			if err != nil {
--- a/cmd/wheelgaugectl/import.go
+++ b/cmd/wheelgaugectl/import.go
@@ -20,10 +20,11 @@
 func importCommand(o *options) *cobra.Command {
 	var dryRun bool
 	c := &cobra.Command{
-		Use: "import FILE", Short: "Make routes from a list of what an old script served", Args: cobra.ExactArgs(1),
+		Use: "import FILE", Short: "Create routes for models and paths that another system serves", Args: cobra.ExactArgs(1),
 		Long: `Each line of the list is "model NAME ADDRESS" or "path PREFIX ADDRESS"; lines that
-begin with # are left out. A route is made for each whose requests all take the
-old path. Move it over by lowering old_path.share, and back by raising it.`,
+begin with # are ignored. A pool and a route are created for each; all requests
+of the route take the old path. Migrate by lowering old_path.share, and go back
+by raising it.`,
 		Example: "  wheelgaugectl import old-depots.txt\n  # old-depots.txt: path stock/ 10.0.3.7:8080",
 		RunE: func(c *cobra.Command, args []string) error {
 			list, err := importList(args[0])
@@ -38,7 +39,7 @@
 			return err
 		},
 	}
-	c.Flags().BoolVar(&dryRun, "dry-run", false, "only check")
+	c.Flags().BoolVar(&dryRun, "dry-run", false, "validate only")
 	return c
 }
 
@@ -55,11 +56,11 @@
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		made, err := importLine(line)
+		resources, err := importLine(line)
 		if err != nil {
 			return nil, fmt.Errorf("%s:%d: %w", file, number, err)
 		}
-		out = append(out, made...)
+		out = append(out, resources...)
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, fmt.Errorf("read list: %w", err)
@@ -67,25 +68,25 @@
 	return out, nil
 }
 
-// importLine makes the pool and the route of one line.
+// importLine returns the pool and the route for one line.
 func importLine(line string) ([]wheelgauge.Resource, error) {
-	part := strings.Fields(line)
-	if len(part) != importFields {
+	fields := strings.Fields(line)
+	if len(fields) != importFields {
 		return nil, fmt.Errorf("expected \"model NAME ADDRESS\" or \"path PREFIX ADDRESS\", got %q", line)
 	}
-	if _, err := netip.ParseAddrPort(part[2]); err != nil {
-		return nil, fmt.Errorf("expected an address such as 10.0.0.1:8080, got %q", part[2])
+	if _, err := netip.ParseAddrPort(fields[2]); err != nil {
+		return nil, fmt.Errorf("expected an address such as 10.0.0.1:8080, got %q", fields[2])
 	}
-	name := "old-" + strings.Trim(strings.ReplaceAll(part[1], "/", "-"), "-")
+	name := "old-" + strings.Trim(strings.ReplaceAll(fields[1], "/", "-"), "-")
 	pool := wheelgauge.PoolSpec{Type: wheelgauge.PoolService}
-	route := wheelgauge.RouteSpec{Pool: name, OldPath: &wheelgauge.OldPath{Address: part[2], Share: 1}}
-	switch part[0] {
+	route := wheelgauge.RouteSpec{Pool: name, OldPath: &wheelgauge.OldPath{Address: fields[2], Share: 1}}
+	switch fields[0] {
 	case "model":
-		pool.Type, route.Model = wheelgauge.PoolEngine, part[1]
+		pool.Type, route.Model = wheelgauge.PoolEngine, fields[1]
 	case "path":
-		route.Path = part[1]
+		route.Path = fields[1]
 	default:
-		return nil, fmt.Errorf("expected model or path, got %q", part[0])
+		return nil, fmt.Errorf("expected model or path, got %q", fields[0])
 	}
 	poolSpec, err := json.Marshal(pool)
 	if err != nil {
@@ -103,21 +104,21 @@
 
 func certsCommand() *cobra.Command {
 	var dir string
-	var life time.Duration
+	var validity time.Duration
 	c := &cobra.Command{
-		Use: "certs NAME IP...", Short: "Make a certificate for a host, and the authority if there is none", Args: cobra.MinimumNArgs(2),
+		Use: "certs NAME IP...", Short: "Issue a certificate for a host, and create the CA if there is none", Args: cobra.MinimumNArgs(2),
 		Example: "  wheelgaugectl certs khi-1 10.0.0.1 --dir certs",
-		Long: `Certs writes NAME.pem and NAME.key, signed by the authority in the folder. Running
-processes take new files in without a restart. Keep authority.key off the hosts.`,
+		Long: `Certs writes NAME.pem and NAME.key, signed by the CA in the folder. Running
+processes load new files without a restart. Keep authority.key off the hosts.`,
 		RunE: func(_ *cobra.Command, args []string) error {
 			a, err := certs.Open(dir)
 			if err != nil {
 				return err
 			}
-			return a.Issue(args[0], args[1:], life)
+			return a.Issue(args[0], args[1:], validity)
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", "certs", "folder of the authority")
-	c.Flags().DurationVar(&life, "life", 90*24*time.Hour, "how long the certificate is good")
+	c.Flags().StringVar(&dir, "dir", "certs", "folder of the CA")
+	c.Flags().DurationVar(&validity, "life", 90*24*time.Hour, "validity period of the certificate")
 	return c
 }
--- a/cmd/wheelgaugectl/main.go
+++ b/cmd/wheelgaugectl/main.go
@@ -1,4 +1,4 @@
-// Command wheelgaugectl is the operators' command line.
+// Command wheelgaugectl is the command-line client for operators.
 package main
 
 import "os"
--- a/cmd/wheelgaugectl/options.go
+++ b/cmd/wheelgaugectl/options.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	formTable = "table"
-	formJSON  = "json"
+	outputTable = "table"
+	outputJSON  = "json"
 
 	envStores = "WHEELGAUGE_STORES"
 	envToken  = "WHEELGAUGE_TOKEN"
 )
 
-// options are the flags that all commands share.
+// options holds the flags shared by all commands.
 type options struct {
 	stores    []string
 	token     string
 	authority string
-	form      string
+	output    string
 }
 
 func rootCommand() *cobra.Command {
@@ -42,44 +42,44 @@
 	}
 	f := root.PersistentFlags()
 	f.StringSliceVar(&o.stores, "stores", nil, "operator addresses of stores (or "+envStores+")")
-	f.StringVar(&o.token, "token", "", "operator's token (or "+envToken+")")
-	f.StringVar(&o.authority, "authority", "", "PEM file of the authority that signs the stores; plain HTTP when empty")
-	f.StringVarP(&o.form, "output", "o", formTable, "table or json")
-	root.AddCommand(getCommand(o), applyCommand(o), deleteCommand(o), watchCommand(o), statusCommand(o), drainCommand(o), rolloutCommand(o), importCommand(o), storeCommand(o), certsCommand())
+	f.StringVar(&o.token, "token", "", "token of the operator (or "+envToken+")")
+	f.StringVar(&o.authority, "authority", "", "PEM file of the CA certificate that the stores' certificates are verified against; plain HTTP when empty")
+	f.StringVarP(&o.output, "output", "o", outputTable, "output format: table or json")
+	root.AddCommand(getCommand(o), applyCommand(o), deleteCommand(o), watchCommand(o), statusCommand(o), drainCommand(o), rolloutCommand(o), importCommand(o), removeStoreCommand(o), certsCommand())
 	return root
 }
 
-// client returns a client of the stores that flags or environment name.
+// client returns a client of the stores given by flags or the environment.
 func (o *options) client() (*opsclient.Client, error) {
 	stores := o.stores
 	if len(stores) == 0 {
 		stores = splitList(os.Getenv(envStores))
 	}
 	if len(stores) == 0 {
-		return nil, errors.New("name the stores by --stores or " + envStores)
+		return nil, errors.New("no stores given: set --stores or " + envStores)
 	}
 	token := o.token
 	if token == "" {
 		token = os.Getenv(envToken)
 	}
-	secure, err := o.secure()
+	secure, err := o.tlsConfig()
 	if err != nil {
 		return nil, err
 	}
 	return opsclient.New(stores, token, secure), nil
 }
 
-func (o *options) secure() (peerhttp.Secure, error) {
+func (o *options) tlsConfig() (peerhttp.Secure, error) {
 	if o.authority == "" {
 		return nil, nil
 	}
 	data, err := os.ReadFile(o.authority)
 	if err != nil {
-		return nil, fmt.Errorf("read authority: %w", err)
+		return nil, fmt.Errorf("read CA certificate: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, fmt.Errorf("%s holds no certificate", o.authority)
+		return nil, fmt.Errorf("%s contains no PEM certificate", o.authority)
 	}
 	return func(host string) *tls.Config {
 		return &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: pool, ServerName: host}
--- a/cmd/wheelgaugectl/rollout.go
+++ b/cmd/wheelgaugectl/rollout.go
@@ -9,11 +9,11 @@
 	"wheelgauge"
 )
 
-const rolloutHead = "SERVICE\tTARGET\tSTATE\tSHIFTING\tLEFT\tCAUSE"
+const rolloutHeader = "SERVICE\tTARGET\tSTATE\tSHIFTING\tLEFT\tCAUSE"
 
 func rolloutCommand(o *options) *cobra.Command {
 	c := &cobra.Command{
-		Use: "rollout", Short: "Move a service's requests to another version, at stores of the routes mode",
+		Use: "rollout", Short: "Roll a service out to another version, in the routes mode",
 		Example: `  wheelgaugectl rollout start chat v2 --duration 2m
   wheelgaugectl rollout status chat
   wheelgaugectl rollout abort chat`,
@@ -25,7 +25,7 @@
 func rolloutStartCommand(o *options) *cobra.Command {
 	var duration time.Duration
 	c := &cobra.Command{
-		Use: "start SERVICE VERSION", Short: "Begin a rollout", Args: cobra.ExactArgs(2),
+		Use: "start SERVICE VERSION", Short: "Start a rollout", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			client, err := o.client()
 			if err != nil {
@@ -35,7 +35,7 @@
 			if err := client.StartRollout(c.Context(), order); err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "rollout of %s to %s is under way\n", args[0], args[1])
+			_, err = fmt.Fprintf(c.OutOrStdout(), "rollout of %s to %s is in progress\n", args[0], args[1])
 			return err
 		},
 	}
@@ -45,7 +45,7 @@
 
 func rolloutStatusCommand(o *options) *cobra.Command {
 	return &cobra.Command{
-		Use: "status SERVICE", Short: "Show the last rollout of a service", Args: cobra.ExactArgs(1),
+		Use: "status SERVICE", Short: "Show the latest rollout of a service", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			client, err := o.client()
 			if err != nil {
@@ -56,14 +56,14 @@
 				return err
 			}
 			row := []string{r.Service, r.Version, string(r.State), fmt.Sprint(r.Shifting), max(0, r.Left()).String(), r.Cause}
-			return o.show(c.OutOrStdout(), r, rolloutHead, [][]string{row})
+			return o.print(c.OutOrStdout(), r, rolloutHeader, [][]string{row})
 		},
 	}
 }
 
 func rolloutAbortCommand(o *options) *cobra.Command {
 	return &cobra.Command{
-		Use: "abort SERVICE", Short: "Take a rollout back that is under way", Args: cobra.ExactArgs(1),
+		Use: "abort SERVICE", Short: "Abort a rollout in progress and roll it back", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			client, err := o.client()
 			if err != nil {
@@ -72,7 +72,7 @@
 			if err := client.AbortRollout(c.Context(), args[0]); err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "rollout of %s is taken back\n", args[0])
+			_, err = fmt.Fprintf(c.OutOrStdout(), "rollout of %s is rolled back\n", args[0])
 			return err
 		},
 	}
--- a/fake/directory/directory.go
+++ b/fake/directory/directory.go
@@ -1,4 +1,4 @@
-// Package directory is a small stand-in for the client directory.
+// Package directory is a fake of the client directory.
 package directory
 
 import (
@@ -16,20 +16,20 @@
 	"wheelgauge/peerhttp"
 )
 
-// Client is one line of the directory.
+// Client is one entry of the directory.
 type Client struct {
 	Credential string `json:"credential"`
 	wheelgauge.Identity
 }
 
-// Directory is a running stand-in.
+// Directory is a running fake directory.
 type Directory struct {
 	mu      sync.RWMutex
 	clients map[string]wheelgauge.Identity
 	server  *httpserve.Server
 }
 
-type question struct {
+type lookupRequest struct {
 	Credential string `json:"credential"`
 }
 
@@ -60,14 +60,14 @@
 	return out, nil
 }
 
-// Address returns where the directory serves.
+// Address returns the address that the directory listens at.
 func (d *Directory) Address() string { return d.server.Address() }
 
 // Close stops the directory.
 func (d *Directory) Close(ctx context.Context) error { return d.server.Close(ctx) }
 
 func (d *Directory) handle(ctx *fasthttp.RequestCtx) {
-	q, err := peerhttp.Decode[question](ctx)
+	q, err := peerhttp.Decode[lookupRequest](ctx)
 	if err != nil {
 		peerhttp.AnswerError(ctx, err)
 		return
--- a/fake/engine/cache.go
+++ b/fake/engine/cache.go
@@ -12,81 +12,82 @@
 
 const (
 	blockChars = 64
-	keptEvents = 1024
+	maxEvents  = 1024
 )
 
-// cacheEvent tells that a block came or went.
+// cacheEvent reports that a block was added or evicted.
 type cacheEvent struct {
-	Number uint64 `json:"number"`
-	Block  uint64 `json:"block"`
-	Gone   bool   `json:"gone,omitempty"`
-	at     time.Time
+	Number  uint64 `json:"number"`
+	Block   uint64 `json:"block"`
+	Evicted bool   `json:"gone,omitempty"`
+	at      time.Time
 }
 
-// cache is a least-recently-used set of prefix blocks.
+// cache is an LRU cache of prefix blocks.
 type cache struct {
-	size   int
-	order  *list.List
-	blocks map[uint64]*list.Element
-	number uint64
-	events []cacheEvent
+	size       int
+	lru        *list.List
+	blocks     map[uint64]*list.Element
+	lastNumber uint64
+	events     []cacheEvent
 }
 
 func newCache(size int) *cache {
-	return &cache{size: size, order: list.New(), blocks: map[uint64]*list.Element{}}
+	return &cache{size: size, lru: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// chain returns the hashes of a prompt's blocks; each stands for all before it.
-func chain(prompt string) []uint64 {
+// blockHashes returns the hashes of a prompt's full blocks; each covers all blocks up to its
+// own.
+func blockHashes(prompt string) []uint64 {
 	d := xxhash.New()
 	var out []uint64
 	for len(prompt) >= blockChars {
-		_, _ = d.WriteString(prompt[:blockChars]) // a digest takes every write
+		_, _ = d.WriteString(prompt[:blockChars]) // a digest never returns an error
 		out = append(out, d.Sum64())
 		prompt = prompt[blockChars:]
 	}
 	return out
 }
 
-// miss returns how many tokens of a prompt must be computed.
-func (c *cache) miss(prompt string) int {
+// missingTokens returns the number of a prompt's tokens that are not cached.
+func (c *cache) missingTokens(prompt string) int {
 	total := len(prompt)/script.CharsPerToken + 1
-	for _, b := range chain(prompt) {
+	for _, b := range blockHashes(prompt) {
 		e, ok := c.blocks[b]
 		if !ok {
 			break
 		}
-		c.order.MoveToFront(e)
+		c.lru.MoveToFront(e)
 		total -= blockChars / script.CharsPerToken
 	}
 	return total
 }
 
-func (c *cache) keep(prompt string, loss float64, rnd *rand.Rand, now time.Time) {
-	for _, b := range chain(prompt) {
+func (c *cache) insert(prompt string, loss float64, rng *rand.Rand, now time.Time) {
+	for _, b := range blockHashes(prompt) {
 		if e, ok := c.blocks[b]; ok {
-			c.order.MoveToFront(e)
+			c.lru.MoveToFront(e)
 			continue
 		}
-		c.blocks[b] = c.order.PushFront(b)
-		c.tell(b, false, loss, rnd, now)
+		c.blocks[b] = c.lru.PushFront(b)
+		c.emit(b, false, loss, rng, now)
 	}
-	for c.order.Len() > c.size {
-		last := c.order.Back()
-		b := last.Value.(uint64)
-		c.order.Remove(last)
+	for c.lru.Len() > c.size {
+		oldest := c.lru.Back()
+		b := oldest.Value.(uint64)
+		c.lru.Remove(oldest)
 		delete(c.blocks, b)
-		c.tell(b, true, loss, rnd, now)
+		c.emit(b, true, loss, rng, now)
 	}
 }
 
-func (c *cache) tell(block uint64, gone bool, loss float64, rnd *rand.Rand, now time.Time) {
-	c.number++
-	if rnd.Float64() < loss {
+func (c *cache) emit(block uint64, evicted bool, loss float64, rng *rand.Rand, now time.Time) {
+	c.lastNumber++
+	if rng.Float64() < loss {
 		return
 	}
-	c.events = append(c.events, cacheEvent{c.number, block, gone, now})
-	if len(c.events) > keptEvents {
-		c.events = c.events[len(c.events)-keptEvents:]
+	c.events = append(c.events, cacheEvent{c.lastNumber, block, evicted, now})
+	if len(c.events) > maxEvents {
+		c.events = c.events[len(c.events)-maxEvents:]
 	}
 }
--- a/fake/engine/engine.go
+++ b/fake/engine/engine.go
@@ -1,7 +1,6 @@
-// Package engine is a small stand-in for a model engine: continuous batching
-// over a number of slots, priorities, a limited prefix cache, cancel and
-// resume, late load reports, late cache events with gaps, fenced orders, and
-// export and import of cached prefixes.
+// Package engine is a fake model engine: continuous batching over a number of slots,
+// priorities, a limited prefix cache, cancel and resume, delayed load reports, delayed cache
+// events with gaps, orders with fencing tokens, and export and import of cached prefixes.
 package engine
 
 import (
@@ -18,92 +17,92 @@
 	"wheelgauge/httpserve"
 )
 
-// Options of an Engine; zero values take defaults.
+// Options of an Engine; Slots, Queue, Step, PrefillTokens and CacheBlocks have defaults.
 type Options struct {
 	Name    string
 	Address string
-	// Slots is how many sequences run at once; Queue how many may wait.
+	// Slots is the number of sequences that run at once, Queue the number that may wait.
 	Slots int
 	Queue int
-	// Step is the time of one token; PrefillTokens how many prompt tokens one
-	// step takes in, for all sequences together.
+	// Step is the duration of one decode step, PrefillTokens the number of prompt tokens
+	// processed in one step, for all sequences together.
 	Step          time.Duration
 	PrefillTokens int
 	// CacheBlocks is the size of the prefix cache in blocks.
 	CacheBlocks int
-	// ReportLag is how late load reports and cache events are.
+	// ReportLag is the delay of load reports and cache events.
 	ReportLag time.Duration
-	// EventLoss is the part of cache events that is lost.
-	EventLoss    float64
-	ChecksFences bool
-	// LoadTime is how long an order to load takes.
+	// EventLossShare is the fraction of cache events that are dropped.
+	EventLossShare float64
+	ChecksFences   bool
+	// LoadTime is how long loading a model takes.
 	LoadTime time.Duration
-	// EndsOn is what a prompt holds that ends the engine as soon as it runs; none when
-	// empty. End is what ends it.
-	EndsOn string
-	End    func()
-	// Limit is the requests a second that it says it takes; none when 0.
-	Limit float64
-	// Busy makes it report a load that changes all the time.
-	Busy bool
-	Seed uint64
+	// CrashOn makes the engine call Crash when a prompt that contains it starts to run; no
+	// prompt does when it is empty.
+	CrashOn string
+	Crash   func()
+	// RequestsPerSecond is the rate limit that responses announce; none when 0.
+	RequestsPerSecond float64
+	// RandomLoad makes the engine report a random load each time.
+	RandomLoad bool
+	Seed       uint64
 }
 
 func (o *Options) defaults() {
-	o.Slots = or(o.Slots, 8)
-	o.Queue = or(o.Queue, 256)
-	o.Step = or(o.Step, 10*time.Millisecond)
-	o.PrefillTokens = or(o.PrefillTokens, 256)
-	o.CacheBlocks = or(o.CacheBlocks, 512)
+	o.Slots = orDefault(o.Slots, 8)
+	o.Queue = orDefault(o.Queue, 256)
+	o.Step = orDefault(o.Step, 10*time.Millisecond)
+	o.PrefillTokens = orDefault(o.PrefillTokens, 256)
+	o.CacheBlocks = orDefault(o.CacheBlocks, 512)
 }
 
-func or[T int | time.Duration](v, otherwise T) T {
+func orDefault[T int | time.Duration](v, fallback T) T {
 	if v == 0 {
-		return otherwise
+		return fallback
 	}
 	return v
 }
 
 // sequence is one request in the engine.
 type sequence struct {
-	id       string
-	prompt   string
-	priority int
-	order    int
-	skip     int // the first token to give
-	next     int // the token to give next
-	total    int
-	prefill  int // prompt tokens still to be taken in
-	tokens   chan string
-	ended    bool
+	id          string
+	prompt      string
+	priority    int
+	arrival     int
+	skip        int // the first token to generate
+	nextToken   int // the next token to generate
+	total       int
+	prefillLeft int // prompt tokens still to be processed
+	tokens      chan string
+	ended       bool
 }
 
-// Engine is a running stand-in.
+// Engine is a running fake engine.
 type Engine struct {
-	o       Options
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	waiting []*sequence
-	running []*sequence
-	byID    map[string]*sequence
-	cache   *cache
-	fence   uint64
-	models  map[string]time.Time // when each is ready
-	taken   []taken
-	leaving bool
-	frozen  bool
-	slow    int
-	steps   int
-	reports []timedReport
-	made    int
-	cold    int64 // prompt tokens that were not in the cache
-	asked   int64
-	started int
-	cancels int
-	unready int
-	// arrivals are when requests came, in Unix milliseconds.
+	o            Options
+	mu           sync.Mutex
+	rng          *rand.Rand
+	waiting      []*sequence
+	running      []*sequence
+	byID         map[string]*sequence
+	cache        *cache
+	fence        uint64
+	models       map[string]time.Time // time at which each is loaded
+	orders       []receivedOrder
+	leaving      bool
+	frozen       bool
+	slowdown     int
+	steps        int
+	reports      []timedReport
+	submitted    int
+	coldTokens   int64 // prompt tokens that were not in the cache
+	promptTokens int64
+	started      int
+	cancelled    int
+	notLoaded    int
+	// arrivals are the arrival times of requests, in Unix milliseconds.
 	arrivals []int64
-	asking   asking
+	pushback pushback
 	server   *httpserve.Server
 	cancel   context.CancelFunc
 	done     chan error
@@ -114,12 +113,12 @@
 	report wheelgauge.LoadReport
 }
 
-// Start serves at the address of the options.
+// Start starts an engine at the address of the options.
 func Start(ctx context.Context, o Options) (*Engine, error) {
 	o.defaults()
 	ctx, cancel := context.WithCancel(ctx)
 	e := &Engine{
-		o: o, rnd: rand.New(rand.NewPCG(o.Seed, 11)), byID: map[string]*sequence{}, cache: newCache(o.CacheBlocks),
+		o: o, rng: rand.New(rand.NewPCG(o.Seed, 11)), byID: map[string]*sequence{}, cache: newCache(o.CacheBlocks),
 		models: map[string]time.Time{}, cancel: cancel, done: make(chan error, 1),
 	}
 	server, err := httpserve.Listen(o.Address, e.handle, httpserve.Options{})
@@ -132,15 +131,15 @@
 	return e, nil
 }
 
-// Address returns where the engine serves.
+// Address returns the address that the engine listens at.
 func (e *Engine) Address() string { return e.server.Address() }
 
-// Close stops the engine; sequences that run are cut.
+// Close stops the engine; running sequences are aborted.
 func (e *Engine) Close(ctx context.Context) error {
 	e.cancel()
 	err := <-e.done
-	if stop := e.server.Close(ctx); stop != nil && err == nil {
-		err = stop
+	if closeErr := e.server.Close(ctx); closeErr != nil && err == nil {
+		err = closeErr
 	}
 	return err
 }
@@ -151,7 +150,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			e.cutAll()
+			e.endAll()
 			return nil
 		case <-ticker.C:
 			e.step()
@@ -159,7 +158,7 @@
 	}
 }
 
-func (e *Engine) cutAll() {
+func (e *Engine) endAll() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.byID {
@@ -174,13 +173,13 @@
 	}
 }
 
-// step is one iteration of the batch.
+// step runs one iteration of the batch.
 func (e *Engine) step() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.steps++
-	if e.frozen || e.slow > 1 && e.steps%e.slow != 0 {
-		e.note()
+	if e.frozen || e.slowdown > 1 && e.steps%e.slowdown != 0 {
+		e.recordReport()
 		return
 	}
 	e.admit()
@@ -189,7 +188,7 @@
 		budget = e.advance(s, budget)
 	}
 	e.running = slices.DeleteFunc(e.running, func(s *sequence) bool { return s.ended })
-	e.note()
+	e.recordReport()
 }
 
 func (e *Engine) admit() {
@@ -197,7 +196,7 @@
 		if a.priority != b.priority {
 			return b.priority - a.priority
 		}
-		return a.order - b.order
+		return a.arrival - b.arrival
 	})
 	for len(e.waiting) > 0 && len(e.running) < e.o.Slots {
 		s := e.waiting[0]
@@ -205,45 +204,44 @@
 		if s.ended {
 			continue
 		}
-		missed := e.cache.miss(s.prompt)
-		s.prefill = missed
-		e.cold += int64(missed)
-		e.asked += int64(len(s.prompt)/script.CharsPerToken) + 1
+		missing := e.cache.missingTokens(s.prompt)
+		s.prefillLeft = missing
+		e.coldTokens += int64(missing)
+		e.promptTokens += int64(len(s.prompt)/script.CharsPerToken) + 1
 		e.running = append(e.running, s)
-		if e.o.EndsOn != "" && strings.Contains(s.prompt, e.o.EndsOn) {
-			e.o.End()
+		if e.o.CrashOn != "" && strings.Contains(s.prompt, e.o.CrashOn) {
+			e.o.Crash()
 		}
 	}
 }
 
-// advance gives a sequence its part of a step and returns what is left of the
-// prefill budget.
+// advance runs one step of a sequence and returns the remaining prefill budget.
 func (e *Engine) advance(s *sequence, budget int) int {
 	if s.ended {
 		return budget
 	}
-	if s.prefill > 0 {
-		part := min(s.prefill, budget)
-		s.prefill -= part
-		if s.prefill > 0 {
-			return budget - part
+	if s.prefillLeft > 0 {
+		n := min(s.prefillLeft, budget)
+		s.prefillLeft -= n
+		if s.prefillLeft > 0 {
+			return budget - n
 		}
-		e.cache.keep(s.prompt, e.o.EventLoss, e.rnd, time.Now())
-		budget -= part
+		e.cache.insert(s.prompt, e.o.EventLossShare, e.rng, time.Now())
+		budget -= n
 	}
 	select {
-	case s.tokens <- script.Token(s.prompt, s.next):
-		s.next++
+	case s.tokens <- script.Token(s.prompt, s.nextToken):
+		s.nextToken++
 	default: // the reader is slow
 	}
-	if s.next >= s.total {
+	if s.nextToken >= s.total {
 		s.end()
 	}
 	return budget
 }
 
-// note remembers the load for late reports.
-func (e *Engine) note() {
+// recordReport stores the current load, to be reported after the lag.
+func (e *Engine) recordReport() {
 	now := time.Now()
 	e.reports = append(e.reports, timedReport{now, wheelgauge.LoadReport{
 		Running: len(e.running), Waiting: len(e.waiting), Slots: e.o.Slots, Leaving: e.leaving,
@@ -258,30 +256,30 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.reports) == 0 {
-		return wheelgauge.LoadReport{Slots: e.o.Slots, Models: e.ready()}
+		return wheelgauge.LoadReport{Slots: e.o.Slots, Models: e.readyModels()}
 	}
 	r := e.reports[0].report
 	r.Leaving = e.leaving
-	r.Models = e.ready()
-	if e.o.Busy {
-		r.Running, r.Waiting = e.rnd.IntN(e.o.Slots), e.rnd.IntN(e.o.Slots)
+	r.Models = e.readyModels()
+	if e.o.RandomLoad {
+		r.Running, r.Waiting = e.rng.IntN(e.o.Slots), e.rng.IntN(e.o.Slots)
 	}
 	return r
 }
 
-// submit queues a sequence; nil means the queue is full or the engine leaves.
+// submit queues a sequence. It returns nil if the queue is full.
 func (e *Engine) submit(id, model, prompt string, priority, skip, total int) *sequence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.taken) > 0 && !e.holds(model) {
-		e.unready++
+	if len(e.orders) > 0 && !e.hasModel(model) {
+		e.notLoaded++
 	}
 	if len(e.waiting) >= e.o.Queue {
 		return nil
 	}
-	e.made++
+	e.submitted++
 	e.started++
-	s := &sequence{id: id, prompt: prompt, priority: priority, order: e.made, skip: skip, next: skip, total: total, tokens: make(chan string, max(1, total))}
+	s := &sequence{id: id, prompt: prompt, priority: priority, arrival: e.submitted, skip: skip, nextToken: skip, total: total, tokens: make(chan string, max(1, total))}
 	if skip >= total {
 		s.end()
 		return s
@@ -291,7 +289,7 @@
 	return s
 }
 
-func (e *Engine) forget(s *sequence) {
+func (e *Engine) remove(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.end()
@@ -307,55 +305,55 @@
 	if s == nil {
 		return false
 	}
-	e.cancels++
+	e.cancelled++
 	s.end()
 	return true
 }
 
-// Stats are counts for tests and reports.
+// Stats are counters for tests and reports.
 type Stats struct {
-	Started     int   `json:"started"`
-	Cancelled   int   `json:"cancelled"`
-	ColdTokens  int64 `json:"cold_tokens"`
-	AskedTokens int64 `json:"asked_tokens"`
-	Orders      int   `json:"orders"`
-	// Unready counts requests for models that are not loaded, of an engine that
-	// takes orders.
-	Unready int `json:"unready"`
+	Started      int   `json:"started"`
+	Cancelled    int   `json:"cancelled"`
+	ColdTokens   int64 `json:"cold_tokens"`
+	PromptTokens int64 `json:"asked_tokens"`
+	Orders       int   `json:"orders"`
+	// NotLoaded counts requests for models that are not loaded, once the engine has
+	// received an order.
+	NotLoaded int `json:"unready"`
 }
 
-// Stats returns what the engine has done.
+// Stats returns the counters of the engine.
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return Stats{e.started, e.cancels, e.cold, e.asked, len(e.taken), e.unready}
+	return Stats{e.started, e.cancelled, e.coldTokens, e.promptTokens, len(e.orders), e.notLoaded}
 }
 
-func (e *Engine) arrived() {
+func (e *Engine) recordArrival() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.arrivals = append(e.arrivals, time.Now().UnixMilli())
 }
 
-// Arrivals returns when requests came, in Unix milliseconds.
+// Arrivals returns the arrival times of requests, in Unix milliseconds.
 func (e *Engine) Arrivals() []int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.arrivals)
 }
 
-// Freeze stops all progress without closing anything; thaw ends that.
+// Freeze stops all progress, with connections kept open, or resumes it.
 func (e *Engine) Freeze(frozen bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.frozen = frozen
 }
 
-// Slow makes every token take that many times as long.
-func (e *Engine) Slow(factor int) {
+// SetSlowdown makes every token take factor times as long.
+func (e *Engine) SetSlowdown(factor int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = factor
+	e.slowdown = factor
 }
 
 // Leave makes the engine report that it is leaving.
--- a/fake/engine/handler.go
+++ b/fake/engine/handler.go
@@ -18,10 +18,10 @@
 
 const (
 	defaultTokens = 16
-	mostTokens    = 100_000
+	maxTokens     = 100_000
 )
 
-type completion struct {
+type completionRequest struct {
 	Model     string    `json:"model"`
 	Stream    bool      `json:"stream"`
 	MaxTokens int       `json:"max_tokens"`
@@ -34,7 +34,7 @@
 	Content string `json:"content"`
 }
 
-func (c *completion) text() string {
+func (c *completionRequest) text() string {
 	if c.Prompt != "" {
 		return c.Prompt
 	}
@@ -45,8 +45,8 @@
 	return out
 }
 
-// answerMessage is a whole answer or one chunk of a stream.
-type answerMessage struct {
+// completionResponse is a complete response or one chunk of a stream.
+type completionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Model   string   `json:"model"`
@@ -64,27 +64,27 @@
 func (e *Engine) handle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case "/v1/chat/completions", "/v1/completions":
-		e.complete(ctx)
+		e.handleCompletion(ctx)
 	case "/v1/cancel":
 		peerhttp.Answer(ctx, map[string]bool{"cancelled": e.cancelSequence(string(ctx.QueryArgs().Peek("id")))})
 	case "/v1/load":
 		peerhttp.Answer(ctx, e.report())
 	case "/v1/cache-events":
-		e.cacheEvents(ctx)
+		e.handleCacheEvents(ctx)
 	case "/v1/orders":
-		e.order(ctx)
+		e.handleOrder(ctx)
 	case "/v1/kv":
-		e.kv(ctx)
+		e.handleKV(ctx)
 	case "/v1/leave":
 		e.Leave()
 	case "/v1/back-off":
 		e.BackOff(time.Duration(ctx.QueryArgs().GetUintOrZero("for_ms"))*time.Millisecond, string(ctx.QueryArgs().Peek("retry_after")))
 	case "/v1/say-leaving":
-		e.SayLeaving()
+		e.AnnounceLeaving()
 	case "/v1/asked":
-		peerhttp.Answer(ctx, e.Asked())
+		peerhttp.Answer(ctx, e.Received())
 	case "/v1/slow":
-		e.Slow(ctx.QueryArgs().GetUintOrZero("factor"))
+		e.SetSlowdown(ctx.QueryArgs().GetUintOrZero("factor"))
 	case "/v1/arrivals":
 		peerhttp.Answer(ctx, e.Arrivals())
 	case "/v1/stats":
@@ -94,53 +94,53 @@
 	}
 }
 
-func (e *Engine) complete(ctx *fasthttp.RequestCtx) {
-	c, err := peerhttp.Decode[completion](ctx)
+func (e *Engine) handleCompletion(ctx *fasthttp.RequestCtx) {
+	c, err := peerhttp.Decode[completionRequest](ctx)
 	if err != nil {
 		peerhttp.AnswerError(ctx, err)
 		return
 	}
-	e.arrived()
-	if e.o.Limit > 0 {
-		ctx.Response.Header.Set(wheelgauge.HeaderLimit, strconv.FormatFloat(e.o.Limit, 'g', -1, 64))
+	e.recordArrival()
+	if e.o.RequestsPerSecond > 0 {
+		ctx.Response.Header.Set(wheelgauge.HeaderLimit, strconv.FormatFloat(e.o.RequestsPerSecond, 'g', -1, 64))
 	}
 	n := c.MaxTokens
-	if n <= 0 || n > mostTokens {
+	if n <= 0 || n > maxTokens {
 		n = defaultTokens
 	}
 	priority, _ := strconv.Atoi(string(ctx.Request.Header.Peek("X-Priority")))
 	skip, _ := strconv.Atoi(string(ctx.Request.Header.Peek("X-Resume-From")))
 	id := string(ctx.Request.Header.Peek(wheelgauge.HeaderRequestID))
-	if e.ask(ctx, id) {
+	if e.applyPushback(ctx, id) {
 		return
 	}
 	s := e.submit(id, c.Model, c.text(), priority, skip, n)
 	if s == nil {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonOverloaded, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "the queue is full"))
+		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonOverloaded, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "engine queue is full"))
 		return
 	}
 	chat := string(ctx.Path()) == "/v1/chat/completions"
 	if c.Stream {
-		e.stream(ctx, s, c.Model, chat)
+		e.respondStream(ctx, s, c.Model, chat)
 		return
 	}
-	e.whole(ctx, s, c.Model, chat)
+	e.respondWhole(ctx, s, c.Model, chat)
 }
 
-func (e *Engine) whole(ctx *fasthttp.RequestCtx, s *sequence, model string, chat bool) {
-	defer e.forget(s)
+func (e *Engine) respondWhole(ctx *fasthttp.RequestCtx, s *sequence, model string, chat bool) {
+	defer e.remove(s)
 	text, n := "", s.skip
 	for token := range s.tokens {
 		text += token
 		n++
 	}
 	if n < s.total {
-		// Cut by a cancel or a stop: no answer at all is better than half of one.
+		// Aborted by a cancel or a stop: no response is better than a partial one.
 		ctx.SetStatusCode(http.StatusInternalServerError)
 		ctx.SetConnectionClose()
 		return
 	}
-	a := answerMessage{ID: s.id, Object: "text_completion", Model: model, Choices: []choice{{Text: text, Finish: "length"}}}
+	a := completionResponse{ID: s.id, Object: "text_completion", Model: model, Choices: []choice{{Text: text, Finish: "length"}}}
 	if chat {
 		a.Object = "chat.completion"
 		a.Choices = []choice{{Message: &message{"assistant", text}, Finish: "length"}}
@@ -148,19 +148,19 @@
 	peerhttp.Answer(ctx, a)
 }
 
-// stream sends the head of the answer with the first token.
-func (e *Engine) stream(ctx *fasthttp.RequestCtx, s *sequence, model string, chat bool) {
+// respondStream streams the tokens. The response header is sent with the first token.
+func (e *Engine) respondStream(ctx *fasthttp.RequestCtx, s *sequence, model string, chat bool) {
 	n := s.skip
 	first, ok := <-s.tokens
 	if !ok && n < s.total {
-		e.forget(s)
+		e.remove(s)
 		ctx.SetStatusCode(http.StatusInternalServerError)
 		ctx.SetConnectionClose()
 		return
 	}
 	ctx.SetContentType("text/event-stream")
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		defer e.forget(s)
+		defer e.remove(s)
 		for token := first; ok; token, ok = <-s.tokens {
 			if !writeEvent(w, chunk(s.id, model, token, chat)) {
 				return
@@ -168,13 +168,13 @@
 			n++
 		}
 		if n >= s.total {
-			_, _ = w.WriteString("data: [DONE]\n\n") // a caller that left is not told
+			_, _ = w.WriteString("data: [DONE]\n\n") // the caller may have disconnected
 		}
 	})
 }
 
-func chunk(id, model, token string, chat bool) answerMessage {
-	a := answerMessage{ID: id, Object: "text_completion", Model: model, Choices: []choice{{Text: token}}}
+func chunk(id, model, token string, chat bool) completionResponse {
+	a := completionResponse{ID: id, Object: "text_completion", Model: model, Choices: []choice{{Text: token}}}
 	if chat {
 		a.Object = "chat.completion.chunk"
 		a.Choices = []choice{{Delta: &message{Content: token}}}
@@ -182,7 +182,7 @@
 	return a
 }
 
-func writeEvent(w *bufio.Writer, a answerMessage) bool {
+func writeEvent(w *bufio.Writer, a completionResponse) bool {
 	body, err := json.Marshal(a)
 	if err != nil {
 		return false
@@ -193,7 +193,7 @@
 	return w.Flush() == nil
 }
 
-func (e *Engine) cacheEvents(ctx *fasthttp.RequestCtx) {
+func (e *Engine) handleCacheEvents(ctx *fasthttp.RequestCtx) {
 	from := ctx.QueryArgs().GetUintOrZero("from")
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -206,17 +206,17 @@
 	peerhttp.Answer(ctx, out)
 }
 
-// taken is an order that the engine took, for tests.
-type taken struct {
+// receivedOrder is an order that the engine accepted, with its time, for tests.
+type receivedOrder struct {
 	wheelgauge.Order
 	AtMS int64 `json:"at_ms"`
 }
 
-func (e *Engine) order(ctx *fasthttp.RequestCtx) {
+func (e *Engine) handleOrder(ctx *fasthttp.RequestCtx) {
 	if ctx.IsGet() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		peerhttp.Answer(ctx, e.taken)
+		peerhttp.Answer(ctx, e.orders)
 		return
 	}
 	o, err := peerhttp.Decode[wheelgauge.Order](ctx)
@@ -224,40 +224,41 @@
 		peerhttp.AnswerError(ctx, err)
 		return
 	}
-	if !e.take(o) {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonConflict, wheelgauge.OutcomeNotRun, http.StatusConflict, "an order with a later fence came before"))
+	if !e.executeOrder(o) {
+		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonConflict, wheelgauge.OutcomeNotRun, http.StatusConflict, "order has an older fencing token than a previous one"))
 		return
 	}
 	peerhttp.Answer(ctx, struct{}{})
 }
 
-// take carries an order out; loading takes its time in the background.
-func (e *Engine) take(o wheelgauge.Order) bool {
+// executeOrder executes an order, unless its fencing token is too old. A model is loaded in
+// the background.
+func (e *Engine) executeOrder(o wheelgauge.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.o.ChecksFences && o.Fence < e.fence {
 		return false
 	}
 	e.fence = max(e.fence, o.Fence)
-	e.taken = append(e.taken, taken{o, time.Now().UnixMilli()})
+	e.orders = append(e.orders, receivedOrder{o, time.Now().UnixMilli()})
 	name := wheelgauge.ModelName(o.Model, o.Version)
 	if o.Action == wheelgauge.ActionUnload {
 		delete(e.models, name)
 		return true
 	}
-	if _, loading := e.models[name]; !loading {
+	if _, ordered := e.models[name]; !ordered {
 		e.models[name] = time.Now().Add(e.o.LoadTime)
 	}
 	return true
 }
 
-// holds tells whether a version of a model is loaded. e.mu is held.
-func (e *Engine) holds(model string) bool {
-	return slices.ContainsFunc(e.ready(), func(name string) bool { return strings.HasPrefix(name, model+"@") })
+// hasModel reports whether a version of a model is loaded. e.mu must be held.
+func (e *Engine) hasModel(model string) bool {
+	return slices.ContainsFunc(e.readyModels(), func(name string) bool { return strings.HasPrefix(name, model+"@") })
 }
 
-// ready returns the models that are loaded. e.mu is held.
-func (e *Engine) ready() []string {
+// readyModels returns the models that are loaded. e.mu must be held.
+func (e *Engine) readyModels() []string {
 	var out []string
 	for name, at := range e.models {
 		if time.Now().After(at) {
@@ -268,17 +269,17 @@
 	return out
 }
 
-// kvMessage carries the blocks of cached prefixes.
+// kvMessage lists cached prefix blocks for export and import.
 type kvMessage struct {
 	Blocks []uint64 `json:"blocks"`
 }
 
-func (e *Engine) kv(ctx *fasthttp.RequestCtx) {
+func (e *Engine) handleKV(ctx *fasthttp.RequestCtx) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if ctx.IsGet() {
 		out := kvMessage{}
-		for _, b := range chain(string(ctx.QueryArgs().Peek("prompt"))) {
+		for _, b := range blockHashes(string(ctx.QueryArgs().Peek("prompt"))) {
 			if _, ok := e.cache.blocks[b]; !ok {
 				break
 			}
@@ -294,7 +295,7 @@
 	}
 	for _, b := range in.Blocks {
 		if _, ok := e.cache.blocks[b]; !ok {
-			e.cache.blocks[b] = e.cache.order.PushFront(b)
+			e.cache.blocks[b] = e.cache.lru.PushFront(b)
 		}
 	}
 	peerhttp.Answer(ctx, struct{}{})
--- a/fake/engine/pushback.go
+++ b/fake/engine/pushback.go
@@ -10,60 +10,60 @@
 	"wheelgauge/peerhttp"
 )
 
-// Asked is a request that came and what the engine asked of its sender in the answer.
+// Asked is a request that the engine received, with the pushback in its response.
 type Asked struct {
 	ID   string `json:"id"`
 	AtMS int64  `json:"at_ms"`
-	// RetryAfter is that of a request that was turned away for a backoff.
+	// RetryAfter is the Retry-After header of a request rejected for a backoff.
 	RetryAfter string `json:"retry_after,omitempty"`
-	// Leaving is set once the answers say so.
+	// Leaving is set if the response announced that the engine is leaving.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// asking is what the engine asks of all who send requests.
-type asking struct {
-	until      time.Time
-	retryAfter string
-	leaving    bool
-	log        []Asked
+// pushback is the state that the engine announces to senders in its responses.
+type pushback struct {
+	backoffUntil time.Time
+	retryAfter   string
+	leaving      bool
+	log          []Asked
 }
 
-// BackOff makes the engine turn requests away for a time, with a Retry-After.
-func (e *Engine) BackOff(sick time.Duration, retryAfter string) {
+// BackOff makes the engine reject requests for a duration, with a Retry-After header.
+func (e *Engine) BackOff(d time.Duration, retryAfter string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asking.until, e.asking.retryAfter = time.Now().Add(sick), retryAfter
+	e.pushback.backoffUntil, e.pushback.retryAfter = time.Now().Add(d), retryAfter
 }
 
-// SayLeaving makes answers say that the engine leaves, not its reports.
-func (e *Engine) SayLeaving() {
+// AnnounceLeaving makes responses, but not load reports, announce that the engine is leaving.
+func (e *Engine) AnnounceLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asking.leaving = true
+	e.pushback.leaving = true
 }
 
-// Asked returns all requests that came, with what was asked of their senders.
-func (e *Engine) Asked() []Asked {
+// Received returns all received requests with the pushback in their responses.
+func (e *Engine) Received() []Asked {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Asked{}, e.asking.log...)
+	return append([]Asked{}, e.pushback.log...)
 }
 
-// ask writes into the answer what the engine asks; it tells whether the request is turned
-// away.
-func (e *Engine) ask(ctx *fasthttp.RequestCtx, id string) bool {
+// applyPushback sets the pushback headers of the response. It reports whether it has rejected
+// the request.
+func (e *Engine) applyPushback(ctx *fasthttp.RequestCtx, id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	one := Asked{ID: id, AtMS: now.UnixMilli(), Leaving: e.asking.leaving}
-	if e.asking.leaving {
+	received := Asked{ID: id, AtMS: now.UnixMilli(), Leaving: e.pushback.leaving}
+	if e.pushback.leaving {
 		ctx.Response.Header.Set(wheelgauge.HeaderLeaving, "1")
 	}
-	if now.Before(e.asking.until) {
-		one.RetryAfter = e.asking.retryAfter
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonOverloaded, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "the engine backs off"))
-		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, e.asking.retryAfter)
+	if now.Before(e.pushback.backoffUntil) {
+		received.RetryAfter = e.pushback.retryAfter
+		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonOverloaded, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "engine asks for a backoff"))
+		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, e.pushback.retryAfter)
 	}
-	e.asking.log = append(e.asking.log, one)
-	return one.RetryAfter != ""
+	e.pushback.log = append(e.pushback.log, received)
+	return received.RetryAfter != ""
 }
--- a/fake/fakeclock/clock.go
+++ b/fake/fakeclock/clock.go
@@ -1,4 +1,5 @@
-// Package fakeclock is a clock that a test moves, as if the machine had been suspended.
+// Package fakeclock is a clock that a test can move forward, as if the machine had been
+// suspended.
 package fakeclock
 
 import (
@@ -6,12 +7,12 @@
 	"time"
 )
 
-// Clock implements wheelgauge.Clock: the steady clock and what it was moved by. It is
+// Clock implements wheelgauge.Clock: the monotonic clock plus simulated suspensions. It is
 // safe for concurrent use.
-type Clock struct{ lost atomic.Int64 }
+type Clock struct{ suspended atomic.Int64 }
 
 // Now implements wheelgauge.Clock.
-func (c *Clock) Now() time.Time { return time.Now().Add(time.Duration(c.lost.Load())) }
+func (c *Clock) Now() time.Time { return time.Now().Add(time.Duration(c.suspended.Load())) }
 
-// Suspend moves the clock on by a time that the steady one does not count.
-func (c *Clock) Suspend(d time.Duration) { c.lost.Add(int64(d)) }
+// Suspend moves the clock forward by a duration that the monotonic clock does not count.
+func (c *Clock) Suspend(d time.Duration) { c.suspended.Add(int64(d)) }
--- a/fake/hostlist/hostlist.go
+++ b/fake/hostlist/hostlist.go
@@ -1,5 +1,5 @@
-// Package hostlist is a small stand-in for the platform's list of live and
-// leaving hosts, which lags behind reality.
+// Package hostlist is a fake of the platform's list of live and leaving hosts, which shows
+// changes only after a delay.
 package hostlist
 
 import (
@@ -16,20 +16,20 @@
 	"wheelgauge/peerhttp"
 )
 
-type line struct {
-	hint wheelgauge.HostHint
-	at   time.Time
+type change struct {
+	entry wheelgauge.HostHint
+	at    time.Time
 }
 
-// List is a running stand-in.
+// List is a running fake host list.
 type List struct {
-	lag    time.Duration
-	mu     sync.Mutex
-	lines  []line
-	server *httpserve.Server
+	lag     time.Duration
+	mu      sync.Mutex
+	changes []change
+	server  *httpserve.Server
 }
 
-// Start serves at address; changes show after lag.
+// Start serves the list at address; changes are visible after lag.
 func Start(_ context.Context, address string, lag time.Duration) (*List, error) {
 	l := &List{lag: lag}
 	server, err := httpserve.Listen(address, l.handle, httpserve.Options{})
@@ -40,17 +40,17 @@
 	return l, nil
 }
 
-// Address returns where the list serves.
+// Address returns the address that the list listens at.
 func (l *List) Address() string { return l.server.Address() }
 
 // Close stops the list.
 func (l *List) Close(ctx context.Context) error { return l.server.Close(ctx) }
 
-// Set records what is true of a host from now on.
+// Set records the state of a host from now on.
 func (l *List) Set(host string, leaving bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lines = append(l.lines, line{wheelgauge.HostHint{Host: host, Leaving: leaving}, time.Now()})
+	l.changes = append(l.changes, change{wheelgauge.HostHint{Host: host, Leaving: leaving}, time.Now()})
 }
 
 func (l *List) handle(ctx *fasthttp.RequestCtx) {
@@ -65,9 +65,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	latest := map[string]wheelgauge.HostHint{}
-	for _, one := range l.lines {
-		if time.Since(one.at) >= l.lag {
-			latest[one.hint.Host] = one.hint
+	for _, c := range l.changes {
+		if time.Since(c.at) >= l.lag {
+			latest[c.entry.Host] = c.entry
 		}
 	}
 	out := make([]wheelgauge.HostHint, 0, len(latest))
--- a/fake/judge/backoff.go
+++ b/fake/judge/backoff.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// Backoff bounds what a host may send to a server that has asked it to back off.
+// Backoff bounds the requests that a host may send to a server that has asked it to back off.
 type Backoff struct {
-	// grace is for requests that were on their way, most how many may come after it.
-	grace time.Duration
-	most  int
-	// again is how soon after the backoff the server is used again.
-	again time.Duration
+	// grace is the time in which requests already in flight may arrive, maxAfterGrace the
+	// number that may arrive after it.
+	grace         time.Duration
+	maxAfterGrace int
+	// reuseWithin is how soon after the backoff the server is used again.
+	reuseWithin time.Duration
 }
 
-// ServerBackoff is the bound of a server that asks for a backoff as it turns a request away.
+// ServerBackoff returns the bound for a server that rejects a request and asks for a backoff.
 func ServerBackoff() Backoff {
-	return Backoff{grace: 500 * time.Millisecond, most: 2, again: 2 * time.Second}
+	return Backoff{grace: 500 * time.Millisecond, maxAfterGrace: 2, reuseWithin: 2 * time.Second}
 }
 
-// Again returns how soon after a backoff a server is used again that others do not need to
-// replace.
-func (b Backoff) Again() time.Duration { return b.again }
+// Again returns how soon after a backoff a server must be used again, if no other server can
+// take its place.
+func (b Backoff) Again() time.Duration { return b.reuseWithin }
 
-// Check returns an error if too many of the arrivals from a host fall into a backoff that it
-// was asked for at a moment.
+// Check returns an error if too many of the arrivals from a host fall into a backoff that the
+// server asked for at the time asked.
 func (b Backoff) Check(asked time.Time, backoff time.Duration, arrivals []time.Time) error {
 	got := 0
 	for _, at := range arrivals {
-		if after := at.Sub(asked); after > b.grace && after < backoff {
+		if elapsed := at.Sub(asked); elapsed > b.grace && elapsed < backoff {
 			got++
 		}
 	}
-	if got > b.most {
-		return fmt.Errorf("%d requests in a backoff of %s asked for at %s, allowed %d", got, backoff, asked.Format("15:04:05.000"), b.most)
+	if got > b.maxAfterGrace {
+		return fmt.Errorf("%d requests in a backoff of %s asked for at %s, allowed %d", got, backoff, asked.Format("15:04:05.000"), b.maxAfterGrace)
 	}
 	return nil
 }
--- a/fake/judge/bound.go
+++ b/fake/judge/bound.go
@@ -1,5 +1,5 @@
-// Package judge holds what backend servers got against what they may get from all hosts
-// together. It knows nothing of how hosts decide.
+// Package judge checks the requests that backend servers received against what they may
+// receive from all hosts together. It is independent of how hosts decide.
 package judge
 
 import (
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// Bound is how many requests may come to a server within any window of a length: so many
-// times what its rate gives, and some more.
+// Bound limits the requests that a server may receive within any window of a given length: a
+// multiple of what its rate allows, plus slack.
 type Bound struct {
-	window time.Duration
-	over   float64
-	slack  float64
+	window     time.Duration
+	rateFactor float64
+	slack      float64
 }
 
-// ServerLimit is the bound of a server that names a limit.
-func ServerLimit() Bound { return Bound{window: 4 * time.Second, over: 1.5, slack: 5} }
+// ServerLimit returns the bound for a server that announces a limit.
+func ServerLimit() Bound { return Bound{window: 4 * time.Second, rateFactor: 1.5, slack: 5} }
 
-// ColdRate is the bound of a server that is cold.
-func ColdRate() Bound { return Bound{window: time.Second, over: 1.5, slack: 3} }
+// ColdRate returns the bound for a cold server.
+func ColdRate() Bound { return Bound{window: time.Second, rateFactor: 1.5, slack: 3} }
 
 // Window returns the length of a window.
 func (b Bound) Window() time.Duration { return b.window }
 
-// Allowed returns the most that may come within a window to a server with a rate, in
-// requests a second.
-func (b Bound) Allowed(rate float64) float64 { return b.over*rate*b.window.Seconds() + b.slack }
+// Allowed returns the number of requests that a server may receive within a window, by its
+// rate in requests per second.
+func (b Bound) Allowed(rate float64) float64 { return b.rateFactor*rate*b.window.Seconds() + b.slack }
 
-// Each calls f for each arrival, in order of time, with the longest window that ends with
-// it: when its first arrival came, when its last, and how many came.
+// Each calls f for each arrival, in order of time, with the window that ends at it: the
+// times of the first and the last arrival in the window, and their number.
 func (b Bound) Each(arrivals []time.Time, f func(from, to time.Time, got int)) {
 	at := slices.SortedFunc(slices.Values(arrivals), time.Time.Compare)
 	first := 0
@@ -42,21 +42,23 @@
 	}
 }
 
-// Worst returns how many came within one window at most, and when the first such began.
-func (b Bound) Worst(arrivals []time.Time) (most int, began time.Time) {
+// Worst returns the largest number of arrivals within one window, and the start of the first
+// such window.
+func (b Bound) Worst(arrivals []time.Time) (count int, start time.Time) {
 	b.Each(arrivals, func(from, _ time.Time, got int) {
-		if got > most {
-			most, began = got, from
+		if got > count {
+			count, start = got, from
 		}
 	})
-	return most, began
+	return count, start
 }
 
-// Check returns an error if more came within a window than a server with a rate may get.
+// Check returns an error if a window has more arrivals than a server with the given rate may
+// receive.
 func (b Bound) Check(rate float64, arrivals []time.Time) error {
-	got, began := b.Worst(arrivals)
+	got, start := b.Worst(arrivals)
 	if allowed := b.Allowed(rate); float64(got) > allowed {
-		return fmt.Errorf("%d requests within %s from %s, allowed %.0f at %g a second", got, b.window, began.Format("15:04:05.000"), allowed, rate)
+		return fmt.Errorf("%d requests within %s from %s, allowed %.0f at %g a second", got, b.window, start.Format("15:04:05.000"), allowed, rate)
 	}
 	return nil
 }
--- a/fake/script/script.go
+++ b/fake/script/script.go
@@ -1,5 +1,5 @@
-// Package script says what the stand-in engines answer to a prompt, so that
-// whoever asked can tell a whole answer from a mixed or a cut one.
+// Package script generates the fake engines' response to a prompt, so that a caller can
+// distinguish a correct response from a mixed-up or truncated one.
 package script
 
 import (
@@ -8,17 +8,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// CharsPerToken is how the stand-ins count the tokens of a prompt.
+// CharsPerToken is the number of prompt characters that the fake engines count as one token.
 const CharsPerToken = 4
 
-// Token returns token number i of the answer to a prompt.
+// Token returns token i of the response to a prompt.
 func Token(prompt string, i int) string {
 	h := xxhash.Sum64String(prompt) + uint64(i)*0x9e3779b97f4a7c15
 	h ^= h >> 29
 	return strconv.FormatUint(h%46656, 36) + " "
 }
 
-// Answer returns the first n tokens of the answer to a prompt as one text.
+// Answer returns the first n tokens of the response to a prompt as one string.
 func Answer(prompt string, n int) string {
 	var out []byte
 	for i := range n {
--- a/fake/service/service.go
+++ b/fake/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a small stand-in for a plain service. It counts how often
-// each reference was executed.
+// Package service is a fake of a service that is no model engine. It counts the executions
+// of each reference.
 package service
 
 import (
@@ -22,25 +22,25 @@
 	Name    string
 	Address string
 	Slots   int
-	// Time is how long a call takes.
-	Time time.Duration
-	// After is run between the execution of a POST and its answer; for tests
-	// that lose answers.
-	After func(ref string)
+	// CallTime is the duration of a call.
+	CallTime time.Duration
+	// BeforeResponse is called between the execution of a POST and its response, for
+	// tests that drop responses.
+	BeforeResponse func(ref string)
 }
 
-// Service is a running stand-in.
+// Service is a running fake service.
 type Service struct {
-	o       Options
-	mu      sync.Mutex
-	counts  map[string]int
-	calls   int
-	running int
-	leaving bool
-	server  *httpserve.Server
+	o          Options
+	mu         sync.Mutex
+	executions map[string]int
+	calls      int
+	running    int
+	leaving    bool
+	server     *httpserve.Server
 }
 
-// Receipt answers a POST.
+// Receipt is the response to a GET or a POST; Execution is 0 for a GET.
 type Receipt struct {
 	Ref       string `json:"ref"`
 	Execution int    `json:"execution"`
@@ -53,9 +53,9 @@
 	Ref string `json:"ref"`
 }
 
-// Start serves at the address of the options.
+// Start starts a service at the address of the options.
 func Start(_ context.Context, o Options) (*Service, error) {
-	s := &Service{o: o, counts: map[string]int{}}
+	s := &Service{o: o, executions: map[string]int{}}
 	server, err := httpserve.Listen(o.Address, s.handle, httpserve.Options{})
 	if err != nil {
 		return nil, fmt.Errorf("start service: %w", err)
@@ -64,7 +64,7 @@
 	return s, nil
 }
 
-// Address returns where the service serves.
+// Address returns the address that the service listens at.
 func (s *Service) Address() string { return s.server.Address() }
 
 // Close stops the service.
@@ -76,7 +76,7 @@
 	case path == "/load":
 		peerhttp.Answer(ctx, s.report())
 	case path == "/counts":
-		peerhttp.Answer(ctx, s.Counts())
+		peerhttp.Answer(ctx, s.Executions())
 	case path == "/leave":
 		s.Leave()
 	case ctx.IsGet():
@@ -95,31 +95,31 @@
 }
 
 func (s *Service) read(ctx *fasthttp.RequestCtx, path string) {
-	defer s.enter()()
-	time.Sleep(s.o.Time)
+	defer s.countRunning()()
+	time.Sleep(s.o.CallTime)
 	parts := strings.Split(path, "/")
 	peerhttp.Answer(ctx, Receipt{Ref: parts[len(parts)-1], Server: s.o.Name, Echo: string(ctx.RequestURI())})
 }
 
 func (s *Service) execute(ctx *fasthttp.RequestCtx) {
-	defer s.enter()()
+	defer s.countRunning()()
 	b, err := peerhttp.Decode[booking](ctx)
 	if err != nil || b.Ref == "" {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "a booking has a ref"))
+		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "expected a booking with a ref"))
 		return
 	}
 	s.mu.Lock()
-	s.counts[b.Ref]++
-	n := s.counts[b.Ref]
+	s.executions[b.Ref]++
+	n := s.executions[b.Ref]
 	s.mu.Unlock()
-	time.Sleep(s.o.Time)
-	if s.o.After != nil {
-		s.o.After(b.Ref)
+	time.Sleep(s.o.CallTime)
+	if s.o.BeforeResponse != nil {
+		s.o.BeforeResponse(b.Ref)
 	}
 	peerhttp.Answer(ctx, Receipt{Ref: b.Ref, Execution: n, Server: s.o.Name, Echo: string(ctx.PostBody())})
 }
 
-func (s *Service) enter() func() {
+func (s *Service) countRunning() func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
@@ -131,18 +131,18 @@
 	}
 }
 
-// Counts returns how often each reference was executed.
-func (s *Service) Counts() map[string]int {
+// Executions returns the number of executions of each reference.
+func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]int, len(s.counts))
-	for ref, n := range s.counts {
+	out := make(map[string]int, len(s.executions))
+	for ref, n := range s.executions {
 		out[ref] = n
 	}
 	return out
 }
 
-// Calls returns how many calls came.
+// Calls returns the number of calls received.
 func (s *Service) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fake/weights/weights.go
+++ b/fake/weightstore/store.go
@@ -1,5 +1,5 @@
-// Package weights is a small stand-in for the rate-limited weight store.
-package weights
+// Package weightstore is a fake of the rate-limited store of model weights.
+package weightstore
 
 import (
 	"bufio"
@@ -12,18 +12,18 @@
 	"wheelgauge/httpserve"
 )
 
-const pieceBytes = 16 << 10
+const chunkBytes = 16 << 10
 
-// Store is a running stand-in.
+// Store is a running fake weight store.
 type Store struct {
 	ctx     context.Context
 	limiter *rate.Limiter
 	server  *httpserve.Server
 }
 
-// Start serves at address, bytesPerSecond to all readers together.
+// Start serves at address; all readers share bytesPerSecond.
 func Start(ctx context.Context, address string, bytesPerSecond int) (*Store, error) {
-	s := &Store{ctx: ctx, limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), pieceBytes)}
+	s := &Store{ctx: ctx, limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), chunkBytes)}
 	server, err := httpserve.Listen(address, s.handle, httpserve.Options{})
 	if err != nil {
 		return nil, fmt.Errorf("start weight store: %w", err)
@@ -32,26 +32,26 @@
 	return s, nil
 }
 
-// Address returns where the store serves.
+// Address returns the address that the store listens at.
 func (s *Store) Address() string { return s.server.Address() }
 
 // Close stops the store.
 func (s *Store) Close(ctx context.Context) error { return s.server.Close(ctx) }
 
-// handle sends as many bytes as the query asks for, at the store's rate.
+// handle sends the number of bytes that the query requests, at the store's rate.
 func (s *Store) handle(ctx *fasthttp.RequestCtx) {
-	left := ctx.QueryArgs().GetUintOrZero("bytes")
+	remaining := ctx.QueryArgs().GetUintOrZero("bytes")
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		piece := make([]byte, pieceBytes)
-		for left > 0 {
-			n := min(left, pieceBytes)
+		chunk := make([]byte, chunkBytes)
+		for remaining > 0 {
+			n := min(remaining, chunkBytes)
 			if s.limiter.WaitN(s.ctx, n) != nil {
 				return
 			}
-			if _, err := w.Write(piece[:n]); err != nil {
+			if _, err := w.Write(chunk[:n]); err != nil {
 				return
 			}
-			left -= n
+			remaining -= n
 		}
 	})
 }
--- a/load/report.go
+++ b/load/report.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	longestMicros = 600_000_000
-	digits        = 3
+	maxMicros         = 600_000_000
+	significantDigits = 3
 )
 
-// Tail holds quantiles in milliseconds.
-type Tail struct {
+// Quantiles holds quantiles of a distribution, in milliseconds.
+type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
 	P95   float64 `json:"p95"`
@@ -26,20 +26,20 @@
 	P999  float64 `json:"p999"`
 }
 
-// Line sums up one kind of request, or one client.
-type Line struct {
+// Summary aggregates the requests of one kind or of one client.
+type Summary struct {
 	Name     string `json:"name"`
 	Sent     int    `json:"sent"`
 	Answered int    `json:"answered"`
-	// First is the time to the first token, of streams; Total to the end.
-	First Tail `json:"first_ms"`
-	Gap   Tail `json:"gap_ms"`
-	Total Tail `json:"total_ms"`
-	Away  int  `json:"away"`
-	Late  int  `json:"late"`
+	// FirstToken is the time to the first token of streams, Total the time to the end.
+	FirstToken  Quantiles `json:"first_ms"`
+	Gap         Quantiles `json:"gap_ms"`
+	Total       Quantiles `json:"total_ms"`
+	OtherRegion int       `json:"away"`
+	Late        int       `json:"late"`
 }
 
-// Report sums up a run.
+// Report aggregates the results of a run.
 type Report struct {
 	Mix      string         `json:"mix"`
 	Seed     uint64         `json:"seed"`
@@ -47,98 +47,98 @@
 	Answered int            `json:"answered"`
 	Refused  map[string]int `json:"refused"`
 	Late     int            `json:"late"`
-	// ShareAway is the part of the answers that another region gave.
+	// ShareAway is the fraction of the responses served by another region.
 	ShareAway float64 `json:"share_away"`
-	// Cost is the price of the generated tokens where they were generated, and of
-	// the links that answers crossed.
-	Cost          float64  `json:"cost"`
-	CostPerTokens float64  `json:"cost_per_1000_tokens"`
-	Tokens        int      `json:"tokens"`
-	Tries         float64  `json:"tries_per_request"`
-	Wrong         []string `json:"wrong,omitempty"`
-	First         Tail     `json:"first_ms"`
-	Gap           Tail     `json:"gap_ms"`
-	Kinds         []Line   `json:"kinds"`
-	Clients       []Line   `json:"clients"`
-	// Once lists the references of calls that are not repeatable, by outcome.
+	// Cost is the price of the generated tokens in the regions that generated them, plus
+	// the link cost of responses from other regions.
+	Cost          float64   `json:"cost"`
+	CostPerTokens float64   `json:"cost_per_1000_tokens"`
+	Tokens        int       `json:"tokens"`
+	Tries         float64   `json:"tries_per_request"`
+	Wrong         []string  `json:"wrong,omitempty"`
+	First         Quantiles `json:"first_ms"`
+	Gap           Quantiles `json:"gap_ms"`
+	Kinds         []Summary `json:"kinds"`
+	Clients       []Summary `json:"clients"`
+	// Once lists the references of non-repeatable calls, by outcome.
 	Once map[string][]string `json:"once,omitempty"`
 }
 
-type tally struct {
-	line              Line
+type aggregate struct {
+	counts            Summary
 	first, gap, total *hdrhistogram.Histogram
 }
 
-func newTally(name string) *tally {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestMicros, digits) }
-	return &tally{line: Line{Name: name}, first: h(), gap: h(), total: h()}
+func newAggregate(name string) *aggregate {
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicros, significantDigits) }
+	return &aggregate{counts: Summary{Name: name}, first: newHistogram(), gap: newHistogram(), total: newHistogram()}
 }
 
-func (t *tally) add(r *Result) {
-	t.line.Sent++
+func (a *aggregate) add(r *Result) {
+	a.counts.Sent++
 	if r.Late {
-		t.line.Late++
+		a.counts.Late++
 	}
 	for _, g := range r.Gaps {
-		record(t.gap, g)
+		record(a.gap, g)
 	}
-	if r.First > 0 {
-		record(t.first, r.First)
+	if r.FirstToken > 0 {
+		record(a.first, r.FirstToken)
 	}
 	if r.Reason != "" {
 		return
 	}
-	t.line.Answered++
-	record(t.total, r.Total)
-	if r.Served != "" && r.Served != r.Region {
-		t.line.Away++
+	a.counts.Answered++
+	record(a.total, r.Total)
+	if r.ServedRegion != "" && r.ServedRegion != r.Region {
+		a.counts.OtherRegion++
 	}
 }
 
 func record(h *hdrhistogram.Histogram, ms float64) {
-	_ = h.RecordValue(min(longestMicros, max(1, int64(ms*1000)))) // in range by construction
+	_ = h.RecordValue(min(maxMicros, max(1, int64(ms*1000)))) // clamped, so always in range
 }
 
-func tail(h *hdrhistogram.Histogram) Tail {
-	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	return Tail{Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), P999: at(99.9)}
+func quantiles(h *hdrhistogram.Histogram) Quantiles {
+	quantile := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+	return Quantiles{Count: h.TotalCount(), P50: quantile(50), P95: quantile(95), P99: quantile(99), P999: quantile(99.9)}
 }
 
-func (t *tally) done() Line {
-	t.line.First, t.line.Gap, t.line.Total = tail(t.first), tail(t.gap), tail(t.total)
-	return t.line
+func (a *aggregate) summary() Summary {
+	a.counts.FirstToken, a.counts.Gap, a.counts.Total = quantiles(a.first), quantiles(a.gap), quantiles(a.total)
+	return a.counts
 }
 
-// Summarise makes the report of a run.
+// Summarise returns the report of a run.
 func Summarise(s Scenario, results []Result) Report {
 	out := Report{Mix: s.Mix, Seed: s.Seed, Refused: map[string]int{}, Once: map[string][]string{}}
 	price := map[string]float64{}
 	for _, r := range s.Regions {
 		price[r.Name] = r.Price
 	}
-	all := newTally("all")
-	kinds, clients := map[string]*tally{}, map[string]*tally{}
-	tries, away := 0, 0
+	all := newAggregate("all")
+	kinds, clients := map[string]*aggregate{}, map[string]*aggregate{}
+	tries, otherRegion := 0, 0
 	for i := range results {
 		r := &results[i]
 		all.add(r)
-		of(kinds, r.Kind).add(r)
-		of(clients, r.Client).add(r)
+		aggregateOf(kinds, r.Kind).add(r)
+		aggregateOf(clients, r.Client).add(r)
 		tries += r.Tries
 		out.Tokens += r.Tokens
-		out.Cost += price[r.Served] * float64(r.Tokens) / 1000
-		out.note(r)
-		if r.Reason == "" && r.Served != r.Region {
-			away++
+		out.Cost += price[r.ServedRegion] * float64(r.Tokens) / 1000
+		out.recordOutcome(r)
+		if r.Reason == "" && r.ServedRegion != r.Region {
+			otherRegion++
 			out.Cost += s.LinkCost
 		}
 	}
-	out.finish(all, tries, away)
-	out.Kinds, out.Clients = lines(kinds), lines(clients)
+	out.setTotals(all, tries, otherRegion)
+	out.Kinds, out.Clients = summaries(kinds), summaries(clients)
 	return out
 }
 
-func (p *Report) note(r *Result) {
+func (p *Report) recordOutcome(r *Result) {
 	if r.Reason != "" {
 		p.Refused[r.Reason]++
 	}
@@ -154,36 +154,36 @@
 	}
 }
 
-func (p *Report) finish(all *tally, tries, away int) {
-	line := all.done()
-	p.Sent, p.Answered, p.Late, p.First, p.Gap = line.Sent, line.Answered, line.Late, line.First, line.Gap
+func (p *Report) setTotals(all *aggregate, tries, otherRegion int) {
+	line := all.summary()
+	p.Sent, p.Answered, p.Late, p.First, p.Gap = line.Sent, line.Answered, line.Late, line.FirstToken, line.Gap
 	if p.Sent > 0 {
 		p.Tries = float64(tries) / float64(p.Sent)
 	}
 	if p.Answered > 0 {
-		p.ShareAway = float64(away) / float64(p.Answered)
+		p.ShareAway = float64(otherRegion) / float64(p.Answered)
 	}
 	if p.Tokens > 0 {
 		p.CostPerTokens = p.Cost / float64(p.Tokens) * 1000
 	}
 }
 
-func of(m map[string]*tally, name string) *tally {
+func aggregateOf(m map[string]*aggregate, name string) *aggregate {
 	if m[name] == nil {
-		m[name] = newTally(name)
+		m[name] = newAggregate(name)
 	}
 	return m[name]
 }
 
-func lines(m map[string]*tally) []Line {
-	var out []Line
+func summaries(m map[string]*aggregate) []Summary {
+	var out []Summary
 	for _, name := range slices.Sorted(maps.Keys(m)) {
-		out = append(out, m[name].done())
+		out = append(out, m[name].summary())
 	}
 	return out
 }
 
-// WriteJSON writes the report for programs.
+// WriteJSON writes the report as indented JSON.
 func (p *Report) WriteJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
@@ -193,17 +193,17 @@
 	return nil
 }
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as a table for reading.
 func (p *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	put := func(format string, args ...any) { _, _ = fmt.Fprintf(t, format, args...) } // Flush reports what failed
-	put("%s, seed %d: sent %d, answered %d, late %d, away %.1f%%, cost %.3f (%.3f per 1,000 tokens), tries %.3f\n",
+	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(t, format, args...) } // Flush reports any write error
+	printf("%s, seed %d: sent %d, answered %d, late %d, away %.1f%%, cost %.3f (%.3f per 1,000 tokens), tries %.3f\n",
 		p.Mix, p.Seed, p.Sent, p.Answered, p.Late, 100*p.ShareAway, p.Cost, p.CostPerTokens, p.Tries)
-	put("kind\tsent\tanswered\taway\tlate\tfirst p50\tp95\tp99\tgap p95\tp99\ttotal p50\tp95\tp99\tp99.9\t\n")
-	for _, group := range [][]Line{p.Kinds, p.Clients} {
+	printf("kind\tsent\tanswered\taway\tlate\tfirst p50\tp95\tp99\tgap p95\tp99\ttotal p50\tp95\tp99\tp99.9\t\n")
+	for _, group := range [][]Summary{p.Kinds, p.Clients} {
 		for _, l := range group {
-			put("%s\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f\t\n", l.Name, l.Sent, l.Answered, l.Away, l.Late,
-				l.First.P50, l.First.P95, l.First.P99, l.Gap.P95, l.Gap.P99, l.Total.P50, l.Total.P95, l.Total.P99, l.Total.P999)
+			printf("%s\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f\t\n", l.Name, l.Sent, l.Answered, l.OtherRegion, l.Late,
+				l.FirstToken.P50, l.FirstToken.P95, l.FirstToken.P99, l.Gap.P95, l.Gap.P99, l.Total.P50, l.Total.P95, l.Total.P99, l.Total.P999)
 		}
 	}
 	if len(p.Refused) > 0 {
@@ -211,10 +211,10 @@
 		for _, reason := range slices.Sorted(maps.Keys(p.Refused)) {
 			parts = append(parts, fmt.Sprintf("%s %d", reason, p.Refused[reason]))
 		}
-		put("refused or failed: %s\n", strings.Join(parts, ", "))
+		printf("refused or failed: %s\n", strings.Join(parts, ", "))
 	}
 	for _, wrong := range p.Wrong {
-		put("WRONG: %s\n", wrong)
+		printf("WRONG: %s\n", wrong)
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("write report: %w", err)
--- a/load/runner.go
+++ b/load/runner.go
@@ -20,37 +20,37 @@
 )
 
 const (
-	mostTries  = 4
-	dialLimit  = 2 * time.Second
-	mostIdle   = 2048
-	listLimit  = 3 * time.Second
-	errorLimit = 64 << 10
+	maxTries         = 4
+	dialTimeout      = 2 * time.Second
+	maxIdleConns     = 2048
+	entryListTimeout = 3 * time.Second
+	maxErrorBytes    = 64 << 10
 )
 
-// Result is the end of one request.
+// Result is the outcome of one request.
 type Result struct {
-	Kind   string `json:"kind"`
-	Client string `json:"client"`
-	Region string `json:"region"`
-	Served string `json:"served,omitempty"`
-	// First, Total and Gap are in milliseconds, from the intended start; Gap is
-	// the longest time between two tokens.
-	First   float64   `json:"first_ms,omitempty"`
-	Total   float64   `json:"total_ms"`
-	Gaps    []float64 `json:"-"`
-	Tokens  int       `json:"tokens,omitempty"`
-	Tries   int       `json:"tries"`
-	Reason  string    `json:"reason,omitempty"`
-	Outcome string    `json:"outcome,omitempty"`
-	// Wrong is set when the answer was not the request's own or not whole
-	// though it looked so.
+	Kind         string `json:"kind"`
+	Client       string `json:"client"`
+	Region       string `json:"region"`
+	ServedRegion string `json:"served,omitempty"`
+	// FirstToken and Total are in milliseconds from the intended start. Gaps are the
+	// times between consecutive tokens, in milliseconds.
+	FirstToken float64   `json:"first_ms,omitempty"`
+	Total      float64   `json:"total_ms"`
+	Gaps       []float64 `json:"-"`
+	Tokens     int       `json:"tokens,omitempty"`
+	Tries      int       `json:"tries"`
+	Reason     string    `json:"reason,omitempty"`
+	Outcome    string    `json:"outcome,omitempty"`
+	// Wrong says what is wrong with a response that belongs to another request, or that
+	// is truncated but marked as complete.
 	Wrong string `json:"wrong,omitempty"`
 	Late  bool   `json:"late,omitempty"`
-	// Ref is set for calls that are not repeatable.
+	// Ref is the reference of a non-repeatable call.
 	Ref string `json:"ref,omitempty"`
 }
 
-// Runner sends a scenario.
+// Runner sends the requests of a scenario.
 type Runner struct {
 	scenario Scenario
 	http     *http.Client
@@ -61,27 +61,27 @@
 
 type entryList struct {
 	entries []wheelgauge.Entry
-	until   time.Time
+	expires time.Time
 }
 
-// NewRunner returns a runner of a scenario.
+// NewRunner returns a runner for a scenario.
 func NewRunner(s Scenario) *Runner {
-	t := &http.Transport{MaxIdleConnsPerHost: mostIdle, MaxIdleConns: mostIdle, IdleConnTimeout: 4 * time.Second, DialContext: (&net.Dialer{Timeout: dialLimit}).DialContext}
+	t := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, MaxIdleConns: maxIdleConns, IdleConnTimeout: 4 * time.Second, DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}
 	return &Runner{scenario: s, http: &http.Client{Transport: t}, lists: map[string]entryList{}}
 }
 
-// Run sends everything and returns the results once all have ended.
+// Run sends all requests and returns the results once all have ended.
 func (r *Runner) Run(ctx context.Context) []Result {
-	shots := r.scenario.plan()
+	requests := r.scenario.plan()
 	start := time.Now()
-	var group sync.WaitGroup
-	for i := range shots {
-		if !sleepUntil(ctx, start.Add(shots[i].at)) {
+	var wg sync.WaitGroup
+	for i := range requests {
+		if !sleepUntil(ctx, start.Add(requests[i].offset)) {
 			break
 		}
-		group.Go(func() { r.add(r.one(ctx, &shots[i], start)) })
+		wg.Go(func() { r.addResult(r.send(ctx, &requests[i], start)) })
 	}
-	group.Wait()
+	wg.Wait()
 	return r.results
 }
 
@@ -96,16 +96,16 @@
 	}
 }
 
-func (r *Runner) add(one Result) {
+func (r *Runner) addResult(result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.results = append(r.results, one)
+	r.results = append(r.results, result)
 }
 
-// one sends a request, as a caller would: by the entry list, to the next host
-// when one refuses or is not reached, within the request's deadline.
-func (r *Runner) one(ctx context.Context, s *shot, start time.Time) Result {
-	intended := start.Add(s.at)
+// send sends a request as a caller would: to a host of the entry list, and to the next host
+// when one rejects it or is unreachable, within the request's deadline.
+func (r *Runner) send(ctx context.Context, s *plannedRequest, start time.Time) Result {
+	intended := start.Add(s.offset)
 	deadline := intended.Add(s.deadline)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -114,11 +114,11 @@
 	if s.key != "" {
 		out.Ref = s.ref
 	}
-	for try := range mostTries {
+	for try := range maxTries {
 		out.Tries = try + 1
-		address := r.host(ctx, s, region, try)
-		again := r.attempt(ctx, s, address, intended, &out)
-		if !again || ctx.Err() != nil {
+		address := r.chooseHost(ctx, s, region, try)
+		retry := r.attempt(ctx, s, address, intended, &out)
+		if !retry || ctx.Err() != nil {
 			break
 		}
 	}
@@ -129,13 +129,14 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// host returns the host to try: from the entry list, or the bootstrap address.
-func (r *Runner) host(ctx context.Context, s *shot, region Region, try int) string {
+// chooseHost returns the address of the next host to try: one of the entry list, or the
+// bootstrap address if there is no list.
+func (r *Runner) chooseHost(ctx context.Context, s *plannedRequest, region Region, try int) string {
 	r.mu.Lock()
 	known := r.lists[s.client]
 	r.mu.Unlock()
-	if time.Now().After(known.until) || try > 0 {
-		if fresh, err := r.ask(ctx, s, region, known); err == nil {
+	if time.Now().After(known.expires) || try > 0 {
+		if fresh, err := r.refreshEntryList(ctx, s, region, known); err == nil {
 			known = fresh
 		}
 	}
@@ -145,18 +146,19 @@
 	return known.entries[try%len(known.entries)].Address
 }
 
-// ask gets a new entry list from a host of the old one, or the bootstrap address.
-func (r *Runner) ask(ctx context.Context, s *shot, region Region, old entryList) (entryList, error) {
-	ctx, cancel := context.WithTimeout(ctx, listLimit)
+// refreshEntryList fetches a new entry list from the bootstrap address or from a host of the
+// old list.
+func (r *Runner) refreshEntryList(ctx context.Context, s *plannedRequest, region Region, old entryList) (entryList, error) {
+	ctx, cancel := context.WithTimeout(ctx, entryListTimeout)
 	defer cancel()
 	sources := []string{region.Entry}
 	for _, e := range old.entries {
 		sources = append(sources, e.Address)
 	}
-	err := errors.New("no host to ask")
+	err := errors.New("no host to fetch the entry list from")
 	for _, address := range sources {
 		var list entryList
-		if list, err = r.askOne(ctx, s, address); err == nil {
+		if list, err = r.fetchEntryList(ctx, s, address); err == nil {
 			r.mu.Lock()
 			r.lists[s.client] = list
 			r.mu.Unlock()
@@ -166,7 +168,7 @@
 	return old, err
 }
 
-func (r *Runner) askOne(ctx context.Context, s *shot, address string) (entryList, error) {
+func (r *Runner) fetchEntryList(ctx context.Context, s *plannedRequest, address string) (entryList, error) {
 	var list entryList
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/entry", nil)
 	if err != nil {
@@ -178,18 +180,18 @@
 		return list, fmt.Errorf("entry list: %w", err)
 	}
 	defer resp.Body.Close()
-	var answer wheelgauge.EntryList
-	if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil || resp.StatusCode != http.StatusOK {
+	var body wheelgauge.EntryList
+	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil || resp.StatusCode != http.StatusOK {
 		return list, fmt.Errorf("entry list: status %d", resp.StatusCode)
 	}
-	list.entries = answer.Entries
-	list.until = time.Now().Add(time.Duration(answer.TTLMS) * time.Millisecond)
+	list.entries = body.Entries
+	list.expires = time.Now().Add(time.Duration(body.TTLMS) * time.Millisecond)
 	return list, nil
 }
 
-// attempt sends a request once; true asks for another try.
-func (r *Runner) attempt(ctx context.Context, s *shot, address string, intended time.Time, out *Result) bool {
-	req, err := r.request(ctx, s, address)
+// attempt sends a request once. It reports whether the request should be retried.
+func (r *Runner) attempt(ctx context.Context, s *plannedRequest, address string, intended time.Time, out *Result) bool {
+	req, err := r.newRequest(ctx, s, address)
 	if err != nil {
 		out.Reason = err.Error()
 		return false
@@ -197,31 +199,32 @@
 	resp, err := r.http.Do(req)
 	if err != nil {
 		out.Reason, out.Outcome = "connection", string(wheelgauge.OutcomeUnknown)
-		// A call with a key may be sent again: the claim keeps it from running twice.
+		// A call with an idempotency key may be retried: its claim prevents a second run.
 		return !errors.Is(err, context.DeadlineExceeded)
 	}
 	defer resp.Body.Close()
-	out.Served = resp.Header.Get(wheelgauge.HeaderRegion)
+	out.ServedRegion = resp.Header.Get(wheelgauge.HeaderRegion)
 	if resp.StatusCode != http.StatusOK {
-		return refused(resp, out)
+		return recordError(resp, out)
 	}
 	out.Reason, out.Outcome = "", string(wheelgauge.OutcomeRan)
-	if s.tokens > 0 {
+	if s.answerTokens > 0 {
 		return r.readStream(resp.Body, s, intended, out)
 	}
 	return r.readReceipt(resp.Body, s, out)
 }
 
-// refused reads an error answer and tells whether another host may be asked.
-func refused(resp *http.Response, out *Result) bool {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, errorLimit))
-	fault := new(wheelgauge.Error)
-	if err != nil || json.Unmarshal(body, fault) != nil {
-		out.Reason, out.Outcome = "unreadable error", string(wheelgauge.OutcomeUnknown)
+// recordError reads an error response. It reports whether the request may be retried at
+// another host.
+func recordError(resp *http.Response, out *Result) bool {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
+	e := new(wheelgauge.Error)
+	if err != nil || json.Unmarshal(body, e) != nil {
+		out.Reason, out.Outcome = "error response cannot be decoded", string(wheelgauge.OutcomeUnknown)
 		return true
 	}
-	out.Reason, out.Outcome = string(fault.Reason()), string(fault.Outcome())
-	switch fault.Reason() {
+	out.Reason, out.Outcome = string(e.Reason()), string(e.Outcome())
+	switch e.Reason() {
 	case wheelgauge.ReasonDraining, wheelgauge.ReasonResidency, wheelgauge.ReasonNoConfiguration, wheelgauge.ReasonClaimStore, wheelgauge.ReasonClaimHeld, wheelgauge.ReasonServerFailed:
 		return true
 	default:
@@ -229,7 +232,7 @@
 	}
 }
 
-func (r *Runner) request(ctx context.Context, s *shot, address string) (*http.Request, error) {
+func (r *Runner) newRequest(ctx context.Context, s *plannedRequest, address string) (*http.Request, error) {
 	method, path, body := http.MethodPost, "/v1/chat/completions", []byte(nil)
 	switch s.kind {
 	case kindStock, kindTariff:
@@ -238,16 +241,16 @@
 		path = "/s/book/"
 		body = fmt.Appendf(nil, `{"ref":%q}`, s.ref)
 	default:
-		body = fmt.Appendf(nil, `{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, modelOf(s.kind), s.tokens, s.prompt)
+		body = fmt.Appendf(nil, `{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, modelOf(s.kind), s.answerTokens, s.prompt)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, fmt.Errorf("make request: %w", err)
+		return nil, fmt.Errorf("create request: %w", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+CredentialOf(s.client))
 	req.Header.Set("Content-Type", "application/json")
-	if limit, ok := ctx.Deadline(); ok {
-		req.Header.Set(wheelgauge.HeaderDeadline, strconv.FormatInt(max(1, time.Until(limit).Milliseconds()), 10))
+	if deadline, ok := ctx.Deadline(); ok {
+		req.Header.Set(wheelgauge.HeaderDeadline, strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10))
 	}
 	if s.key != "" {
 		req.Header.Set(wheelgauge.HeaderIdempotency, s.key)
@@ -256,7 +259,7 @@
 	return req, nil
 }
 
-// modelOf returns the model that answers a kind of request.
+// modelOf returns the model that serves a kind of request.
 func modelOf(kind string) string {
 	switch kind {
 	case kindPlan, kindReview:
@@ -266,8 +269,8 @@
 	}
 }
 
-// chunkMessage is what is read of an event of a stream.
-type chunkMessage struct {
+// streamEvent holds the fields of a stream event that are checked.
+type streamEvent struct {
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
@@ -275,8 +278,9 @@
 	} `json:"choices"`
 }
 
-// readStream checks a stream against what the engines answer to the prompt.
-func (r *Runner) readStream(body io.Reader, s *shot, intended time.Time, out *Result) bool {
+// readStream reads a stream and compares it with the tokens that the fake engines generate
+// for the prompt.
+func (r *Runner) readStream(body io.Reader, s *plannedRequest, intended time.Time, out *Result) bool {
 	var text strings.Builder
 	last := time.Time{}
 	complete := false
@@ -290,13 +294,13 @@
 			complete = true
 			break
 		}
-		var c chunkMessage
+		var c streamEvent
 		if json.Unmarshal([]byte(data), &c) != nil || len(c.Choices) == 0 {
-			break // the error event of a broken stream
+			break // the error event that ends a broken stream
 		}
 		now := time.Now()
 		if last.IsZero() {
-			out.First = milliseconds(now.Sub(intended))
+			out.FirstToken = milliseconds(now.Sub(intended))
 		} else {
 			out.Gaps = append(out.Gaps, milliseconds(now.Sub(last)))
 		}
@@ -304,40 +308,40 @@
 		out.Tokens++
 		text.WriteString(c.Choices[0].Delta.Content)
 	}
-	check(s, text.String(), complete, out)
+	checkStream(s, text.String(), complete, out)
 	return false
 }
 
-func check(s *shot, text string, complete bool, out *Result) {
-	want := script.Answer(s.prompt, s.tokens)
+func checkStream(s *plannedRequest, text string, complete bool, out *Result) {
+	want := script.Answer(s.prompt, s.answerTokens)
 	switch {
 	case !strings.HasPrefix(want, text):
-		out.Wrong = "not the answer to this request"
+		out.Wrong = "response does not belong to this request"
 	case complete && text != want:
-		out.Wrong = "cut short but called complete"
+		out.Wrong = "response truncated but marked as complete"
 	case !complete:
 		out.Reason = string(wheelgauge.ReasonBrokenStream)
 	}
 }
 
-// receiptMessage is the answer of the service stand-in.
-type receiptMessage struct {
+// receipt is the response of the fake service.
+type receipt struct {
 	Ref       string `json:"ref"`
 	Execution int    `json:"execution"`
 }
 
-func (r *Runner) readReceipt(body io.Reader, s *shot, out *Result) bool {
-	var got receiptMessage
+func (r *Runner) readReceipt(body io.Reader, s *plannedRequest, out *Result) bool {
+	var got receipt
 	if err := json.NewDecoder(body).Decode(&got); err != nil {
 		out.Reason = "cut"
 		return true
 	}
-	out.First = 0
+	out.FirstToken = 0
 	if got.Ref != s.ref {
-		out.Wrong = "not the answer to this request"
+		out.Wrong = "response does not belong to this request"
 	}
 	if got.Execution > 1 {
-		out.Wrong = "a call that is not repeatable ran twice"
+		out.Wrong = "non-repeatable call ran more than once"
 	}
 	return false
 }
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -1,5 +1,5 @@
-// Package load sends the users' mixes of requests in open loop: arrival times
-// are fixed beforehand, and latency counts from the intended start.
+// Package load generates the request mixes of users in an open loop: arrival times are
+// fixed in advance, and latency is measured from the intended start.
 package load
 
 import (
@@ -29,58 +29,58 @@
 	kindPayment = "payment"
 )
 
-// Scenario is what a run sends.
+// Scenario describes the requests of a run.
 type Scenario struct {
 	Mix      string
 	Duration time.Duration
-	// Rate is requests a second over all regions, on average over the day.
+	// Rate is the average number of requests per second over all regions.
 	Rate float64
-	// Peak is how far the daily peak rises over the average, 0 to 1; the peaks
-	// of the regions are shifted evenly over the run, which stands for one day.
+	// Peak is the height of the daily peak above the average, as a fraction of it, 0 to 1.
+	// The peaks of the regions are spread evenly over the run, which simulates one day.
 	Peak float64
 	Seed uint64
-	// Regions and their bootstrap addresses, prices of 1,000 tokens.
+	// Regions are those that callers send requests from.
 	Regions []Region
-	// Clients is the number of clients of each region.
+	// Clients is the number of clients in each region.
 	Clients int
-	// Flood multiplies the requests of the first client of each region; 0 means 1.
+	// Flood multiplies the request rate of the first client of each region; 0 means 1.
 	Flood float64
-	// LinkCost is what one answer from another region costs besides its tokens.
+	// LinkCost is the cost of one response from another region in addition to its tokens.
 	LinkCost float64
-	// Scale multiplies the lengths of prompts and answers; 0 means 1.
-	Scale float64
+	// LengthFactor multiplies the lengths of prompts and responses; 0 means 1.
+	LengthFactor float64
 }
 
-// Region is where callers are.
+// Region is a region of callers: its bootstrap address and its price of 1,000 tokens.
 type Region struct {
 	Name  string
 	Entry string
 	Price float64
 }
 
-// shot is one request, planned beforehand.
-type shot struct {
-	at       time.Duration
-	kind     string
-	region   int
-	client   string
-	prompt   string
-	tokens   int
-	ref      string
-	key      string
-	deadline time.Duration
+// plannedRequest is one request of a run, fixed in advance.
+type plannedRequest struct {
+	offset       time.Duration
+	kind         string
+	region       int
+	client       string
+	prompt       string
+	answerTokens int
+	ref          string
+	key          string
+	deadline     time.Duration
 }
 
-// share is one kind's part of a mix.
-type share struct {
-	kind     string
-	part     float64
-	tokens   int
-	chars    int
-	deadline time.Duration
+// mixEntry describes the requests of one kind in a mix and their fraction of it.
+type mixEntry struct {
+	kind             string
+	fraction         float64
+	meanAnswerTokens int
+	promptChars      int
+	deadline         time.Duration
 }
 
-var mixes = map[string][]share{
+var mixes = map[string][]mixEntry{
 	MixDispatch: {
 		{kindPlan, 0.10, 160, 3200, 30 * time.Second},
 		{kindCall, 0.45, 32, 800, 8 * time.Second},
@@ -98,57 +98,57 @@
 // ClientName names a client of a region; its credential is CredentialOf it.
 func ClientName(region string, i int) string { return fmt.Sprintf("%s-client-%d", region, i) }
 
-// CredentialOf returns the credential of a client in the load's directory.
+// CredentialOf returns the credential of a client in the directory that the load uses.
 func CredentialOf(client string) string { return "credential-of-" + client }
 
-// plan fixes all requests of a run, by the seed alone.
-func (s *Scenario) plan() []shot {
+// plan returns all requests of a run; they depend only on the scenario and its seed.
+func (s *Scenario) plan() []plannedRequest {
 	rnd := rand.New(rand.NewPCG(s.Seed, 1))
-	var out []shot
-	highest := s.Rate * (1 + s.Peak)
+	var out []plannedRequest
+	peakRate := s.Rate * (1 + s.Peak)
 	for at := 0.0; ; {
-		at += rnd.ExpFloat64() / highest
+		at += rnd.ExpFloat64() / peakRate
 		if at >= s.Duration.Seconds() {
 			return out
 		}
 		region := rnd.IntN(len(s.Regions))
-		if rnd.Float64()*(1+s.Peak) > s.demand(region, at) {
+		if rnd.Float64()*(1+s.Peak) > s.relativeDemand(region, at) {
 			continue
 		}
-		out = append(out, s.shot(rnd, region, time.Duration(at*float64(time.Second)), len(out)))
+		out = append(out, s.planRequest(rnd, region, time.Duration(at*float64(time.Second)), len(out)))
 	}
 }
 
-// demand is a region's demand at a time, 1 on average.
-func (s *Scenario) demand(region int, at float64) float64 {
+// relativeDemand returns a region's demand at a time in seconds, relative to its average.
+func (s *Scenario) relativeDemand(region int, at float64) float64 {
 	phase := 2 * math.Pi * (at/s.Duration.Seconds() + float64(region)/float64(len(s.Regions)))
 	return 1 + s.Peak*math.Sin(phase)
 }
 
-func (s *Scenario) shot(rnd *rand.Rand, region int, at time.Duration, number int) shot {
+func (s *Scenario) planRequest(rnd *rand.Rand, region int, at time.Duration, number int) plannedRequest {
 	name := s.Regions[region].Name
-	one := shot{at: at, region: region, client: ClientName(name, s.client(rnd))}
-	kind := s.choose(rnd)
-	one.kind, one.deadline = kind.kind, kind.deadline
-	one.ref = fmt.Sprintf("%s-%d-%d", kind.kind, s.Seed, number)
-	if kind.tokens > 0 {
-		scale := s.Scale
+	request := plannedRequest{offset: at, region: region, client: ClientName(name, s.chooseClient(rnd))}
+	kind := s.chooseKind(rnd)
+	request.kind, request.deadline = kind.kind, kind.deadline
+	request.ref = fmt.Sprintf("%s-%d-%d", kind.kind, s.Seed, number)
+	if kind.meanAnswerTokens > 0 {
+		scale := s.LengthFactor
 		if scale == 0 {
 			scale = 1
 		}
-		one.tokens = max(1, int(scale*float64(kind.tokens)*(0.5+rnd.Float64())))
-		one.prompt = s.prompt(rnd, one, int(scale*float64(kind.chars)), number)
-		return one
+		request.answerTokens = max(1, int(scale*float64(kind.meanAnswerTokens)*(0.5+rnd.Float64())))
+		request.prompt = s.makePrompt(rnd, request, int(scale*float64(kind.promptChars)), number)
+		return request
 	}
-	if once(kind.kind) {
-		one.key = uuid.Must(uuid.NewV7()).String()
+	if isNotRepeatable(kind.kind) {
+		request.key = uuid.Must(uuid.NewV7()).String()
 	}
-	return one
+	return request
 }
 
-func once(kind string) bool { return kind == kindBooking || kind == kindPayment }
+func isNotRepeatable(kind string) bool { return kind == kindBooking || kind == kindPayment }
 
-func (s *Scenario) client(rnd *rand.Rand) int {
+func (s *Scenario) chooseClient(rnd *rand.Rand) int {
 	flood := math.Max(1, s.Flood)
 	x := rnd.Float64() * (float64(s.Clients-1) + flood)
 	if x < flood {
@@ -157,22 +157,22 @@
 	return min(s.Clients-1, 1+int(x-flood))
 }
 
-func (s *Scenario) choose(rnd *rand.Rand) share {
+func (s *Scenario) chooseKind(rnd *rand.Rand) mixEntry {
 	x := rnd.Float64()
 	mix := mixes[s.Mix]
 	for _, k := range mix {
-		if x < k.part {
+		if x < k.fraction {
 			return k
 		}
-		x -= k.part
+		x -= k.fraction
 	}
 	return mix[len(mix)-1]
 }
 
-// prompt begins with what requests of a client and kind share, and one of a few
-// histories, as caches know them; its end is its own.
-func (s *Scenario) prompt(rnd *rand.Rand, one shot, chars, number int) string {
-	head := fmt.Sprintf("[%s %s history %d] ", one.kind, one.client, rnd.IntN(4))
+// makePrompt returns a prompt whose first part is shared by requests of the same client, kind
+// and history, so that prefix caches can serve it; the rest is unique.
+func (s *Scenario) makePrompt(rnd *rand.Rand, request plannedRequest, chars, number int) string {
+	head := fmt.Sprintf("[%s %s history %d] ", request.kind, request.client, rnd.IntN(4))
 	fill := rand.New(rand.NewPCG(uint64(len(head))+uint64(chars), 5))
 	shared := []byte(head)
 	for len(shared) < chars*3/4 {
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging builds the loggers of all programs: short sentences, one
-// fixed prefix per part, text or JSON.
+// Package logging creates the loggers of all programs. Log messages are short sentences;
+// each component has a fixed prefix.
 package logging
 
 import (
@@ -25,9 +25,9 @@
 	LevelError = "error"
 )
 
-// New returns a logger that writes to w. prefix names the part.
+// New returns a logger that writes to w. prefix names the component.
 func New(w io.Writer, format, level, prefix string) (logr.Logger, error) {
-	at, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return logr.Logger{}, fmt.Errorf("log level: %w", err)
 	}
@@ -37,6 +37,6 @@
 	if format == FormatText {
 		encoder = zapcore.NewConsoleEncoder(config)
 	}
-	core := zapcore.NewCore(encoder, zapcore.Lock(zapcore.AddSync(w)), at)
+	core := zapcore.NewCore(encoder, zapcore.Lock(zapcore.AddSync(w)), minLevel)
 	return zapr.NewLogger(zap.New(core)).WithName(prefix), nil
 }
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter holds the metrics of a process: counters, and histograms for
-// each client and class, in milliseconds.
+// Package meter holds the metrics of a process: counters, gauges, and histograms of
+// latencies by client, class and workspace, in milliseconds.
 package meter
 
 import (
@@ -16,28 +16,29 @@
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
-	// mostClients bounds the histograms; further clients share one.
-	mostClients = 2000
-	// mostWorkspaces bounds those told apart, the first that come: 64 histograms of about
-	// 17 KB are 1.1 MB. The largest come first more likely than not.
-	mostWorkspaces = 64
-	otherName      = "other"
-	// Counters of calls between processes, by kind.
+	// maxClients bounds the clients with a histogram of their own; further clients share one.
+	maxClients = 2000
+	// maxWorkspaces bounds the workspaces with metrics of their own, which are the first seen:
+	// 64 histograms of about 17 KB take 1.1 MB. The largest workspaces are likely to be
+	// among the first.
+	maxWorkspaces = 64
+	otherName     = "other"
+	// Prefixes of the counters of calls between processes, by kind.
 	callsPrefix    = "calls."
 	sentPrefix     = "bytes.sent."
 	receivedPrefix = "bytes.received."
 )
 
-// Meter is safe for concurrent use.
+// Meter is a registry of metrics. It is safe for concurrent use.
 type Meter struct {
 	registry metrics.Registry
 	mu       sync.Mutex
 	clients  map[string]bool
-	// workspaces are those told apart.
+	// workspaces are those with metrics of their own; clients likewise.
 	workspaces map[string]bool
 }
 
-// New returns an empty meter.
+// New returns a meter without metrics.
 func New() *Meter {
 	return &Meter{registry: metrics.NewRegistry(), clients: map[string]bool{}, workspaces: map[string]bool{}}
 }
@@ -50,22 +51,22 @@
 	metrics.GetOrRegisterCounter(name, m.registry).Inc(n)
 }
 
-// Call counts a call between processes by its path: how often, and the bytes of both
-// bodies, heads left out.
+// Call counts a call between processes under its path: the call, and the bytes of both
+// bodies without headers.
 func (m *Meter) Call(path string, sent, received int) {
-	kind := kindOf(path)
+	kind := callKind(path)
 	m.Count(callsPrefix + kind)
 	m.Add(sentPrefix+kind, int64(sent))
 	m.Add(receivedPrefix+kind, int64(received))
 }
 
-// kindOf is the last part of a path without its version.
-func kindOf(path string) string {
+// callKind returns the path of a call without its version, with dots for slashes.
+func callKind(path string) string {
 	kind := strings.ReplaceAll(path, "/v1/", "/")
 	return strings.ReplaceAll(strings.Trim(kind, "/"), "/", ".")
 }
 
-// Bytes returns what was sent and received by kind of call, as text of one line.
+// Bytes returns the bytes sent and received by kind of call, as one line of text.
 func (m *Meter) Bytes() string {
 	var out []string
 	m.registry.Each(func(name string, v any) {
@@ -85,14 +86,14 @@
 
 // Observe adds a duration to the histograms of a client and of its class.
 func (m *Meter) Observe(name, client, class string, d time.Duration) {
-	m.histogram(name + ".client." + m.apart(m.clients, client, mostClients)).Update(d.Milliseconds())
+	m.histogram(name + ".client." + m.label(m.clients, client, maxClients)).Update(d.Milliseconds())
 	m.histogram(name + ".class." + class).Update(d.Milliseconds())
 }
 
-// Workspace tells of a request of a workspace: whether it was answered with success, and
-// then in time, how long that took, and whether the workspace's cap refused it.
+// Workspace counts a request of a workspace: whether it succeeded, whether it did so within
+// its deadline and how long it took, and whether the workspace's cap rejected it.
 func (m *Meter) Workspace(name string, served, inTime, capped bool, took time.Duration) {
-	name = m.apart(m.workspaces, name, mostWorkspaces)
+	name = m.label(m.workspaces, name, maxWorkspaces)
 	m.Count("workspace.arrived." + name)
 	if served {
 		m.histogram("workspace.ms." + name).Update(took.Milliseconds())
@@ -105,28 +106,28 @@
 	}
 }
 
-// apart returns a name that is told apart, the first most of them that come, or the one
-// that all others share.
-func (m *Meter) apart(told map[string]bool, name string, most int) string {
+// label returns name if it is one of the first limit names seen, else the name that all
+// others share.
+func (m *Meter) label(seen map[string]bool, name string, limit int) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !told[name] && len(told) >= most {
+	if !seen[name] && len(seen) >= limit {
 		return otherName
 	}
-	told[name] = true
+	seen[name] = true
 	return name
 }
 
 func (m *Meter) histogram(name string) metrics.Histogram {
-	made := func() metrics.Histogram {
+	newHistogram := func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	}
-	h, ok := m.registry.GetOrRegister(name, made).(metrics.Histogram)
+	h, ok := m.registry.GetOrRegister(name, newHistogram).(metrics.Histogram)
 	if !ok {
 		return metrics.NilHistogram{}
 	}
 	return h
 }
 
-// WriteJSON writes all metrics.
+// WriteJSON writes all metrics to w as one JSON object.
 func (m *Meter) WriteJSON(w io.Writer) { metrics.WriteJSONOnce(m.registry, w) }
--- a/meter/workspace_test.go
+++ b/meter/workspace_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// However many workspaces there are, their metrics are bounded.
+// The number of metrics is bounded, however many workspaces there are.
 func TestWorkspacesAreBounded(t *testing.T) {
 	m := New()
 	for i := range 890 {
@@ -17,12 +17,12 @@
 	var out bytes.Buffer
 	m.WriteJSON(&out)
 	text := out.String()
-	if n := strings.Count(text, `"workspace.ms.`); n != mostWorkspaces+1 {
-		t.Errorf("%d histograms of workspaces, want %d and a common one", n, mostWorkspaces)
+	if n := strings.Count(text, `"workspace.ms.`); n != maxWorkspaces+1 {
+		t.Errorf("got %d histograms of workspaces, want %d and a shared one", n, maxWorkspaces)
 	}
 	for _, name := range []string{"workspace.arrived.w0", "workspace.in_time.w2", "workspace.capped.w3", "workspace.arrived.other"} {
 		if !strings.Contains(text, `"`+name+`"`) {
-			t.Errorf("%s is not there", name)
+			t.Errorf("metric %s is missing", name)
 		}
 	}
 }
--- a/opsclient/client.go
+++ b/opsclient/client.go
@@ -1,4 +1,4 @@
-// Package opsclient is the operators' side of the resource API.
+// Package opsclient is a client of the operators' API of the stores.
 package opsclient
 
 import (
@@ -19,52 +19,53 @@
 )
 
 const (
-	// patience is how long a call is sent again: longer than an election takes.
-	patience   = 15 * time.Second
-	pause      = 250 * time.Millisecond
-	callLimit  = 6 * time.Second
-	waitEvery  = 100 * time.Millisecond
-	changeSize = 8
+	// retryTimeout bounds the retries of a call. It is longer than an election takes.
+	retryTimeout  = 15 * time.Second
+	retryInterval = 250 * time.Millisecond
+	callTimeout   = 6 * time.Second
+	pollInterval  = 100 * time.Millisecond
+	changeIDBytes = 8
 )
 
-// Client talks to any of several stores. A change is sent again under the same
-// change ID until an answer comes, so it is made once.
+// Client sends calls to any of several stores. A change is retried under the same change ID
+// until a store responds, so it is made only once.
 type Client struct {
-	stores []string
-	http   *peerhttp.Client
-	at     int
+	stores  []string
+	http    *peerhttp.Client
+	current int
 }
 
-// New returns a client of the stores' operator addresses. secure may be nil.
+// New returns a client of stores, which are their operator addresses. Without secure, which
+// may be nil, it uses plain HTTP.
 func New(stores []string, token string, secure peerhttp.Secure) *Client {
 	return &Client{stores: stores, http: peerhttp.NewClient(peerhttp.NewDialer("", secure), token)}
 }
 
-// NewChangeID returns a new change ID.
+// NewChangeID returns a random change ID.
 func NewChangeID() string {
-	var b [changeSize]byte
-	_, _ = rand.Read(b[:]) // never fails: it ends the process instead
+	var b [changeIDBytes]byte
+	_, _ = rand.Read(b[:]) // never returns an error: it crashes the process instead
 	return hex.EncodeToString(b[:])
 }
 
-// call tries the stores in turn. Answers that no other store would change are final.
+// call tries the stores in turn. An error that any other store would return, too, is final.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	started := time.Now()
 	for {
-		limit, cancel := context.WithTimeout(ctx, callLimit)
-		err := c.http.Call(limit, method, c.stores[c.at%len(c.stores)], path, in, out)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		err := c.http.Call(callCtx, method, c.stores[c.current%len(c.stores)], path, in, out)
 		cancel()
-		if err == nil || final(err) || ctx.Err() != nil || time.Since(started) > patience {
+		if err == nil || isFinal(err) || ctx.Err() != nil || time.Since(started) > retryTimeout {
 			return err
 		}
-		c.at++
-		sleep(ctx, pause)
+		c.current++
+		sleep(ctx, retryInterval)
 	}
 }
 
-func final(err error) bool {
-	fault, ok := errors.AsType[*wheelgauge.Error](err)
-	return ok && fault.Status() < http.StatusInternalServerError
+func isFinal(err error) bool {
+	e, ok := errors.AsType[*wheelgauge.Error](err)
+	return ok && e.Status() < http.StatusInternalServerError
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -101,7 +102,7 @@
 	return out, err
 }
 
-// Change makes a change; its ID is made up when it is empty.
+// Change makes a change. It generates the change ID when that is empty.
 func (c *Client) Change(ctx context.Context, change wheelgauge.Change, dryRun bool) (wheelgauge.ChangeResult, error) {
 	if change.ID == "" {
 		change.ID = NewChangeID()
@@ -122,7 +123,8 @@
 	return out, err
 }
 
-// Watch returns the events after a generation, or a bookmark after wait.
+// Watch returns the events after a generation, or no events but the current generation
+// after wait.
 func (c *Client) Watch(ctx context.Context, from uint64, wait time.Duration) (wheelgauge.WatchAnswer, error) {
 	var out wheelgauge.WatchAnswer
 	path := fmt.Sprintf("%s?from=%d&wait_ms=%d", confwatch.PathWatch, from, wait.Milliseconds())
@@ -137,44 +139,44 @@
 	return out, err
 }
 
-// RemoveStore takes a store out of the group.
+// RemoveStore removes a store from the group.
 func (c *Client) RemoveStore(ctx context.Context, name string) error {
 	return c.call(ctx, http.MethodDelete, storeapi.PathStores+url.PathEscape(name), nil, nil)
 }
 
-// Lagging names the hosts, of those configured, that do not obey a generation yet.
-func Lagging(s storeapi.Status, hosts []wheelgauge.Resource, generation uint64) []string {
-	has := map[string]bool{}
+// LaggingHosts returns the names of configured hosts that have not applied a generation yet.
+func LaggingHosts(s storeapi.Status, hosts []wheelgauge.Resource, generation uint64) []string {
+	applied := map[string]bool{}
 	for _, h := range s.Hosts {
-		has[h.Host] = h.Generation >= generation
+		applied[h.Host] = h.Generation >= generation
 	}
 	var out []string
 	for _, h := range hosts {
-		if !has[h.Name] {
+		if !applied[h.Name] {
 			out = append(out, h.Name)
 		}
 	}
 	return out
 }
 
-// WaitInForce returns once every configured host obeys a generation and no
-// residency rule of it is pending, or names what is missing when ctx ends.
+// WaitInForce returns once every configured host has applied a generation and none of its
+// residency rules is pending. When ctx ends before, its error lists what is missing.
 func (c *Client) WaitInForce(ctx context.Context, generation uint64) error {
-	missing := []string{"no store answered"}
+	missing := []string{"no store responded"}
 	for ctx.Err() == nil {
-		got, err := c.missing(ctx, generation)
+		got, err := c.pendingAt(ctx, generation)
 		if err == nil && len(got) == 0 {
 			return nil
 		}
 		if err == nil {
 			missing = got
 		}
-		sleep(ctx, waitEvery)
+		sleep(ctx, pollInterval)
 	}
-	return fmt.Errorf("generation %d is not in force at %v: %w", generation, missing, ctx.Err())
+	return fmt.Errorf("generation %d is not applied yet at %v: %w", generation, missing, ctx.Err())
 }
 
-func (c *Client) missing(ctx context.Context, generation uint64) ([]string, error) {
+func (c *Client) pendingAt(ctx context.Context, generation uint64) ([]string, error) {
 	s, err := c.Status(ctx)
 	if err != nil {
 		return nil, err
@@ -183,10 +185,10 @@
 	if err != nil {
 		return nil, err
 	}
-	out := Lagging(s, hosts.Resources, generation)
+	out := LaggingHosts(s, hosts.Resources, generation)
 	for _, p := range s.Pending {
 		if p.Generation <= generation {
-			out = append(out, fmt.Sprintf("rule %s waits for %v", p.Rule, p.Waiting))
+			out = append(out, fmt.Sprintf("rule %s is waiting for %v", p.Rule, p.Waiting))
 		}
 	}
 	return out, nil
--- a/opsclient/rollouts.go
+++ b/opsclient/rollouts.go
@@ -10,8 +10,8 @@
 	"wheelgauge/native"
 )
 
-// StartRollout begins to move a service's requests to another version, at stores of the
-// routes mode. An order that was taken before is no error.
+// StartRollout starts to shift a service's requests to another version, in the routes mode.
+// An order that was accepted before, and whose rollout is in progress, is no error.
 func (c *Client) StartRollout(ctx context.Context, order wheelgauge.RolloutOrder) error {
 	err := c.call(ctx, http.MethodPut, rolloutPath(order.Service), order, nil)
 	if err != nil && wheelgauge.AsError(err).Reason() != wheelgauge.ReasonUnderWay {
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// Rollout returns the last rollout of a service.
+// Rollout returns the latest rollout of a service.
 func (c *Client) Rollout(ctx context.Context, service string) (wheelgauge.Rollout, error) {
 	var r wheelgauge.Rollout
 	if err := c.call(ctx, http.MethodGet, rolloutPath(service), nil, &r); err != nil {
@@ -29,7 +29,7 @@
 	return r, nil
 }
 
-// AbortRollout takes a rollout back that is under way.
+// AbortRollout aborts a rollout in progress; its requests go back to the versions before.
 func (c *Client) AbortRollout(ctx context.Context, service string) error {
 	if err := c.call(ctx, http.MethodDelete, rolloutPath(service), nil, nil); err != nil {
 		return fmt.Errorf("abort rollout of %s: %w", service, err)
--- a/program/program.go
+++ b/program/program.go
@@ -1,5 +1,5 @@
-// Package program is what all daemons share: flags, checked settings, a logger
-// and a clean stop on SIGTERM or SIGINT.
+// Package program holds the code common to all daemons: flags, validated settings, a
+// logger and a graceful shutdown on SIGTERM or SIGINT.
 package program
 
 import (
@@ -20,29 +20,29 @@
 // Program describes a daemon.
 type Program struct {
 	Name string
-	// Prefix begins each log line; the name when empty.
+	// Prefix begins each log line; it defaults to Name.
 	Prefix  string
 	Short   string
 	Long    string
 	Example string
 	Keys    []settings.Key
-	// Check finds faults that one key alone does not show; may be nil.
-	Check func(v *settings.Values) error
-	// Run serves until ctx ends, then stops cleanly.
+	// Validate checks settings that depend on each other; may be nil.
+	Validate func(v *settings.Values) error
+	// Run serves until ctx is done, then shuts down gracefully.
 	Run func(ctx context.Context, v *settings.Values, log logr.Logger) error
-	// More are further subcommands.
-	More []*cobra.Command
+	// Subcommands are added to the program's command.
+	Subcommands []*cobra.Command
 }
 
-// logKeys are the settings of every daemon's log.
+// logKeys returns the log settings of every daemon.
 func logKeys() []settings.Key {
 	return []settings.Key{
-		{Section: "log", Name: "format", Type: settings.Choice, Choices: []string{logging.FormatText, logging.FormatJSON}, Default: logging.FormatText, Help: "form of log lines"},
-		{Section: "log", Name: "level", Type: settings.Choice, Choices: []string{logging.LevelDebug, logging.LevelInfo, logging.LevelError}, Default: logging.LevelInfo, Help: "least level that is written"},
+		{Section: "log", Name: "format", Type: settings.Choice, Choices: []string{logging.FormatText, logging.FormatJSON}, Default: logging.FormatText, Help: "format of log lines"},
+		{Section: "log", Name: "level", Type: settings.Choice, Choices: []string{logging.LevelDebug, logging.LevelInfo, logging.LevelError}, Default: logging.LevelInfo, Help: "minimum level of log lines"},
 	}
 }
 
-// Main runs the program and ends the process.
+// Main runs the program and exits with status 1 if it fails.
 func Main(p Program) {
 	if err := p.Command().Execute(); err != nil {
 		os.Exit(1)
@@ -71,21 +71,21 @@
 		},
 	}
 	c.Flags().StringVarP(&path, "config", "c", p.Name+".ini", "settings file")
-	c.Flags().BoolVar(&check, "check", false, "only check the settings")
-	c.AddCommand(p.More...)
+	c.Flags().BoolVar(&check, "check", false, "only validate the settings")
+	c.AddCommand(p.Subcommands...)
 	return c
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func (p Program) Load(path string) (*settings.Values, error) {
 	v, err := settings.Load(path, append(p.Keys, logKeys()...))
 	if err != nil {
 		return nil, err
 	}
-	if p.Check == nil {
+	if p.Validate == nil {
 		return v, nil
 	}
-	if err := p.Check(v); err != nil {
+	if err := p.Validate(v); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return v, nil
@@ -110,26 +110,26 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
-	go p.reload(ctx, reload, log)
-	if v.Known("listen", "clear") && v.Bool("listen", "clear") {
-		log.Info("Hosts talk in the clear: the network must be closed.")
+	go p.handleReload(ctx, reload, log)
+	if v.Declared("listen", "clear") && v.Bool("listen", "clear") {
+		log.Info("Connections between hosts are unencrypted: the network must be closed.")
 	}
 	err = p.Run(ctx, v, log)
 	if err != nil {
-		log.Error(err, "Program ends.")
+		log.Error(err, "Program failed.")
 	}
 	return err
 }
 
-// reload answers SIGHUP. Settings are read at start; what a changed file says
-// holds from the next one, so a faulty file is told of before that.
-func (p Program) reload(ctx context.Context, signals <-chan os.Signal, log logr.Logger) {
+// handleReload logs on each SIGHUP that a changed settings file takes effect only at the next
+// start, as settings are read at start.
+func (p Program) handleReload(ctx context.Context, signals <-chan os.Signal, log logr.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
-			log.Info("Settings changed; they hold from the next start.")
+			log.Info("Settings are read at start; changes take effect at the next start.")
 		}
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads INI files against a declared list of keys. Every
-// fault is reported by file, section, key and what was expected.
+// Package settings reads INI files and validates them against a declared list of keys.
+// Each error names the file, section, key and what was expected.
 package settings
 
 import (
@@ -14,7 +14,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// Type is the form of a value.
+// Type is the type of a value.
 type Type int
 
 // Types of values.
@@ -29,7 +29,8 @@
 	Choice
 )
 
-// Key declares one setting.
+// Key declares one setting. Min and Max bound numbers, and durations in seconds; a key
+// where both are 0 has no bounds.
 type Key struct {
 	Section  string
 	Name     string
@@ -42,25 +43,25 @@
 	Help     string
 }
 
-// Values holds checked settings.
+// Values holds validated settings.
 type Values struct {
 	values map[string]string
 }
 
-// FaultError is one fault of a settings file.
-type FaultError struct {
-	file     string
-	section  string
-	key      string
-	expected string
+// KeyError reports a missing, invalid or unknown key of a settings file.
+type KeyError struct {
+	file    string
+	section string
+	key     string
+	problem string
 }
 
 // Error implements error.
-func (e *FaultError) Error() string {
-	return fmt.Sprintf("%s: [%s] %s: %s", e.file, e.section, e.key, e.expected)
+func (e *KeyError) Error() string {
+	return fmt.Sprintf("%s: [%s] %s: %s", e.file, e.section, e.key, e.problem)
 }
 
-// Load reads path and checks it against keys. It returns all faults joined.
+// Load reads path and validates it against keys. It returns all errors joined.
 func Load(path string, keys []Key) (*Values, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return Parse(path, data, keys)
 }
 
-// Parse checks the text of an INI file; path is used in faults only.
+// Parse validates the text of an INI file; path is used in errors only.
 func Parse(path string, data []byte, keys []Key) (*Values, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, data)
 	if err != nil {
@@ -77,39 +78,39 @@
 	}
 	known := make(map[string]bool, len(keys))
 	v := &Values{values: make(map[string]string, len(keys))}
-	var faults []error
+	var errs []error
 	for i := range keys {
 		k := &keys[i]
-		known[id(k.Section, k.Name)] = true
-		text, expected := k.read(file)
-		if expected != "" {
-			faults = append(faults, &FaultError{path, k.Section, k.Name, expected})
+		known[keyID(k.Section, k.Name)] = true
+		text, problem := k.read(file)
+		if problem != "" {
+			errs = append(errs, &KeyError{path, k.Section, k.Name, problem})
 			continue
 		}
-		v.values[id(k.Section, k.Name)] = text
+		v.values[keyID(k.Section, k.Name)] = text
 	}
-	faults = append(faults, unknown(path, file, known)...)
-	if len(faults) > 0 {
-		return nil, errors.Join(faults...)
+	errs = append(errs, unknownKeys(path, file, known)...)
+	if len(errs) > 0 {
+		return nil, errors.Join(errs...)
 	}
 	return v, nil
 }
 
-func unknown(path string, file *ini.File, known map[string]bool) []error {
-	var faults []error
+func unknownKeys(path string, file *ini.File, known map[string]bool) []error {
+	var errs []error
 	for _, s := range file.Sections() {
 		for _, k := range s.Keys() {
-			if !known[id(s.Name(), k.Name())] {
-				faults = append(faults, &FaultError{path, s.Name(), k.Name(), "unknown key, expected one of --help"})
+			if !known[keyID(s.Name(), k.Name())] {
+				errs = append(errs, &KeyError{path, s.Name(), k.Name(), "unknown key, see --help for all keys"})
 			}
 		}
 	}
-	return faults
+	return errs
 }
 
-func id(section, name string) string { return section + "\x00" + name }
+func keyID(section, name string) string { return section + "\x00" + name }
 
-func (k *Key) read(file *ini.File) (text, expected string) {
+func (k *Key) read(file *ini.File) (text, problem string) {
 	section, err := file.GetSection(k.Section)
 	if err != nil || !section.HasKey(k.Name) {
 		if k.Required {
@@ -121,13 +122,13 @@
 	if text == "" && !k.Required {
 		return k.Default, ""
 	}
-	if !k.valid(text) {
+	if !k.isValid(text) {
 		return "", fmt.Sprintf("got %q, expected %s", text, k.expected())
 	}
 	return text, ""
 }
 
-func (k *Key) valid(text string) bool {
+func (k *Key) isValid(text string) bool {
 	switch k.Type {
 	case Int:
 		n, err := strconv.ParseInt(text, 10, 64)
@@ -184,7 +185,7 @@
 	case Choice:
 		return "one of " + strings.Join(k.Choices, ", ")
 	default:
-		return "a text"
+		return "a non-empty text"
 	}
 }
 
@@ -195,7 +196,7 @@
 	return "," + bounds + " seconds"
 }
 
-// Usage lists keys, one a line, for --help.
+// Usage returns the list of keys for --help, one per line.
 func Usage(keys []Key) string {
 	var b strings.Builder
 	section := ""
@@ -205,53 +206,53 @@
 			section = k.Section
 			fmt.Fprintf(&b, "  [%s]\n", section)
 		}
-		state := "default " + strconv.Quote(k.Default)
+		presence := "default " + strconv.Quote(k.Default)
 		if k.Required {
-			state = "required"
+			presence = "required"
 		}
-		fmt.Fprintf(&b, "  %-18s %s; %s (%s)\n", k.Name, k.Help, k.expected(), state)
+		fmt.Fprintf(&b, "  %-18s %s; %s (%s)\n", k.Name, k.Help, k.expected(), presence)
 	}
 	return b.String()
 }
 
-// Known tells whether a setting was declared.
-func (v *Values) Known(section, name string) bool {
-	_, ok := v.values[id(section, name)]
+// Declared reports whether the setting is one of the program's keys.
+func (v *Values) Declared(section, name string) bool {
+	_, ok := v.values[keyID(section, name)]
 	return ok
 }
 
-// Text returns a text value.
-func (v *Values) Text(section, name string) string { return v.values[id(section, name)] }
+// Text returns the value of a setting as text; the default if it is not set.
+func (v *Values) Text(section, name string) string { return v.values[keyID(section, name)] }
 
-// Int returns a whole number.
+// Int returns the value of an Int setting.
 func (v *Values) Int(section, name string) int {
 	n, _ := strconv.Atoi(v.Text(section, name))
 	return n
 }
 
-// Float returns a number.
+// Float returns the value of a Float setting.
 func (v *Values) Float(section, name string) float64 {
 	f, _ := strconv.ParseFloat(v.Text(section, name), 64)
 	return f
 }
 
-// Bool returns a truth value.
+// Bool returns the value of a Bool setting.
 func (v *Values) Bool(section, name string) bool {
 	b, _ := strconv.ParseBool(v.Text(section, name))
 	return b
 }
 
-// Duration returns a duration.
+// Duration returns the value of a Duration setting.
 func (v *Values) Duration(section, name string) time.Duration {
 	d, _ := time.ParseDuration(v.Text(section, name))
 	return d
 }
 
-// List returns the values of a comma-separated list.
+// List returns the elements of a List setting, without empty ones.
 func (v *Values) List(section, name string) []string {
 	var out []string
-	for part := range strings.SplitSeq(v.Text(section, name), ",") {
-		if p := strings.TrimSpace(part); p != "" {
+	for element := range strings.SplitSeq(v.Text(section, name), ",") {
+		if p := strings.TrimSpace(element); p != "" {
 			out = append(out, p)
 		}
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -22,8 +22,8 @@
 	// Output: 10.0.0.1:80 500ms 3 <nil>
 }
 
-// TestFaults names file, section, key and what was expected, all at once.
-func TestFaults(t *testing.T) {
+// Errors name the file, section, key and what was expected, and all are reported at once.
+func TestErrors(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
@@ -43,11 +43,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := Parse("x.ini", []byte(tt.text), keys)
 			if err == nil {
-				t.Fatal("no fault was found")
+				t.Fatal("expected an error, got none")
 			}
 			for _, want := range tt.want {
 				if !strings.Contains(err.Error(), want) {
-					t.Errorf("%q does not name %q", err, want)
+					t.Errorf("got error %q, want one that contains %q", err, want)
 				}
 			}
 		})
