--- a/cmd/wheelgauge-gateway/routes.go
+++ b/cmd/wheelgauge-gateway/routes.go
@@ -42,7 +42,7 @@
 	{Section: "retry", Name: "window_seconds", Type: settings.Float, Default: "10", Min: 1, Max: 3600, Help: "length of the window"},
 	{Section: "rollout", Name: "share", Type: settings.Float, Default: "0.1", Max: 1, Help: "fraction of a service's requests that may go to the target version before the rollout's time limit, from all hosts"},
 	{Section: "rollout", Name: "slack", Type: settings.Float, Default: "50", Max: 1e9, Help: "additional requests that may go to the target version, from all hosts"},
-	{Section: "limits", Name: "memory_mb", Type: settings.Int, Default: "0", Max: 1 << 20, Help: "memory limit of the process in MB; 0 means no limit"},
+	{Section: "limits", Name: "memory_mb", Type: settings.Int, Default: "0", Max: 1 << 20, Help: "memory available to the process in MB; 0 means no limit"},
 	{Section: "dialect", Name: "name", Type: settings.Choice, Choices: dialect.Names(), Default: dialect.Native, Help: "protocol of callers, servers and operators"},
 }
 
--- a/cmd/wheelgauge-store/routes.go
+++ b/cmd/wheelgauge-store/routes.go
@@ -44,7 +44,7 @@
 	{Section: "caps", Name: "window_seconds", Type: settings.Float, Default: "8", Min: 1, Max: 3600, Help: "length of the windows in which the requests of workspaces are bounded"},
 	{Section: "caps", Name: "overage", Type: settings.Float, Default: "0.1", Max: 1, Help: "fraction of a cap's rate and burst that may be exceeded in a window; needed as stores do not coordinate on each request"},
 	{Section: "caps", Name: "slack", Type: settings.Float, Default: "0", Max: 1e12, Help: "additional units of the cap that may be used in a window; needed for requests that are large compared with the cap"},
-	{Section: "limits", Name: "memory_mb", Type: settings.Int, Default: "0", Max: 1 << 20, Help: "memory limit of the process in MB; 0 means no limit"},
+	{Section: "limits", Name: "memory_mb", Type: settings.Int, Default: "0", Max: 1 << 20, Help: "memory available to the process in MB; 0 means no limit"},
 	{Section: "dialect", Name: "name", Type: settings.Choice, Choices: dialect.Names(), Default: dialect.Native, Help: "protocol of callers, servers and operators"},
 }
 
--- a/cmd/wheelgaugectl/commands.go
+++ b/cmd/wheelgaugectl/commands.go
@@ -350,7 +350,7 @@
 
 func removeStoreCommand(o *options) *cobra.Command {
 	return &cobra.Command{
-		Use: "remove-store NAME", Short: "Remove a store that will not come back from the group", Args: cobra.ExactArgs(1),
+		Use: "remove-store NAME", Short: "Remove a permanently lost store from the group", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			client, err := o.client()
 			if err != nil {
--- a/load/report.go
+++ b/load/report.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	maxMicros         = 600_000_000
+	maxLatencyMicros  = 600_000_000
 	significantDigits = 3
 )
 
@@ -70,7 +70,7 @@
 }
 
 func newAggregate(name string) *aggregate {
-	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicros, significantDigits) }
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, significantDigits) }
 	return &aggregate{counts: Summary{Name: name}, first: newHistogram(), gap: newHistogram(), total: newHistogram()}
 }
 
@@ -96,7 +96,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, ms float64) {
-	_ = h.RecordValue(min(maxMicros, max(1, int64(ms*1000)))) // clamped, so always in range
+	_ = h.RecordValue(min(maxLatencyMicros, max(1, int64(ms*1000)))) // clamped, so always in range
 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
@@ -155,8 +155,8 @@
 }
 
 func (p *Report) setTotals(all *aggregate, tries, otherRegion int) {
-	line := all.summary()
-	p.Sent, p.Answered, p.Late, p.First, p.Gap = line.Sent, line.Answered, line.Late, line.FirstToken, line.Gap
+	total := all.summary()
+	p.Sent, p.Answered, p.Late, p.First, p.Gap = total.Sent, total.Answered, total.Late, total.FirstToken, total.Gap
 	if p.Sent > 0 {
 		p.Tries = float64(tries) / float64(p.Sent)
 	}
@@ -201,9 +201,9 @@
 		p.Mix, p.Seed, p.Sent, p.Answered, p.Late, 100*p.ShareAway, p.Cost, p.CostPerTokens, p.Tries)
 	printf("kind\tsent\tanswered\taway\tlate\tfirst p50\tp95\tp99\tgap p95\tp99\ttotal p50\tp95\tp99\tp99.9\t\n")
 	for _, group := range [][]Summary{p.Kinds, p.Clients} {
-		for _, l := range group {
-			printf("%s\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f\t\n", l.Name, l.Sent, l.Answered, l.OtherRegion, l.Late,
-				l.FirstToken.P50, l.FirstToken.P95, l.FirstToken.P99, l.Gap.P95, l.Gap.P99, l.Total.P50, l.Total.P95, l.Total.P99, l.Total.P999)
+		for _, s := range group {
+			printf("%s\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f\t\n", s.Name, s.Sent, s.Answered, s.OtherRegion, s.Late,
+				s.FirstToken.P50, s.FirstToken.P95, s.FirstToken.P99, s.Gap.P95, s.Gap.P99, s.Total.P50, s.Total.P95, s.Total.P99, s.Total.P999)
 		}
 	}
 	if len(p.Refused) > 0 {
--- a/load/runner.go
+++ b/load/runner.go
@@ -42,8 +42,8 @@
 	Tries      int       `json:"tries"`
 	Reason     string    `json:"reason,omitempty"`
 	Outcome    string    `json:"outcome,omitempty"`
-	// Wrong says what is wrong with a response that belongs to another request, or that
-	// is truncated but marked as complete.
+	// Wrong says what is wrong with the response: it belongs to another request, is
+	// truncated but marked as complete, or shows that a non-repeatable call ran twice.
 	Wrong string `json:"wrong,omitempty"`
 	Late  bool   `json:"late,omitempty"`
 	// Ref is the reference of a non-repeatable call.
@@ -104,20 +104,20 @@
 
 // send sends a request as a caller would: to a host of the entry list, and to the next host
 // when one rejects it or is unreachable, within the request's deadline.
-func (r *Runner) send(ctx context.Context, s *plannedRequest, start time.Time) Result {
-	intended := start.Add(s.offset)
-	deadline := intended.Add(s.deadline)
+func (r *Runner) send(ctx context.Context, p *plannedRequest, start time.Time) Result {
+	intended := start.Add(p.offset)
+	deadline := intended.Add(p.deadline)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	region := r.scenario.Regions[s.region]
-	out := Result{Kind: s.kind, Client: s.client, Region: region.Name}
-	if s.key != "" {
-		out.Ref = s.ref
+	region := r.scenario.Regions[p.region]
+	out := Result{Kind: p.kind, Client: p.client, Region: region.Name}
+	if p.key != "" {
+		out.Ref = p.ref
 	}
 	for try := range maxTries {
 		out.Tries = try + 1
-		address := r.chooseHost(ctx, s, region, try)
-		retry := r.attempt(ctx, s, address, intended, &out)
+		address := r.chooseHost(ctx, p, region, try)
+		retry := r.attempt(ctx, p, address, intended, &out)
 		if !retry || ctx.Err() != nil {
 			break
 		}
@@ -131,12 +131,12 @@
 
 // chooseHost returns the address of the next host to try: one of the entry list, or the
 // bootstrap address if there is no list.
-func (r *Runner) chooseHost(ctx context.Context, s *plannedRequest, region Region, try int) string {
+func (r *Runner) chooseHost(ctx context.Context, p *plannedRequest, region Region, try int) string {
 	r.mu.Lock()
-	known := r.lists[s.client]
+	known := r.lists[p.client]
 	r.mu.Unlock()
 	if time.Now().After(known.expires) || try > 0 {
-		if fresh, err := r.refreshEntryList(ctx, s, region, known); err == nil {
+		if fresh, err := r.refreshEntryList(ctx, p, region, known); err == nil {
 			known = fresh
 		}
 	}
@@ -148,7 +148,7 @@
 
 // refreshEntryList fetches a new entry list from the bootstrap address or from a host of the
 // old list.
-func (r *Runner) refreshEntryList(ctx context.Context, s *plannedRequest, region Region, old entryList) (entryList, error) {
+func (r *Runner) refreshEntryList(ctx context.Context, p *plannedRequest, region Region, old entryList) (entryList, error) {
 	ctx, cancel := context.WithTimeout(ctx, entryListTimeout)
 	defer cancel()
 	sources := []string{region.Entry}
@@ -158,9 +158,9 @@
 	err := errors.New("no host to fetch the entry list from")
 	for _, address := range sources {
 		var list entryList
-		if list, err = r.fetchEntryList(ctx, s, address); err == nil {
+		if list, err = r.fetchEntryList(ctx, p, address); err == nil {
 			r.mu.Lock()
-			r.lists[s.client] = list
+			r.lists[p.client] = list
 			r.mu.Unlock()
 			return list, nil
 		}
@@ -168,13 +168,13 @@
 	return old, err
 }
 
-func (r *Runner) fetchEntryList(ctx context.Context, s *plannedRequest, address string) (entryList, error) {
+func (r *Runner) fetchEntryList(ctx context.Context, p *plannedRequest, address string) (entryList, error) {
 	var list entryList
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/entry", nil)
 	if err != nil {
 		return list, fmt.Errorf("entry list: %w", err)
 	}
-	req.Header.Set("Authorization", "Bearer "+CredentialOf(s.client))
+	req.Header.Set("Authorization", "Bearer "+CredentialOf(p.client))
 	resp, err := r.http.Do(req)
 	if err != nil {
 		return list, fmt.Errorf("entry list: %w", err)
@@ -190,8 +190,8 @@
 }
 
 // attempt sends a request once. It reports whether the request should be retried.
-func (r *Runner) attempt(ctx context.Context, s *plannedRequest, address string, intended time.Time, out *Result) bool {
-	req, err := r.newRequest(ctx, s, address)
+func (r *Runner) attempt(ctx context.Context, p *plannedRequest, address string, intended time.Time, out *Result) bool {
+	req, err := r.newRequest(ctx, p, address)
 	if err != nil {
 		out.Reason = err.Error()
 		return false
@@ -208,10 +208,10 @@
 		return recordError(resp, out)
 	}
 	out.Reason, out.Outcome = "", string(wheelgauge.OutcomeRan)
-	if s.answerTokens > 0 {
-		return r.readStream(resp.Body, s, intended, out)
+	if p.answerTokens > 0 {
+		return r.readStream(resp.Body, p, intended, out)
 	}
-	return r.readReceipt(resp.Body, s, out)
+	return r.readReceipt(resp.Body, p, out)
 }
 
 // recordError reads an error response. It reports whether the request may be retried at
@@ -220,7 +220,7 @@
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	e := new(wheelgauge.Error)
 	if err != nil || json.Unmarshal(body, e) != nil {
-		out.Reason, out.Outcome = "error response cannot be decoded", string(wheelgauge.OutcomeUnknown)
+		out.Reason, out.Outcome = "unreadable error", string(wheelgauge.OutcomeUnknown)
 		return true
 	}
 	out.Reason, out.Outcome = string(e.Reason()), string(e.Outcome())
@@ -232,28 +232,28 @@
 	}
 }
 
-func (r *Runner) newRequest(ctx context.Context, s *plannedRequest, address string) (*http.Request, error) {
+func (r *Runner) newRequest(ctx context.Context, p *plannedRequest, address string) (*http.Request, error) {
 	method, path, body := http.MethodPost, "/v1/chat/completions", []byte(nil)
-	switch s.kind {
+	switch p.kind {
 	case kindStock, kindTariff:
-		method, path = http.MethodGet, "/s/lookup/"+s.ref
+		method, path = http.MethodGet, "/s/lookup/"+p.ref
 	case kindBooking, kindPayment:
 		path = "/s/book/"
-		body = fmt.Appendf(nil, `{"ref":%q}`, s.ref)
+		body = fmt.Appendf(nil, `{"ref":%q}`, p.ref)
 	default:
-		body = fmt.Appendf(nil, `{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, modelOf(s.kind), s.answerTokens, s.prompt)
+		body = fmt.Appendf(nil, `{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, modelOf(p.kind), p.answerTokens, p.prompt)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, fmt.Errorf("create request: %w", err)
 	}
-	req.Header.Set("Authorization", "Bearer "+CredentialOf(s.client))
+	req.Header.Set("Authorization", "Bearer "+CredentialOf(p.client))
 	req.Header.Set("Content-Type", "application/json")
 	if deadline, ok := ctx.Deadline(); ok {
 		req.Header.Set(wheelgauge.HeaderDeadline, strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10))
 	}
-	if s.key != "" {
-		req.Header.Set(wheelgauge.HeaderIdempotency, s.key)
+	if p.key != "" {
+		req.Header.Set(wheelgauge.HeaderIdempotency, p.key)
 		req.Header.Set(wheelgauge.HeaderNotRepeatable, "true")
 	}
 	return req, nil
@@ -280,7 +280,7 @@
 
 // readStream reads a stream and compares it with the tokens that the fake engines generate
 // for the prompt.
-func (r *Runner) readStream(body io.Reader, s *plannedRequest, intended time.Time, out *Result) bool {
+func (r *Runner) readStream(body io.Reader, p *plannedRequest, intended time.Time, out *Result) bool {
 	var text strings.Builder
 	last := time.Time{}
 	complete := false
@@ -308,12 +308,12 @@
 		out.Tokens++
 		text.WriteString(c.Choices[0].Delta.Content)
 	}
-	checkStream(s, text.String(), complete, out)
+	checkStream(p, text.String(), complete, out)
 	return false
 }
 
-func checkStream(s *plannedRequest, text string, complete bool, out *Result) {
-	want := script.Answer(s.prompt, s.answerTokens)
+func checkStream(p *plannedRequest, text string, complete bool, out *Result) {
+	want := script.Answer(p.prompt, p.answerTokens)
 	switch {
 	case !strings.HasPrefix(want, text):
 		out.Wrong = "response does not belong to this request"
@@ -330,14 +330,14 @@
 	Execution int    `json:"execution"`
 }
 
-func (r *Runner) readReceipt(body io.Reader, s *plannedRequest, out *Result) bool {
+func (r *Runner) readReceipt(body io.Reader, p *plannedRequest, out *Result) bool {
 	var got receipt
 	if err := json.NewDecoder(body).Decode(&got); err != nil {
 		out.Reason = "cut"
 		return true
 	}
 	out.FirstToken = 0
-	if got.Ref != s.ref {
+	if got.Ref != p.ref {
 		out.Wrong = "response does not belong to this request"
 	}
 	if got.Execution > 1 {
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -39,7 +39,7 @@
 	// The peaks of the regions are spread evenly over the run, which simulates one day.
 	Peak float64
 	Seed uint64
-	// Regions are those that callers send requests from.
+	// Regions are those of the callers, with bootstrap addresses and prices of 1,000 tokens.
 	Regions []Region
 	// Clients is the number of clients in each region.
 	Clients int
@@ -95,7 +95,7 @@
 	},
 }
 
-// ClientName names a client of a region; its credential is CredentialOf it.
+// ClientName returns the name of client i of a region.
 func ClientName(region string, i int) string { return fmt.Sprintf("%s-client-%d", region, i) }
 
 // CredentialOf returns the credential of a client in the directory that the load uses.
@@ -119,7 +119,7 @@
 	}
 }
 
-// relativeDemand returns a region's demand at a time in seconds, relative to its average.
+// relativeDemand returns a region's demand at a time in seconds, where 1 is the average.
 func (s *Scenario) relativeDemand(region int, at float64) float64 {
 	phase := 2 * math.Pi * (at/s.Duration.Seconds() + float64(region)/float64(len(s.Regions)))
 	return 1 + s.Peak*math.Sin(phase)
--- a/opsclient/client.go
+++ b/opsclient/client.go
@@ -48,7 +48,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// call tries the stores in turn. An error that any other store would return, too, is final.
+// call tries the stores in turn. It does not retry errors that every store would return.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	started := time.Now()
 	for {
@@ -159,8 +159,9 @@
 	return out
 }
 
-// WaitInForce returns once every configured host has applied a generation and none of its
-// residency rules is pending. When ctx ends before, its error lists what is missing.
+// WaitInForce returns once every configured host has applied a generation and no
+// residency rule of it or of an earlier one is pending. If ctx ends first, the error lists
+// what is missing.
 func (c *Client) WaitInForce(ctx context.Context, generation uint64) error {
 	missing := []string{"no store responded"}
 	for ctx.Err() == nil {
--- a/program/routesmode.go
+++ b/program/routesmode.go
@@ -13,7 +13,7 @@
 
 const (
 	// heapFraction is the share of the process's memory that the heap may use: stacks and
-	// buffers of the operating system need the rest.
+	// system buffers need the rest.
 	heapFraction = 0.6
 	// gcPercent trades memory, which is plentiful, for CPU time of the garbage collector.
 	gcPercent = 400
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -14,7 +14,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// Type is the type of a value.
+// Type determines how a value is validated.
 type Type int
 
 // Types of values.
