--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -23,7 +23,7 @@
 }
 
 // Errors name the file, section, key and what was expected, and all are reported at once.
-func TestErrors(t *testing.T) {
+func TestFaults(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
