--- a/systemtest/input_test.go
+++ b/systemtest/bad_input_test.go
@@ -21,9 +21,9 @@
 	"wheelgauge/peerhttp"
 )
 
-// raw sends bytes to a gateway's callers' port and returns what comes back
-// until the connection is closed.
-func (d *deployment) raw(n *node, text string, halfClose bool) (string, error) {
+// sendRaw sends text to a gateway's caller port and returns what it reads until the
+// connection is closed.
+func (d *deployment) sendRaw(n *node, text string, halfClose bool) (string, error) {
 	c, err := net.Dial("tcp", net.JoinHostPort(n.ip, strconv.Itoa(portCaller)))
 	if err != nil {
 		return "", err
@@ -44,11 +44,11 @@
 	return string(out), err
 }
 
-// TestBadInput gives a clear error for each kind of bad request, and nothing
-// of it reaches a backend server.
+// TestBadInput: each kind of bad request gets its status and reason, is reported as
+// not run, and reaches no backend server.
 func TestBadInput(t *testing.T) {
-	d := launch(t, smallShape())
-	n, client := d.node("karachi-1"), standby("karachi")
+	d := launch(t, smallTopology())
+	n, client := d.node("karachi-1"), testClient("karachi")
 	authorised := "Authorization: Bearer " + load.CredentialOf(client) + "\r\n"
 	head := "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
 	tests := []struct {
@@ -76,14 +76,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if tt.raw == "" {
-				r := d.do(n, tt.call)
+				r := d.send(n, tt.call)
 				if r.status != tt.status || r.reason() != tt.reason || r.outcome() != wheelgauge.OutcomeNotRun {
 					t.Fatalf("got %s", r)
 				}
 				return
 			}
-			out, err := d.raw(n, tt.raw, tt.half)
-			// A connection with unread bytes is reset after its answer.
+			out, err := d.sendRaw(n, tt.raw, tt.half)
+			// The kernel resets a connection that is closed with unread bytes.
 			if errors.Is(err, syscall.ECONNRESET) && out != "" {
 				err = nil
 			}
@@ -93,13 +93,13 @@
 		})
 	}
 	if ran := d.executions()["bad-key"]; ran != 0 {
-		t.Errorf("a refused booking ran %d times", ran)
+		t.Errorf("a refused booking ran %d times, want 0", ran)
 	}
 }
 
-// TestCallerLeaves: a caller that leaves, before or after the first token,
-// cancels its work on the engine, in its own region and in another.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerDisconnects: a caller's disconnect, before or after the first token,
+// cancels its request on the engine, in its own region and in another.
+func TestCallerDisconnects(t *testing.T) {
 	tests := []struct {
 		name    string
 		gateway string
@@ -111,14 +111,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := smallShape()
-			s.slots, s.gateway, s.engines = 1, tt.gateway, tt.engines
-			leaveTwice(t, launch(t, s), tt.server)
+			s := smallTopology()
+			s.slots, s.gatewaySettings, s.engines = 1, tt.gateway, tt.engines
+			cancelTwice(t, launch(t, s), tt.server)
 		})
 	}
 }
 
-func leaveTwice(t *testing.T, d *deployment, name string) {
+func cancelTwice(t *testing.T, d *deployment, name string) {
 	n, engine := d.node("karachi-1"), d.server(name)
 	cancelled := func(want int) func() error {
 		return func() error {
@@ -126,24 +126,24 @@
 				Cancelled int `json:"cancelled"`
 			}
 			if err := getJSON("http://"+engine.addr+"/v1/stats", &stats); err != nil || stats.Cancelled < want {
-				return fmt.Errorf("%d of %d, %v", stats.Cancelled, want, err)
+				return fmt.Errorf("%d requests are cancelled, want %d, %v", stats.Cancelled, want, err)
 			}
 			return nil
 		}
 	}
-	d.leaveAfter(n, 700*time.Millisecond)
+	d.abandonAfter(n, 700*time.Millisecond)
 	eventually(t, 10*time.Second, "a running stream is cancelled", cancelled(1))
-	wait := d.stream(t, n, chat(standby("karachi"), "holds the only slot", 200))
-	d.leaveAfter(n, 300*time.Millisecond)
+	wait := d.stream(t, n, chat(testClient("karachi"), "holds the only slot", 200))
+	d.abandonAfter(n, 300*time.Millisecond)
 	eventually(t, 10*time.Second, "a waiting call is cancelled", cancelled(2))
-	if err := whole(wait(), "holds the only slot", 200); err != nil {
+	if err := checkComplete(wait(), "holds the only slot", 200); err != nil {
 		t.Error(err)
 	}
 }
 
-// leaveAfter asks for a long answer and leaves without reading it to its end.
-func (d *deployment) leaveAfter(n *node, wait time.Duration) {
-	c := chat(standby("karachi"), "never read", 3000)
+// abandonAfter requests a long answer and disconnects before its end.
+func (d *deployment) abandonAfter(n *node, wait time.Duration) {
+	c := chat(testClient("karachi"), "never read", 3000)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, c.method, d.url(n, c.path), strings.NewReader(c.body))
@@ -151,15 +151,15 @@
 		d.t.Fatal(err)
 	}
 	req.Header.Set("Authorization", "Bearer "+load.CredentialOf(c.client))
-	if resp, err := callers.Do(req); err == nil {
-		_, _ = io.ReadAll(resp.Body) // cut by the time that is over
+	if resp, err := callerClient.Do(req); err == nil {
+		_, _ = io.ReadAll(resp.Body) // ends with the timeout
 		_ = resp.Body.Close()
 	}
 }
 
-// TestOperatorInput refuses operators' mistakes with the reason.
+// TestOperatorInput: an operator's mistakes are refused with the reason.
 func TestOperatorInput(t *testing.T) {
-	d := launch(t, smallShape())
+	d := launch(t, smallTopology())
 	address := fmt.Sprintf("%s:%d", d.node("karachi-1").ip, portStoreOps)
 	put := func(token string, kind wheelgauge.Kind, name string, v any) error {
 		_, err := opsclient.New([]string{address}, token, nil).Change(context.Background(), wheelgauge.Change{Op: wheelgauge.OpPut, Kind: kind, Name: name, Spec: spec(v)}, false)
@@ -178,8 +178,8 @@
 		{"unknown reference", put(writeToken, wheelgauge.KindRoute, "x", wheelgauge.RouteSpec{Model: "m", Pool: "none"}), wheelgauge.ReasonInvalid, "pool"},
 	}
 	for _, tt := range tests {
-		fault := wheelgauge.AsError(tt.err)
-		if tt.err == nil || fault.Reason() != tt.reason || !strings.Contains(fault.Detail(), tt.detail) {
+		apiErr := wheelgauge.AsError(tt.err)
+		if tt.err == nil || apiErr.Reason() != tt.reason || !strings.Contains(apiErr.Detail(), tt.detail) {
 			t.Errorf("%s: got %v", tt.name, tt.err)
 		}
 	}
@@ -188,14 +188,14 @@
 		t.Errorf("dry run: %v", err)
 	}
 	if _, err := dry.Get(context.Background(), wheelgauge.KindClientClass, "dry"); !isReason(err, wheelgauge.ReasonNotFound) {
-		t.Errorf("a dry run made something: %v", err)
+		t.Errorf("a dry run created the resource: %v", err)
 	}
 	if _, err := dry.Watch(context.Background(), 0, time.Second); err != nil {
 		t.Errorf("watch from the beginning: %v", err)
 	}
 }
 
-// TestSettings refuses bad settings before anything is started.
+// TestSettings: bad settings are refused by the check before anything is started.
 func TestSettings(t *testing.T) {
 	dir := t.TempDir()
 	good := `[host]
@@ -223,7 +223,7 @@
 		{"metrics in the open", strings.Replace(good, "operator = 127.0.0.1", "operator = 10.0.0.1", 1), "[listen] operator: expected a loopback address"},
 	}
 	for i, tt := range tests {
-		out, _ := command("wheelgauge-gateway", "--check", "--config", write(t, dir, fmt.Sprint(i, ".ini"), tt.text)) // the output tells
+		out, _ := command("wheelgauge-gateway", "--check", "--config", writeFile(t, dir, fmt.Sprint(i, ".ini"), tt.text)) // the output is checked
 		if !strings.Contains(out, tt.want) {
 			t.Errorf("%s: got %q", tt.name, out)
 		}
@@ -233,18 +233,18 @@
 	}
 }
 
-// TestTLS runs a deployment with certificates: peers are trusted by the
-// authority alone, and keys are rotated without a restart.
+// TestTLS runs a deployment with certificates: peers need a certificate of the
+// authority, and keys are rotated without a restart.
 func TestTLS(t *testing.T) {
-	s := smallShape()
+	s := smallTopology()
 	s.tls = true
 	d := launch(t, s)
 	karachi, lahore := d.node("karachi-1"), d.node("lahore-1")
-	if err := whole(d.do(karachi, chat(standby("karachi"), "over TLS", 4)), "over TLS", 4); err != nil {
+	if err := checkComplete(d.send(karachi, chat(testClient("karachi"), "over TLS", 4)), "over TLS", 4); err != nil {
 		t.Error(err)
 	}
-	// A booking from another region asks the claim store at home, by TLS.
-	if r := d.do(lahore, book(standby("karachi"), "tls-1", newKey())); r.status != http.StatusOK {
+	// A booking in another region calls the claim store at home over TLS.
+	if r := d.send(lahore, book(testClient("karachi"), "tls-1", newKey())); r.status != http.StatusOK {
 		t.Errorf("booking: %s", r)
 	}
 	stranger := peerhttp.NewClient(nil, "")
@@ -255,7 +255,7 @@
 		}
 		cancel()
 	}
-	// Rotation: every host gets a new certificate, then every connection is closed.
+	// Rotation: every host gets a new certificate, then all connections are closed.
 	for _, n := range d.nodes {
 		path := filepath.Join(d.dir, "certs", n.name+".pem")
 		before, err := os.ReadFile(path)
@@ -267,35 +267,35 @@
 			t.Fatalf("no new certificate: %v", err)
 		}
 	}
-	time.Sleep(1500 * time.Millisecond) // files are looked at once a second
-	d.net.reset()
+	time.Sleep(1500 * time.Millisecond) // certificate files are checked once a second
+	d.network.reset()
 	generation := d.apply([]wheelgauge.Resource{class("rotated", 3)})
 	d.awaitInForce(generation)
-	if r := d.do(lahore, book(standby("karachi"), "tls-2", newKey())); r.status != http.StatusOK {
+	if r := d.send(lahore, book(testClient("karachi"), "tls-2", newKey())); r.status != http.StatusOK {
 		t.Errorf("booking after the rotation: %s", r)
 	}
 }
 
-// TestOldPath moves a route over from the old path by share and by client, and
-// back, without a restart.
+// TestOldPath moves a route from the old path to the gateway by share and by client,
+// and back, without a restart.
 func TestOldPath(t *testing.T) {
-	s := smallShape()
+	s := smallTopology()
 	s.services = []int{1, 1, 1}
 	d := launch(t, s)
 	n := d.node("karachi-1")
 	old := &server{name: "old-depot", pool: "old", addr: fmt.Sprintf("%s:%d", d.ip(0, 99), portServer)}
 	d.startServer(old)
-	list := write(t, d.dir, "old.txt", "# what the script served\npath depot/ "+old.addr+"\n")
-	d.ctl("import", list)
+	list := writeFile(t, d.dir, "old.txt", "# what the script served\npath depot/ "+old.addr+"\n")
+	d.runCtl("import", list)
 	served := func(client string) string {
-		r := d.do(n, call{method: http.MethodGet, path: "/s/depot/7", client: client})
+		r := d.send(n, call{method: http.MethodGet, path: "/s/depot/7", client: client})
 		if r.status != http.StatusOK {
 			return fmt.Sprint(r)
 		}
 		return r.header.Get(wheelgauge.HeaderServed)
 	}
-	eventually(t, 10*time.Second, "all take the old path", func() error {
-		if got := served(standby("karachi")); got != "old path" {
+	eventually(t, 10*time.Second, "all requests take the old path", func() error {
+		if got := served(testClient("karachi")); got != "old path" {
 			return fmt.Errorf("served by %s", got)
 		}
 		return nil
@@ -314,17 +314,17 @@
 	for _, step := range steps {
 		generation := d.apply([]wheelgauge.Resource{{Kind: wheelgauge.KindRoute, Name: "old-depot", Spec: spec(wheelgauge.RouteSpec{Path: "depot/", Pool: "services", OldPath: step.path})}})
 		d.awaitInForce(generation)
-		took := 0
+		viaOldPath := 0
 		for range 200 {
-			if served(standby("karachi")) == "old path" {
-				took++
+			if served(testClient("karachi")) == "old path" {
+				viaOldPath++
 			}
 		}
-		if took < step.low || took > step.high {
-			t.Errorf("%s: %d of 200 took the old path", step.name, took)
+		if viaOldPath < step.low || viaOldPath > step.high {
+			t.Errorf("%s: %d of 200 requests took the old path", step.name, viaOldPath)
 		}
 		if step.path != nil && len(step.path.Clients) > 0 && served(step.path.Clients[0]) != "old path" {
-			t.Errorf("%s: the named client did not take it", step.name)
+			t.Errorf("%s: the named client did not take the old path", step.name)
 		}
 	}
 }
--- a/systemtest/caller_test.go
+++ b/systemtest/caller_test.go
@@ -18,40 +18,41 @@
 	"wheelgauge/load"
 )
 
-// callers never use a connection twice, so that one test step does not lean on another.
-var callers = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 60 * time.Second}
+// callerClient opens a new connection for each request, so that test steps stay
+// independent of each other.
+var callerClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 60 * time.Second}
 
-// reply is what a caller got.
+// reply is the result of a call as its caller sees it.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	fault  *wheelgauge.Error
+	apiErr *wheelgauge.Error
 	err    error
 }
 
-// outcome is what the caller may assume; "ran" for an answer.
+// outcome is what the caller may assume about the execution.
 func (r reply) outcome() wheelgauge.Outcome {
 	switch {
 	case r.err != nil:
 		return wheelgauge.OutcomeUnknown
-	case r.fault != nil:
-		return r.fault.Outcome()
+	case r.apiErr != nil:
+		return r.apiErr.Outcome()
 	default:
 		return wheelgauge.OutcomeRan
 	}
 }
 
 func (r reply) reason() wheelgauge.Reason {
-	if r.fault == nil {
+	if r.apiErr == nil {
 		return ""
 	}
-	return r.fault.Reason()
+	return r.apiErr.Reason()
 }
 
 func (r reply) String() string { return fmt.Sprintf("%d %s %v", r.status, r.body, r.err) }
 
-// call is one request of a caller.
+// call is one request from a caller.
 type call struct {
 	method string
 	path   string
@@ -64,8 +65,8 @@
 	return fmt.Sprintf("http://%s:%d%s", n.ip, portCaller, path)
 }
 
-// do sends a call to a host.
-func (d *deployment) do(n *node, c call) reply {
+// send sends a call to a host.
+func (d *deployment) send(n *node, c call) reply {
 	req, err := http.NewRequest(c.method, d.url(n, c.path), strings.NewReader(c.body))
 	if err != nil {
 		return reply{err: err}
@@ -75,7 +76,7 @@
 	for k, v := range c.header {
 		req.Header.Set(k, v)
 	}
-	resp, err := callers.Do(req)
+	resp, err := callerClient.Do(req)
 	if err != nil {
 		return reply{err: err}
 	}
@@ -83,15 +84,15 @@
 	body, err := io.ReadAll(resp.Body)
 	out := reply{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 	if resp.StatusCode >= http.StatusBadRequest {
-		out.fault = new(wheelgauge.Error)
-		if json.Unmarshal(body, out.fault) != nil {
-			out.fault = nil
+		out.apiErr = new(wheelgauge.Error)
+		if json.Unmarshal(body, out.apiErr) != nil {
+			out.apiErr = nil
 		}
 	}
 	return out
 }
 
-// chat is a completion request; stream by default.
+// chat returns a streaming completion request.
 func chat(client, prompt string, tokens int) call {
 	return call{
 		method: http.MethodPost, path: "/v1/chat/completions", client: client,
@@ -99,7 +100,8 @@
 	}
 }
 
-// book is a call that is not repeatable; key may be empty.
+// book returns a call that is not repeatable; without an idempotency key if key is
+// empty.
 func book(client, ref, key string) call {
 	c := call{method: http.MethodPost, path: "/s/book/", client: client, body: fmt.Sprintf(`{"ref":%q}`, ref), header: map[string]string{}}
 	if key != "" {
@@ -110,8 +112,9 @@
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// whole tells whether a stream is the whole answer to a prompt.
-func whole(r reply, prompt string, tokens int) error {
+// checkComplete returns an error unless r is the complete stream of the answer to a
+// prompt.
+func checkComplete(r reply, prompt string, tokens int) error {
 	if r.err != nil || r.status != http.StatusOK {
 		return fmt.Errorf("got %s", r)
 	}
@@ -136,13 +139,13 @@
 		text += c.Choices[0].Delta.Content
 	}
 	if want := script.Answer(prompt, tokens); text != want || !complete {
-		return fmt.Errorf("complete is %t, got %d characters of %d, right so far: %t", complete, len(text), len(want), strings.HasPrefix(want, text))
+		return fmt.Errorf("terminated by [DONE]: %t, got %d characters, want %d; correct prefix: %t", complete, len(text), len(want), strings.HasPrefix(want, text))
 	}
 	return nil
 }
 
-// stream starts a completion and returns once its first token came, with a
-// function that waits for the rest.
+// stream starts a completion and returns when its first line has arrived. The
+// function that it returns waits for the rest.
 func (d *deployment) stream(t testing.TB, n *node, c call) func() reply {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
@@ -155,7 +158,7 @@
 	for k, v := range c.header {
 		req.Header.Set(k, v)
 	}
-	resp, err := callers.Do(req)
+	resp, err := callerClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,9 +174,9 @@
 	}
 }
 
-// entries asks a host for a client's entry list.
+// entries fetches a client's entry list from a host.
 func (d *deployment) entries(n *node, client string) ([]wheelgauge.Entry, error) {
-	r := d.do(n, call{method: http.MethodGet, path: "/v1/entry", client: client})
+	r := d.send(n, call{method: http.MethodGet, path: "/v1/entry", client: client})
 	if r.status != http.StatusOK {
 		return nil, fmt.Errorf("entry list: %s", r)
 	}
@@ -191,11 +194,12 @@
 	return false
 }
 
-// started returns how many sequences the engines of a region began.
-func (d *deployment) started(region string) int {
+// startedInRegion returns how many sequences the running engines of a region have
+// started.
+func (d *deployment) startedInRegion(region string) int {
 	sum := 0
 	for _, s := range d.servers {
-		if s.pool != "engines" || s.region != region || s.run.gone {
+		if s.pool != "engines" || s.region != region || s.process.exited {
 			continue
 		}
 		var stats struct {
@@ -209,7 +213,7 @@
 	return sum
 }
 
-// counter reads a counter of a gateway.
+// counter returns the value of a gateway's counter.
 func (d *deployment) counter(n *node, name string) int {
 	var all map[string]struct {
 		Count int `json:"count"`
@@ -229,5 +233,5 @@
 	return s.Generation, err
 }
 
-// standby is the client of a region that a test uses.
-func standby(region string) string { return load.ClientName(region, 0) }
+// testClient returns the name of the first client of a region.
+func testClient(region string) string { return load.ClientName(region, 0) }
--- a/systemtest/compare_test.go
+++ b/systemtest/compare_test.go
@@ -20,11 +20,11 @@
 )
 
 var (
-	compareSeeds     = flag.Int("compare-seeds", 2, "seeds of each scenario")
-	compareTime      = flag.Duration("compare-time", 16*time.Second, "length of each run")
-	compareRate      = flag.Float64("compare-rate", 80, "requests a second")
-	compareOnly      = flag.String("compare-only", "", "run only scenarios whose name holds this")
-	compareOut       = flag.String("compare-out", "", "file for the results, CSV")
+	compareSeeds     = flag.Int("compare-seeds", 2, "number of seeds per scenario")
+	compareDuration  = flag.Duration("compare-time", 16*time.Second, "duration of each run")
+	compareRate      = flag.Float64("compare-rate", 80, "requests per second")
+	compareOnly      = flag.String("compare-only", "", "run only scenarios whose name contains this text")
+	compareOut       = flag.String("compare-out", "", "write the results to this CSV file")
 	compareLinkCost  = 0.05
 	comparedPolicies = []policy{
 		{"ours", "affinity", away.PolicyCost},
@@ -36,50 +36,51 @@
 	}
 )
 
-// policy is a way to route.
+// policy is a routing policy: how a server is picked and when a request is
+// forwarded to another region.
 type policy struct {
 	name   string
 	picker string
 	away   string
 }
 
-// trouble is a scenario: what happens during a run.
-type trouble struct {
+// faultScenario is what goes wrong during a run.
+type faultScenario struct {
 	name   string
 	flood  float64
 	engine []string
-	happen func(d *deployment, length time.Duration)
+	inject func(d *deployment, length time.Duration)
 }
 
-func troubles() []trouble {
-	return []trouble{
+func faultScenarios() []faultScenario {
+	return []faultScenario{
 		{name: "shifted peaks"},
-		{name: "half of a region's engines lost", happen: func(d *deployment, length time.Duration) {
+		{name: "half of a region's engines lost", inject: func(d *deployment, length time.Duration) {
 			time.Sleep(length / 4)
-			lost := d.enginesOf(d.s.regions[0])
+			lost := d.enginesOf(d.topology.regions[0])
 			for _, s := range lost[:len(lost)/2] {
-				s.run.kill()
+				s.process.kill()
 			}
 		}},
-		{name: "region's engines lost and back cold", happen: func(d *deployment, length time.Duration) {
+		{name: "region's engines lost and back cold", inject: func(d *deployment, length time.Duration) {
 			time.Sleep(length / 4)
-			for _, s := range d.enginesOf(d.s.regions[1]) {
-				s.run.kill()
+			for _, s := range d.enginesOf(d.topology.regions[1]) {
+				s.process.kill()
 			}
 			time.Sleep(length / 4)
-			for _, s := range d.enginesOf(d.s.regions[1]) {
+			for _, s := range d.enginesOf(d.topology.regions[1]) {
 				d.startServer(s)
 			}
 		}},
-		{name: "region cut off", happen: func(d *deployment, length time.Duration) {
+		{name: "region cut off", inject: func(d *deployment, length time.Duration) {
 			time.Sleep(length / 4)
-			d.cutRegion(d.s.regions[2])
+			d.isolateRegion(d.topology.regions[2])
 			time.Sleep(length / 4)
-			d.net.heal()
+			d.network.heal()
 		}},
-		{name: "one slow engine", happen: func(d *deployment, length time.Duration) {
+		{name: "one slow engine", inject: func(d *deployment, length time.Duration) {
 			time.Sleep(length / 8)
-			_ = getJSON("http://"+d.enginesOf(d.s.regions[0])[0].addr+"/v1/slow?factor=5", nil) // answers nothing
+			_ = getJSON("http://"+d.enginesOf(d.topology.regions[0])[0].addr+"/v1/slow?factor=5", nil) // the response has no body
 		}},
 		{name: "one client floods", flood: 12},
 		{name: "load reports 10 s late", engine: []string{"--lag", "10s"}},
@@ -96,18 +97,18 @@
 	return out
 }
 
-// TestCompare runs every policy on the same seeds and faults, all policies of a
-// scenario at the same time on the same machine.
+// TestCompare runs every policy with the same seeds and faults. All policies of a
+// scenario run at the same time on the same machine.
 func TestCompare(t *testing.T) {
 	var rows [][]string
 	for _, mix := range []string{load.MixDispatch, load.MixParkline} {
-		for _, tr := range troubles() {
+		for _, tr := range faultScenarios() {
 			if !strings.Contains(mix+" "+tr.name, *compareOnly) {
 				continue
 			}
 			for seed := 1; seed <= *compareSeeds; seed++ {
 				t.Run(fmt.Sprintf("%s, %s, seed %d", mix, tr.name, seed), func(t *testing.T) {
-					rows = append(rows, compareOne(t, mix, tr, seed)...)
+					rows = append(rows, comparePolicies(t, mix, tr, seed)...)
 				})
 			}
 		}
@@ -115,7 +116,7 @@
 	saveRows(t, rows)
 }
 
-func compareOne(t *testing.T, mix string, tr trouble, seed int) [][]string {
+func comparePolicies(t *testing.T, mix string, tr faultScenario, seed int) [][]string {
 	var mu sync.Mutex
 	reports := map[string]load.Report{}
 	t.Run("policies", func(t *testing.T) {
@@ -136,20 +137,20 @@
 		for _, n := range r.Refused {
 			refused += n
 		}
-		worst := worstTotal(r)
+		worst := worstTotalP95(r)
 		text += fmt.Sprintf("%-16s %8.0f %6.0f %8.1f %10.0f %8.3f %6.1f %8d %5d %9d\n", p.name, r.First.P50, r.First.P99, r.Gap.P99, worst, r.CostPerTokens, 100*r.ShareAway, refused, r.Late, r.Answered)
 		rows = append(rows, []string{
-			mix, tr.name, strconv.Itoa(seed), p.name, number(r.First.P50), number(r.First.P99), number(r.Gap.P99), number(worst),
-			number(r.CostPerTokens), number(r.ShareAway), strconv.Itoa(refused), strconv.Itoa(r.Late), strconv.Itoa(r.Answered), strconv.Itoa(r.Sent), number(r.Tries),
+			mix, tr.name, strconv.Itoa(seed), p.name, formatNumber(r.First.P50), formatNumber(r.First.P99), formatNumber(r.Gap.P99), formatNumber(worst),
+			formatNumber(r.CostPerTokens), formatNumber(r.ShareAway), strconv.Itoa(refused), strconv.Itoa(r.Late), strconv.Itoa(r.Answered), strconv.Itoa(r.Sent), formatNumber(r.Tries),
 		})
 	}
 	t.Log("\n" + text)
 	return rows
 }
 
-// worstTotal is the largest p95 of the whole time among the kinds; some kinds
-// are too few in a run for a p99.
-func worstTotal(r load.Report) float64 {
+// worstTotalP95 returns the largest p95 of the total time among the request kinds.
+// Some kinds have too few requests in a run for a p99.
+func worstTotalP95(r load.Report) float64 {
 	worst := 0.0
 	for _, k := range r.Kinds {
 		worst = max(worst, k.Total.P95)
@@ -157,35 +158,35 @@
 	return worst
 }
 
-func number(f float64) string { return strconv.FormatFloat(f, 'f', 4, 64) }
+func formatNumber(f float64) string { return strconv.FormatFloat(f, 'f', 4, 64) }
 
-func measurePolicy(t *testing.T, mix string, tr trouble, seed int, p policy) load.Report {
-	s := dispatchShape()
+func measurePolicy(t *testing.T, mix string, tr faultScenario, seed int, p policy) load.Report {
+	s := dispatchTopology()
 	value := "second_value = 1\naway_cost = 0.05\n"
 	if mix == load.MixParkline {
-		s = parklineShape()
+		s = parklineTopology()
 		value = "second_value = 0.3\naway_cost = 0.05\n"
 	}
-	s.real = true
+	s.productionIntervals = true
 	s.engines, s.slots = []int{5, 4, 3}, 4
-	s.engine = append([]string{"--step", "10ms", "--prefill", "40", "--cache", "600", "--queue", "64"}, tr.engine...)
-	s.bound = func(_ string, i int) bool { return i%4 == 3 }
-	s.gateway = fmt.Sprintf("[routing]\npicker = %s\naway = %s\n%s", p.picker, p.away, value)
+	s.engineArgs = append([]string{"--step", "10ms", "--prefill", "40", "--cache", "600", "--queue", "64"}, tr.engine...)
+	s.regionBound = func(_ string, i int) bool { return i%4 == 3 }
+	s.gatewaySettings = fmt.Sprintf("[routing]\npicker = %s\naway = %s\n%s", p.picker, p.away, value)
 	d := launch(t, s)
-	scenario := load.Scenario{Mix: mix, Duration: *compareTime, Rate: *compareRate, Peak: 0.5, Seed: uint64(seed), Clients: perRegion, Flood: tr.flood, LinkCost: compareLinkCost}
+	scenario := load.Scenario{Mix: mix, Duration: *compareDuration, Rate: *compareRate, Peak: 0.5, Seed: uint64(seed), Clients: clientsPerRegion, Flood: tr.flood, LinkCost: compareLinkCost}
 	for r, region := range s.regions {
 		scenario.Regions = append(scenario.Regions, load.Region{Name: region, Entry: fmt.Sprintf("%s:%d", d.node(region+"-1").ip, portCaller), Price: s.prices[r]})
 	}
-	var happening sync.WaitGroup
-	if tr.happen != nil {
-		happening.Go(func() { tr.happen(d, *compareTime) })
+	var injection sync.WaitGroup
+	if tr.inject != nil {
+		injection.Go(func() { tr.inject(d, *compareDuration) })
 	}
 	report := load.Summarise(scenario, load.NewRunner(scenario).Run(context.Background()))
-	happening.Wait()
+	injection.Wait()
 	for _, wrong := range report.Wrong {
 		t.Errorf("wrong: %s", wrong)
 	}
-	d.checkOnce(report)
+	d.checkAtMostOnce(report)
 	return report
 }
 
--- a/systemtest/deployment_test.go
+++ b/systemtest/deployment_test.go
@@ -27,67 +27,68 @@
 	portStoreOps  = 8092
 	portServer    = 9000
 
-	writeToken  = "write-token-of-the-test"
-	readToken   = "read-token-of-the-test"
-	readyLimit  = 30 * time.Second
-	applyLimit  = 2 * time.Minute
-	perRegion   = 6
-	firstEngine = 50
-	firstPlain  = 80
+	writeToken       = "write-token-of-the-test"
+	readToken        = "read-token-of-the-test"
+	readyTimeout     = 30 * time.Second
+	applyTimeout     = 2 * time.Minute
+	clientsPerRegion = 6
+	firstEngineHost  = 50
+	firstServiceHost = 80
 )
 
-// firstBlock keeps runs at the same time on one machine apart.
-var firstBlock = flag.Int("first-block", 20, "first byte of the addresses of deployments, 127.N")
-
-// blocks gives each deployment a second byte of 127.0.0.0/8 of its own.
-var blocks atomic.Int64
-
-// shape says how large a deployment is and how it is set.
-type shape struct {
-	regions  []string
-	hosts    []int // entry hosts of each region; the first has a store
-	engines  []int
-	services []int
-	prices   []float64
-	slots    int
-	link     time.Duration
-	// extra settings for every gateway, INI text.
-	gateway string
-	engine  []string
-	service []string
-	// real keeps the intervals that operators would use.
-	real bool
-	// bound tells which clients are tied to their region.
-	bound func(region string, i int) bool
-	// class of a client; "standard" when nil.
-	class func(region string, i int) string
-	// tls runs peers and operators with certificates.
+// firstBlock separates the addresses of simultaneous runs on one machine.
+var firstBlock = flag.Int("first-block", 20, "deployments use the addresses 127.N+1.0.0/16 and following")
+
+// lastBlock counts the deployments: each one uses its own second byte of the
+// 127.0.0.0/8 range.
+var lastBlock atomic.Int64
+
+// topology is the size of a deployment and its settings.
+type topology struct {
+	regions     []string
+	hosts       []int // entry hosts per region; the first of each also runs a store
+	engines     []int
+	services    []int
+	prices      []float64
+	slots       int
+	linkLatency time.Duration
+	// gatewaySettings is INI text added to the settings of every gateway.
+	gatewaySettings string
+	engineArgs      []string
+	serviceArgs     []string
+	// productionIntervals keeps the default intervals instead of the short ones for tests.
+	productionIntervals bool
+	// regionBound reports whether a client has a residency rule for its home region.
+	regionBound func(region string, i int) bool
+	// clientClass returns the class of a client; "standard" if nil.
+	clientClass func(region string, i int) string
+	// tls makes peers and operators use certificates.
 	tls bool
-	// fences tells that the engines check fences.
-	fences bool
-	// alone keeps other tests from running beside it.
-	alone bool
+	// checksFences declares in the configuration that the engines check fences.
+	checksFences bool
+	// exclusive keeps other tests from running in parallel with this one.
+	exclusive bool
 }
 
-func dispatchShape() shape {
-	return shape{
+func dispatchTopology() topology {
+	return topology{
 		regions: []string{"karachi", "lahore", "peshawar"}, hosts: []int{3, 3, 2}, engines: []int{4, 4, 4}, services: []int{1, 1, 1},
-		prices: []float64{1, 1.2, 0.9}, slots: 8, link: 55 * time.Millisecond,
+		prices: []float64{1, 1.2, 0.9}, slots: 8, linkLatency: 55 * time.Millisecond,
 	}
 }
 
-func parklineShape() shape {
-	s := dispatchShape()
+func parklineTopology() topology {
+	s := dispatchTopology()
 	s.regions = []string{"accra", "kumasi", "takoradi"}
 	s.prices = []float64{1, 0.6, 0.8}
 	return s
 }
 
-// smallShape is enough for most failures: one gateway and one store a region.
-func smallShape() shape {
-	return shape{
+// smallTopology has one gateway and one store per region, enough for most failures.
+func smallTopology() topology {
+	return topology{
 		regions: []string{"karachi", "lahore", "peshawar"}, hosts: []int{1, 1, 1}, engines: []int{1, 1, 1}, services: []int{1, 1, 1},
-		prices: []float64{1, 1, 1}, slots: 8, link: 5 * time.Millisecond,
+		prices: []float64{1, 1, 1}, slots: 8, linkLatency: 5 * time.Millisecond,
 	}
 }
 
@@ -96,7 +97,7 @@
 	name    string
 	region  string
 	ip      string
-	front   string
+	proxyIP string
 	gateway *process
 	store   *process
 	dir     string
@@ -104,23 +105,24 @@
 
 // server is one backend server.
 type server struct {
-	name   string
-	region string
-	pool   string
-	addr   string
-	run    *process
+	name    string
+	region  string
+	pool    string
+	addr    string
+	process *process
 }
 
-// deployment is a whole running system with its neighbours.
+// deployment is a complete running system with stand-ins for the backend servers,
+// the client directory and the platform's host list.
 type deployment struct {
-	t       testing.TB
-	s       shape
-	block   int
-	dir     string
-	net     *network
-	nodes   []*node
-	servers []*server
-	ops     *opsclient.Client
+	t        testing.TB
+	topology topology
+	block    int
+	dir      string
+	network  *network
+	nodes    []*node
+	servers  []*server
+	operator *opsclient.Client
 
 	directory *process
 }
@@ -129,23 +131,23 @@
 	return fmt.Sprintf("127.%d.%d.%d", d.block, region+1, host)
 }
 
-// prepare writes everything down and starts the neighbours, not the system.
-func prepare(t testing.TB, s shape) *deployment {
+// prepare writes all settings and starts the stand-ins, but no store or gateway.
+func prepare(t testing.TB, s topology) *deployment {
 	t.Helper()
-	if test, ok := t.(*testing.T); ok && !s.alone {
+	if test, ok := t.(*testing.T); ok && !s.exclusive {
 		test.Parallel()
 	}
-	d := &deployment{t: t, s: s, block: *firstBlock + int(blocks.Add(1))%200, dir: t.TempDir()}
-	d.net = newNetwork(t, d.rule)
+	d := &deployment{t: t, topology: s, block: *firstBlock + int(lastBlock.Add(1))%200, dir: t.TempDir()}
+	d.network = newNetwork(t, d.linkBetween)
 	for r, region := range s.regions {
 		for h := range s.hosts[r] {
 			d.addNode(r, h, region)
 		}
 		for e := range s.engines[r] {
-			d.servers = append(d.servers, &server{name: fmt.Sprintf("engine-%s-%d", region, e), region: region, pool: "engines", addr: fmt.Sprintf("%s:%d", d.ip(r, firstEngine+e), portServer)})
+			d.servers = append(d.servers, &server{name: fmt.Sprintf("engine-%s-%d", region, e), region: region, pool: "engines", addr: fmt.Sprintf("%s:%d", d.ip(r, firstEngineHost+e), portServer)})
 		}
 		for e := range s.services[r] {
-			d.servers = append(d.servers, &server{name: fmt.Sprintf("service-%s-%d", region, e), region: region, pool: "services", addr: fmt.Sprintf("%s:%d", d.ip(r, firstPlain+e), portServer)})
+			d.servers = append(d.servers, &server{name: fmt.Sprintf("service-%s-%d", region, e), region: region, pool: "services", addr: fmt.Sprintf("%s:%d", d.ip(r, firstServiceHost+e), portServer)})
 		}
 	}
 	d.writeFiles()
@@ -154,24 +156,24 @@
 }
 
 func (d *deployment) addNode(r, h int, region string) {
-	n := &node{name: fmt.Sprintf("%s-%d", region, h+1), region: region, ip: d.ip(r, h+1), front: fmt.Sprintf("127.%d.%d.%d", d.block, 100+r+1, h+1)}
+	n := &node{name: fmt.Sprintf("%s-%d", region, h+1), region: region, ip: d.ip(r, h+1), proxyIP: fmt.Sprintf("127.%d.%d.%d", d.block, 100+r+1, h+1)}
 	n.dir = filepath.Join(d.dir, n.name)
 	if err := os.MkdirAll(n.dir, 0o700); err != nil {
 		d.t.Fatal(err)
 	}
-	d.net.front(fmt.Sprintf("%s:%d", n.front, portPeer), fmt.Sprintf("%s:%d", n.ip, portPeer), n.ip)
+	d.network.proxy(fmt.Sprintf("%s:%d", n.proxyIP, portPeer), fmt.Sprintf("%s:%d", n.ip, portPeer), n.ip)
 	if h == 0 {
-		d.net.front(fmt.Sprintf("%s:%d", n.front, portStorePeer), fmt.Sprintf("%s:%d", n.ip, portStorePeer), n.ip)
+		d.network.proxy(fmt.Sprintf("%s:%d", n.proxyIP, portStorePeer), fmt.Sprintf("%s:%d", n.ip, portStorePeer), n.ip)
 	}
 	d.nodes = append(d.nodes, n)
 }
 
-// rule delays what goes between regions.
-func (d *deployment) rule(from, to string) rule {
+// linkBetween adds the link latency between hosts of different regions.
+func (d *deployment) linkBetween(from, to string) linkRule {
 	if regionByte(from) == regionByte(to) {
-		return rule{}
+		return linkRule{}
 	}
-	return rule{delay: d.s.link}
+	return linkRule{delay: d.topology.linkLatency}
 }
 
 func regionByte(ip string) string { return strings.Split(ip, ".")[2] }
@@ -208,7 +210,8 @@
 	return nil
 }
 
-// ips returns the addresses of the hosts of a region, or of all others.
+// ips returns the addresses of the hosts of a region, or with others those of all
+// hosts outside it.
 func (d *deployment) ips(region string, others bool) []string {
 	var out []string
 	for _, n := range d.nodes {
@@ -219,9 +222,9 @@
 	return out
 }
 
-// cutRegion cuts a region off from the others.
-func (d *deployment) cutRegion(region string) {
-	d.net.cutBoth(d.ips(region, false), d.ips(region, true))
+// isolateRegion partitions a region from all others.
+func (d *deployment) isolateRegion(region string) {
+	d.network.partition(d.ips(region, false), d.ips(region, true))
 }
 
 func (d *deployment) startPlatform() {
@@ -234,12 +237,12 @@
 
 func (d *deployment) startServer(s *server) {
 	if s.pool == "engines" {
-		args := append([]string{"engine", "--address", s.addr, "--slots", fmt.Sprint(d.s.slots)}, d.s.engine...)
-		s.run = start(d.t, s.name, "wheelgauge-fake", args...)
+		args := append([]string{"engine", "--address", s.addr, "--slots", fmt.Sprint(d.topology.slots)}, d.topology.engineArgs...)
+		s.process = start(d.t, s.name, "wheelgauge-fake", args...)
 		return
 	}
-	args := append([]string{"service", "--address", s.addr, "--name", s.name}, d.s.service...)
-	s.run = start(d.t, s.name, "wheelgauge-fake", args...)
+	args := append([]string{"service", "--address", s.addr, "--name", s.name}, d.topology.serviceArgs...)
+	s.process = start(d.t, s.name, "wheelgauge-fake", args...)
 }
 
 func (d *deployment) startStore(n *node) {
@@ -250,8 +253,9 @@
 	n.gateway = start(d.t, "gateway "+n.name, "wheelgauge-gateway", "--config", filepath.Join(n.dir, "gateway.ini"))
 }
 
-// found sets the stores up for the first time.
-func (d *deployment) found() {
+// initStores creates the state of all stores: the first founds the cluster, the
+// others get a claim store only.
+func (d *deployment) initStores() {
 	for i, n := range d.storeNodes() {
 		args := []string{"found", "--config", filepath.Join(n.dir, "store.ini")}
 		if i > 0 {
@@ -263,11 +267,11 @@
 	}
 }
 
-// launch starts a whole system and applies its configuration.
-func launch(t testing.TB, s shape) *deployment {
+// launch starts a complete system and applies its configuration.
+func launch(t testing.TB, s topology) *deployment {
 	t.Helper()
 	d := prepare(t, s)
-	d.found()
+	d.initStores()
 	for _, n := range d.storeNodes() {
 		d.startStore(n)
 	}
@@ -290,36 +294,37 @@
 	return voters
 }
 
-// awaitVoters waits until that many stores vote.
+// awaitVoters waits until the cluster has a leader and want voters.
 func (d *deployment) awaitVoters(want int) {
 	d.t.Helper()
-	eventually(d.t, readyLimit, "stores vote", func() error {
+	eventually(d.t, readyTimeout, "stores vote and have a leader", func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		s, err := d.ops.Status(ctx)
+		s, err := d.operator.Status(ctx)
 		if err != nil {
 			return err
 		}
 		voters := votersOf(s)
 		if voters != want || s.Replica.Leader == 0 {
-			return fmt.Errorf("%d voters of %d, leader %d", voters, want, s.Replica.Leader)
+			return fmt.Errorf("%d voters, want %d; leader %d", voters, want, s.Replica.Leader)
 		}
 		return nil
 	})
 }
 
-// awaitReady waits until every gateway that runs serves and knows its servers.
+// awaitReady waits until every running gateway has a configuration and sees all
+// servers and regions.
 func (d *deployment) awaitReady() {
 	d.t.Helper()
 	for _, n := range d.nodes {
-		if n.gateway == nil || n.gateway.gone {
+		if n.gateway == nil || n.gateway.exited {
 			continue
 		}
-		eventually(d.t, readyLimit, n.name+" is ready", func() error { return d.ready(n) })
+		eventually(d.t, readyTimeout, n.name+" is ready", func() error { return d.checkReady(n) })
 	}
 }
 
-func (d *deployment) ready(n *node) error {
+func (d *deployment) checkReady(n *node) error {
 	var s struct {
 		Generation uint64 `json:"generation"`
 		Servers    []struct {
@@ -336,14 +341,14 @@
 	if s.Generation == 0 {
 		return fmt.Errorf("no configuration")
 	}
-	for _, one := range s.Servers {
-		if !one.Alive {
-			return fmt.Errorf("a server of %d is not seen", len(s.Servers))
+	for _, sv := range s.Servers {
+		if !sv.Alive {
+			return fmt.Errorf("not all of %d servers are seen alive", len(s.Servers))
 		}
 	}
-	for _, one := range s.Regions {
-		if one.Hosts == 0 {
-			return fmt.Errorf("a region of %d is not seen", len(s.Regions))
+	for _, rg := range s.Regions {
+		if rg.Hosts == 0 {
+			return fmt.Errorf("not all of %d regions have a live host", len(s.Regions))
 		}
 	}
 	return nil
@@ -379,32 +384,32 @@
 	add := func(kind wheelgauge.Kind, name string, v any) {
 		out = append(out, wheelgauge.Resource{Kind: kind, Name: name, Spec: spec(v)})
 	}
-	for r, region := range d.s.regions {
+	for r, region := range d.topology.regions {
 		links := map[string]float64{}
-		for _, other := range d.s.regions {
+		for _, other := range d.topology.regions {
 			if other != region {
-				links[other] = float64(d.s.link.Milliseconds())
+				links[other] = float64(d.topology.linkLatency.Milliseconds())
 			}
 		}
-		add(wheelgauge.KindRegion, region, wheelgauge.RegionSpec{Price: d.s.prices[r], Links: links, Claims: region + "-1"})
+		add(wheelgauge.KindRegion, region, wheelgauge.RegionSpec{Price: d.topology.prices[r], Links: links, Claims: region + "-1"})
 		add(wheelgauge.KindHall, region+"-hall", wheelgauge.HallSpec{Region: region})
 	}
 	for _, n := range d.nodes {
-		h := wheelgauge.HostSpec{Region: n.region, Hall: n.region + "-hall", Caller: fmt.Sprintf("%s:%d", n.ip, portCaller), Peer: fmt.Sprintf("%s:%d", n.front, portPeer)}
+		h := wheelgauge.HostSpec{Region: n.region, Hall: n.region + "-hall", Caller: fmt.Sprintf("%s:%d", n.ip, portCaller), Peer: fmt.Sprintf("%s:%d", n.proxyIP, portPeer)}
 		if strings.HasSuffix(n.name, "-1") {
-			h.Store = fmt.Sprintf("%s:%d", n.front, portStorePeer)
+			h.Store = fmt.Sprintf("%s:%d", n.proxyIP, portStorePeer)
 		}
 		add(wheelgauge.KindHost, n.name, h)
 	}
 	add(wheelgauge.KindPool, "engines", wheelgauge.PoolSpec{Type: wheelgauge.PoolEngine})
 	add(wheelgauge.KindPool, "services", wheelgauge.PoolSpec{Type: wheelgauge.PoolService})
 	for _, s := range d.servers {
-		slots := d.s.slots
+		slots := d.topology.slots
 		if s.pool == "services" {
 			slots = 64
 		}
 		add(wheelgauge.KindBackendServer, s.name, wheelgauge.BackendServerSpec{
-			Pool: s.pool, Region: s.region, Hall: s.region + "-hall", Address: s.addr, Slots: slots, ChecksFences: d.s.fences,
+			Pool: s.pool, Region: s.region, Hall: s.region + "-hall", Address: s.addr, Slots: slots, ChecksFences: d.topology.checksFences,
 		})
 	}
 	for _, model := range []string{"large", "small"} {
@@ -414,9 +419,9 @@
 	add(wheelgauge.KindRoute, "lookup", wheelgauge.RouteSpec{Path: "lookup/", Pool: "services"})
 	add(wheelgauge.KindRoute, "book", wheelgauge.RouteSpec{Path: "book/", Pool: "services", NotRepeatable: true})
 	add(wheelgauge.KindClientClass, "standard", wheelgauge.ClientClassSpec{Priority: 5})
-	for _, region := range d.s.regions {
-		for i := range perRegion {
-			if d.s.bound != nil && d.s.bound(region, i) {
+	for _, region := range d.topology.regions {
+		for i := range clientsPerRegion {
+			if d.topology.regionBound != nil && d.topology.regionBound(region, i) {
 				name := load.ClientName(region, i)
 				add(wheelgauge.KindResidencyRule, "bound-"+name, wheelgauge.ResidencyRuleSpec{Client: name, Regions: []string{region}})
 			}
@@ -425,15 +430,16 @@
 	return out
 }
 
-// apply puts resources in as an operator would: a change that is not known to be made is
-// sent again under its ID. All stores of a deployment share one disk here, on which a sync
-// takes some seconds beside other programs that write.
+// apply writes resources as an operator would and returns the newest generation. A
+// change whose result is unknown is sent again under the same ID: all stores of a
+// deployment share one disk, where a sync takes some seconds while other programs
+// write.
 func (d *deployment) apply(list []wheelgauge.Resource) uint64 {
 	d.t.Helper()
 	var newest uint64
 	for _, r := range list {
 		change := putChange(r)
-		eventually(d.t, applyLimit, fmt.Sprintf("%s %s is applied", r.Kind, r.Name), func() error {
+		eventually(d.t, applyTimeout, fmt.Sprintf("%s %s is applied", r.Kind, r.Name), func() error {
 			result, err := d.change(change)
 			if err != nil && wheelgauge.AsError(err).Status() < http.StatusInternalServerError {
 				d.t.Fatalf("apply %s %s: %v", r.Kind, r.Name, err)
@@ -445,7 +451,7 @@
 	return newest
 }
 
-// put sends a change once, as long as the operators' client is patient.
+// put sends one change; only the operator client's own retries apply.
 func (d *deployment) put(r wheelgauge.Resource) (wheelgauge.ChangeResult, error) {
 	return d.change(putChange(r))
 }
@@ -457,24 +463,24 @@
 func (d *deployment) change(c wheelgauge.Change) (wheelgauge.ChangeResult, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	return d.ops.Change(ctx, c, false)
+	return d.operator.Change(ctx, c, false)
 }
 
-// awaitInForce waits until every host obeys a generation.
+// awaitInForce waits until a generation is in force at every host.
 func (d *deployment) awaitInForce(generation uint64) {
 	d.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), readyLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	if err := d.ops.WaitInForce(ctx, generation); err != nil {
+	if err := d.operator.WaitInForce(ctx, generation); err != nil {
 		d.t.Fatal(err)
 	}
 }
 
-// executions adds up how often the services ran each reference.
+// executions returns how often the running services executed each reference.
 func (d *deployment) executions() map[string]int {
 	out := map[string]int{}
 	for _, s := range d.servers {
-		if s.pool != "services" || s.run.gone {
+		if s.pool != "services" || s.process.exited {
 			continue
 		}
 		counts := map[string]int{}
--- a/systemtest/fault_limit_test.go
+++ b/systemtest/fault_limit_test.go
@@ -12,42 +12,41 @@
 	"wheelgauge/fake/judge"
 )
 
-// limitRate is what each engine takes, in requests a second.
-const limitRate = 1.5
+// engineRateLimit is what each engine accepts, in requests per second.
+const engineRateLimit = 1.5
 
-// TestFaultServersThatNameALimit: engines in need name a limit in their answers. Hosts of all
-// regions passed it over: each engine got 222 to 232 in four seconds, 14 being allowed. Cause:
-// as in the mode with routes nothing read the header. Evidence: no host was restarted or cut
-// off, no region forwards here, and the code named the header nowhere.
-func TestFaultServersThatNameALimit(t *testing.T) {
-	s := smallShape()
+// TestFaultServerRateLimit: overloaded engines announce a rate limit in a response
+// header. Hosts that ignore the header send each engine 222 to 232 requests in four
+// seconds, where 14 are allowed.
+func TestFaultServerRateLimit(t *testing.T) {
+	s := smallTopology()
 	s.hosts, s.engines = []int{2, 1, 1}, []int{2, 1, 1}
-	s.engine = []string{"--limit", fmt.Sprint(limitRate), "--step", "2ms"}
+	s.engineArgs = []string{"--limit", fmt.Sprint(engineRateLimit), "--step", "2ms"}
 	d := launch(t, s)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var group sync.WaitGroup
 	defer group.Wait()
-	var served, refused, silent atomic.Int64
+	var served, refused, failed atomic.Int64
 	for _, n := range d.nodes {
 		for w := range 3 {
 			group.Go(func() {
 				for i := 0; ctx.Err() == nil; i++ {
-					r := d.do(n, chat(standby(n.region), fmt.Sprintf("question %d of %d at %s", i, w, n.name), 2))
+					r := d.send(n, chat(testClient(n.region), fmt.Sprintf("question %d of %d at %s", i, w, n.name), 2))
 					switch {
 					case r.status == http.StatusOK:
 						served.Add(1)
 					case r.status == http.StatusServiceUnavailable && r.header.Get("Retry-After") != "":
 						refused.Add(1)
 					default:
-						silent.Add(1)
+						failed.Add(1)
 					}
 					time.Sleep(50 * time.Millisecond)
 				}
 			})
 		}
 	}
-	time.Sleep(2 * time.Second) // hosts tell each other
+	time.Sleep(2 * time.Second) // the hosts exchange the limits
 	from := time.Now()
 	served.Store(0)
 	time.Sleep(2 * judge.ServerLimit().Window())
@@ -59,26 +58,26 @@
 		if e.pool != "engines" {
 			continue
 		}
-		offered += limitRate * to.Sub(from).Seconds()
-		var at []int64
-		if err := getJSON("http://"+e.addr+"/v1/arrivals", &at); err != nil {
+		offered += engineRateLimit * to.Sub(from).Seconds()
+		var arrivedMS []int64
+		if err := getJSON("http://"+e.addr+"/v1/arrivals", &arrivedMS); err != nil {
 			t.Fatal(err)
 		}
 		var arrivals []time.Time
-		for _, ms := range at {
+		for _, ms := range arrivedMS {
 			if ms >= from.UnixMilli() {
 				arrivals = append(arrivals, time.UnixMilli(ms))
 			}
 		}
-		if err := judge.ServerLimit().Check(limitRate, arrivals); err != nil {
-			t.Errorf("%s got %v", e.name, err)
+		if err := judge.ServerLimit().Check(engineRateLimit, arrivals); err != nil {
+			t.Errorf("%s: %v", e.name, err)
 		}
 	}
-	t.Logf("%d served of %.0f offered, %d refused, %d otherwise", got, offered, refused.Load(), silent.Load())
+	t.Logf("%d served of %.0f that the engines accept, %d refused, %d failed", got, offered, refused.Load(), failed.Load())
 	if float64(got) < offered/2 {
-		t.Errorf("%d were served of %.0f that the engines offered", got, offered)
+		t.Errorf("%d requests were served of %.0f that the engines accept, want at least half", got, offered)
 	}
-	if silent.Load() > 0 {
-		t.Errorf("%d requests were neither served nor told when to come back", silent.Load())
+	if failed.Load() > 0 {
+		t.Errorf("%d requests were neither served nor refused with Retry-After", failed.Load())
 	}
 }
--- a/systemtest/linear_test.go
+++ b/systemtest/fault_linearizable_test.go
@@ -15,14 +15,15 @@
 	"wheelgauge/peerhttp"
 )
 
-// registerInput is one operation on a resource: a read, or a put at a generation.
+// registerInput is one operation on a resource: a read, or a put at an expected
+// generation.
 type registerInput struct {
 	write    bool
 	expected uint64
 	value    int
 }
 
-// registerOutput is its answer; unknown when none came.
+// registerOutput is the result of an operation; unknown if no response came.
 type registerOutput struct {
 	unknown    bool
 	conflict   bool
@@ -30,15 +31,16 @@
 	value      int
 }
 
-// registerState is the register. After a write whose answer was lost, its
-// generation is not known until a read or a write shows it.
+// registerState is the state of the register. After a write whose response was lost,
+// its generation is unknown until a read or a write returns it.
 type registerState struct {
-	generation uint64
-	value      int
-	open       bool
+	generation        uint64
+	value             int
+	generationUnknown bool
 }
 
-// registerModel is a register whose writes name the generation they replace.
+// registerModel is a compare-and-set register: each write names the generation that
+// it replaces.
 var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{registerState{}} },
 	Step: func(state, input, output any) []any {
@@ -55,7 +57,7 @@
 	switch {
 	case out.unknown:
 		return []any{s}
-	case out.value == s.value && (s.open || out.generation == s.generation):
+	case out.value == s.value && (s.generationUnknown || out.generation == s.generation):
 		return []any{registerState{generation: out.generation, value: out.value}}
 	default:
 		return nil
@@ -63,26 +65,27 @@
 }
 
 func stepWrite(s registerState, in registerInput, out registerOutput) []any {
-	mayFit := s.open || in.expected == s.generation
-	mayNot := s.open || in.expected != s.generation
+	mayMatch := s.generationUnknown || in.expected == s.generation
+	mayConflict := s.generationUnknown || in.expected != s.generation
 	switch {
-	case out.unknown && mayFit:
-		return []any{s, registerState{value: in.value, open: true}}
+	case out.unknown && mayMatch:
+		return []any{s, registerState{value: in.value, generationUnknown: true}}
 	case out.unknown:
 		return []any{s}
-	case out.conflict && mayNot:
+	case out.conflict && mayConflict:
 		return []any{s}
-	case !out.conflict && mayFit:
+	case !out.conflict && mayMatch:
 		return []any{registerState{generation: out.generation, value: in.value}}
 	default:
 		return nil
 	}
 }
 
-// TestFaultLinear checks the histories of real stores under kills, freezes and
-// one-way cuts: reads and writes through any store are linearizable.
-func TestFaultLinear(t *testing.T) {
-	d := launch(t, smallShape())
+// TestFaultLinearizable records the history of real stores under kills, freezes and
+// partitions, one-way ones included: reads and writes through any store are
+// linearizable.
+func TestFaultLinearizable(t *testing.T) {
+	d := launch(t, smallTopology())
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	record := func(client int, call time.Time, in registerInput, out registerOutput) {
@@ -90,16 +93,16 @@
 		defer mu.Unlock()
 		end := time.Now()
 		if out.unknown {
-			end = end.Add(time.Hour) // it may still take effect
+			end = end.Add(time.Hour) // the write may still take effect
 		}
 		history = append(history, porcupine.Operation{ClientId: client, Input: in, Call: call.UnixNano(), Output: out, Return: end.UnixNano()})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	for client := range 5 {
-		group.Go(func() { d.operate(ctx, client, record) })
+		group.Go(func() { d.runOperations(ctx, client, record) })
 	}
-	d.shake(rand.New(rand.NewPCG(4, 4)), 8)
+	d.injectFaults(rand.New(rand.NewPCG(4, 4)), 8)
 	cancel()
 	group.Wait()
 	known := 0
@@ -108,17 +111,17 @@
 			known++
 		}
 	}
-	t.Logf("%d operations, %d with a known answer", len(history), known)
+	t.Logf("%d operations, %d with a known result", len(history), known)
 	if known < 30 {
-		t.Error("too few operations to prove anything")
+		t.Error("too few operations with a known result, want at least 30")
 	}
 	if got := porcupine.CheckOperationsTimeout(registerModel.ToModel(), history, time.Minute); got != porcupine.Ok {
 		t.Errorf("the history is not linearizable: %s", got)
 	}
 }
 
-// operate reads and writes through one store after the other.
-func (d *deployment) operate(ctx context.Context, client int, record func(int, time.Time, registerInput, registerOutput)) {
+// runOperations reads and writes through randomly chosen stores until ctx ends.
+func (d *deployment) runOperations(ctx context.Context, client int, record func(int, time.Time, registerInput, registerOutput)) {
 	rnd := rand.New(rand.NewPCG(uint64(client), 9))
 	stores := d.storeNodes()
 	var seen uint64
@@ -144,8 +147,8 @@
 	return err != nil && wheelgauge.AsError(err).Reason() == reason
 }
 
-// once calls a store's operator listener one time, without resending.
-func (d *deployment) once(n *node, method, query string, in, out any) error {
+// callOnce calls a store's operator listener without retries.
+func (d *deployment) callOnce(n *node, method, query string, in, out any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	client := peerhttp.NewClient(nil, writeToken)
@@ -155,7 +158,7 @@
 
 func (d *deployment) readRegister(n *node) registerOutput {
 	var r wheelgauge.Resource
-	err := d.once(n, "GET", "", nil, &r)
+	err := d.callOnce(n, "GET", "", nil, &r)
 	if isReason(err, wheelgauge.ReasonNotFound) {
 		return registerOutput{}
 	}
@@ -171,7 +174,7 @@
 
 func (d *deployment) writeRegister(n *node, in registerInput) registerOutput {
 	var result wheelgauge.ChangeResult
-	err := d.once(n, "PUT", fmt.Sprintf("?expected=%d", in.expected), wheelgauge.ClientClassSpec{Burst: in.value}, &result)
+	err := d.callOnce(n, "PUT", fmt.Sprintf("?expected=%d", in.expected), wheelgauge.ClientClassSpec{Burst: in.value}, &result)
 	if isReason(err, wheelgauge.ReasonConflict) {
 		return registerOutput{conflict: true}
 	}
@@ -181,10 +184,10 @@
 	return registerOutput{generation: result.Generation}
 }
 
-// shake kills, freezes and cuts stores, one trouble after the other.
-func (d *deployment) shake(rnd *rand.Rand, troubles int) {
+// injectFaults kills, freezes and partitions stores, one fault at a time.
+func (d *deployment) injectFaults(rnd *rand.Rand, faults int) {
 	stores := d.storeNodes()
-	for range troubles {
+	for range faults {
 		a, b := stores[rnd.IntN(len(stores))], stores[rnd.IntN(len(stores))]
 		kind := rnd.IntN(4)
 		switch kind {
@@ -193,9 +196,9 @@
 		case 1:
 			a.store.freeze()
 		case 2:
-			d.net.cutWay(a.ip, b.ip)
+			d.network.blockOneWay(a.ip, b.ip)
 		default:
-			d.net.cutBoth([]string{a.ip}, []string{stores[0].ip, stores[1].ip, stores[2].ip})
+			d.network.partition([]string{a.ip}, []string{stores[0].ip, stores[1].ip, stores[2].ip})
 		}
 		time.Sleep(700 * time.Millisecond)
 		switch kind {
@@ -204,7 +207,7 @@
 		case 1:
 			a.store.thaw()
 		default:
-			d.net.heal()
+			d.network.heal()
 		}
 		time.Sleep(400 * time.Millisecond)
 	}
--- a/systemtest/fault_orders_test.go
+++ b/systemtest/fault_orders_test.go
@@ -9,15 +9,15 @@
 	"wheelgauge"
 )
 
-// takenOrder is an order as an engine stand-in took it.
-type takenOrder struct {
+// receivedOrder is an order that a fake engine accepted, with the time.
+type receivedOrder struct {
 	wheelgauge.Order
 	AtMS int64 `json:"at_ms"`
 }
 
-func ordersAt(t testing.TB, s *server) []takenOrder {
+func ordersOf(t testing.TB, s *server) []receivedOrder {
 	t.Helper()
-	var out []takenOrder
+	var out []receivedOrder
 	if err := getJSON("http://"+s.addr+"/v1/orders", &out); err != nil {
 		t.Fatal(err)
 	}
@@ -28,33 +28,34 @@
 	return wheelgauge.Resource{Kind: wheelgauge.KindPlacement, Name: "small", Spec: spec(wheelgauge.PlacementSpec{Model: "small", Version: "1", Servers: servers})}
 }
 
-// TestFaultOrders moves a model while leaders are killed and frozen. It is
-// served all the time, and no engine takes an order of an earlier leader after
-// one of a later leader, whether it checks fences or not.
+// TestFaultOrders moves a model between engines while leaders are killed and frozen.
+// The model is served all the time, and no engine accepts an order from an earlier
+// leader after one from a later leader, whether or not it checks fences.
 func TestFaultOrders(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		t.Run(fmt.Sprintf("fences checked %t", fences), func(t *testing.T) {
-			s := smallShape()
-			s.engines, s.fences = []int{2, 0, 0}, fences
-			s.engine = []string{"--load-time", "1s", fmt.Sprintf("--checks-fences=%t", fences)}
-			moveUnderFaults(t, launch(t, s))
+			s := smallTopology()
+			s.engines, s.checksFences = []int{2, 0, 0}, fences
+			s.engineArgs = []string{"--load-time", "1s", fmt.Sprintf("--checks-fences=%t", fences)}
+			moveModelUnderFaults(t, launch(t, s))
 		})
 	}
 }
 
-func moveUnderFaults(t *testing.T, d *deployment) {
+func moveModelUnderFaults(t *testing.T, d *deployment) {
 	karachi := d.node("karachi-1")
-	one, two := d.server("engine-karachi-0"), d.server("engine-karachi-1")
-	d.apply([]wheelgauge.Resource{placement(one.name)})
+	engineA, engineB := d.server("engine-karachi-0"), d.server("engine-karachi-1")
+	d.apply([]wheelgauge.Resource{placement(engineA.name)})
 	eventually(t, 30*time.Second, "the model is served where it is placed", func() error {
-		// Without a Placement each engine serves it: a gateway that has not got this one yet
-		// answers before any engine has loaded the model, and there is nothing to move.
-		if len(ordersAt(t, one)) == 0 {
+		// Without a Placement each engine serves the model: a gateway that has not received
+		// this one yet answers before any engine has loaded the model, and there is nothing
+		// to move.
+		if len(ordersOf(t, engineA)) == 0 {
 			return errors.New("no order yet")
 		}
-		return whole(d.do(karachi, chat(standby("karachi"), "first", 2)), "first", 2)
+		return checkComplete(d.send(karachi, chat(testClient("karachi"), "first", 2)), "first", 2)
 	})
-	for round, to := range []*server{two, one, two} {
+	for round, to := range []*server{engineB, engineA, engineB} {
 		leader := d.leader()
 		if round%2 == 0 {
 			leader.store.kill()
@@ -64,12 +65,12 @@
 		d.apply([]wheelgauge.Resource{placement(to.name)})
 		eventually(t, 30*time.Second, "the model has moved", func() error {
 			prompt := fmt.Sprint("round ", round)
-			if err := whole(d.do(karachi, chat(standby("karachi"), prompt, 2)), prompt, 2); err != nil {
-				t.Fatalf("not served while it moves: %v", err)
+			if err := checkComplete(d.send(karachi, chat(testClient("karachi"), prompt, 2)), prompt, 2); err != nil {
+				t.Fatalf("model not served while it moves: %v", err)
 			}
-			last := ordersAt(t, to)
+			last := ordersOf(t, to)
 			if len(last) == 0 || last[len(last)-1].Action != wheelgauge.ActionLoad {
-				return fmt.Errorf("orders %v", last)
+				return fmt.Errorf("the last order is no load: %v", last)
 			}
 			return nil
 		})
@@ -80,27 +81,27 @@
 		}
 		d.awaitStore(leader, 1)
 	}
-	// An engine that restarts has lost what it had loaded: it is loaded again.
-	two.run.kill()
-	d.startServer(two)
+	// A restarted engine has lost its loaded model and must be told to load it again.
+	engineB.process.kill()
+	d.startServer(engineB)
 	eventually(t, 30*time.Second, "the model is served after a restart of its engine", func() error {
-		var taken []takenOrder
-		if err := getJSON("http://"+two.addr+"/v1/orders", &taken); err != nil || len(taken) == 0 {
+		var received []receivedOrder
+		if err := getJSON("http://"+engineB.addr+"/v1/orders", &received); err != nil || len(received) == 0 {
 			return fmt.Errorf("no order yet, %v", err)
 		}
-		return whole(d.do(karachi, chat(standby("karachi"), "restarted", 2)), "restarted", 2)
+		return checkComplete(d.send(karachi, chat(testClient("karachi"), "restarted", 2)), "restarted", 2)
 	})
-	for _, s := range []*server{one, two} {
+	for _, s := range []*server{engineA, engineB} {
 		var stats struct {
 			Unready int `json:"unready"`
 		}
 		if err := getJSON("http://"+s.addr+"/v1/stats", &stats); err != nil || stats.Unready > 0 {
-			t.Errorf("%s got %d requests for a model that it had not loaded, %v", s.name, stats.Unready, err)
+			t.Errorf("%s got %d requests for a model that it had not loaded, want none; %v", s.name, stats.Unready, err)
 		}
 		var highest uint64
-		for _, o := range ordersAt(t, s) {
+		for _, o := range ordersOf(t, s) {
 			if o.Fence < highest {
-				t.Errorf("%s took an order with fence %d after %d", s.name, o.Fence, highest)
+				t.Errorf("%s accepted an order with fence %d after one with fence %d", s.name, o.Fence, highest)
 			}
 			highest = max(highest, o.Fence)
 		}
--- a/systemtest/fault_overload_test.go
+++ b/systemtest/fault_overload_test.go
@@ -8,40 +8,42 @@
 	"wheelgauge"
 )
 
-// TestFaultOverload fills every region: a further request is refused at once as
-// not run, with when to come back, and waits at no engine.
+// TestFaultOverload fills every region: a further request is refused as not run with
+// a time to retry, and reaches no engine.
 func TestFaultOverload(t *testing.T) {
-	s := smallShape()
+	s := smallTopology()
 	s.slots = 1
-	s.gateway = "[requests]\nlongest_wait = 10ms\n"
+	s.gatewaySettings = "[requests]\nlongest_wait = 10ms\n"
 	d := launch(t, s)
 	var waits []func() reply
 	for i, n := range d.nodes {
-		for k := range 2 { // one runs, one waits
-			waits = append(waits, d.sendLater(t, n, chat(standby(n.region), fmt.Sprint("filler ", i, k), 300)))
+		for k := range 2 { // one runs, one is queued
+			waits = append(waits, d.sendAsync(t, n, chat(testClient(n.region), fmt.Sprint("filler ", i, k), 300)))
 		}
 	}
 	karachi := d.node("karachi-1")
-	begun := func() int { return d.started("karachi") + d.started("lahore") + d.started("peshawar") }
+	started := func() int {
+		return d.startedInRegion("karachi") + d.startedInRegion("lahore") + d.startedInRegion("peshawar")
+	}
 	last := 0
-	eventually(t, 10*time.Second, "every region is full and nothing is on its way", func() error {
-		was := last
-		last = begun()
+	eventually(t, 10*time.Second, "every region is full and no request is in transit", func() error {
+		before := last
+		last = started()
 		time.Sleep(300 * time.Millisecond)
-		if last != was || last < len(d.nodes) {
-			return fmt.Errorf("%d have begun, %d before", last, was)
+		if last != before || last < len(d.nodes) {
+			return fmt.Errorf("%d sequences have started, %d before the pause", last, before)
 		}
 		return nil
 	})
-	eventually(t, 10*time.Second, "everybody is refused", func() error {
-		before := begun()
+	eventually(t, 10*time.Second, "a further request is refused", func() error {
+		before := started()
 		began := time.Now()
-		r := d.do(karachi, chat(standby("karachi"), "one too many", 2))
-		if r.reason() != wheelgauge.ReasonOverloaded || r.outcome() != wheelgauge.OutcomeNotRun || r.fault.RetryAfter() == 0 {
+		r := d.send(karachi, chat(testClient("karachi"), "one too many", 2))
+		if r.reason() != wheelgauge.ReasonOverloaded || r.outcome() != wheelgauge.OutcomeNotRun || r.apiErr.RetryAfter() == 0 {
 			return fmt.Errorf("after %s got %s", time.Since(began), r)
 		}
-		if after := begun(); after != before {
-			t.Fatalf("a refused request was run")
+		if after := started(); after != before {
+			t.Fatalf("a refused request was run by an engine")
 		}
 		return nil
 	})
@@ -50,10 +52,10 @@
 	}
 }
 
-// sendLater sends a call and returns what waits for its answer.
-func (d *deployment) sendLater(t testing.TB, n *node, c call) func() reply {
+// sendAsync starts a call and returns a function that waits for its reply.
+func (d *deployment) sendAsync(t testing.TB, n *node, c call) func() reply {
 	t.Helper()
 	done := make(chan reply, 1)
-	go func() { done <- d.do(n, c) }()
+	go func() { done <- d.send(n, c) }()
 	return func() reply { return <-done }
 }
--- a/systemtest/fault_pushback_test.go
+++ b/systemtest/fault_pushback_test.go
@@ -15,119 +15,122 @@
 )
 
 const (
-	// sickTime is for how long an engine turns requests away, backoffAsked the rest that it asks
-	// for each time.
-	sickTime     = 2 * time.Second
-	backoffAsked = 3 * time.Second
+	// refusalPeriod is how long an engine refuses requests; requestedBackoff is the
+	// Retry-After of each refusal.
+	refusalPeriod    = 2 * time.Second
+	requestedBackoff = 3 * time.Second
 )
 
-// Engines that asked hosts for a backoff got requests all the same, then none for long.
-func TestFaultBackoffIsKept(t *testing.T) {
-	load := launchAsking(t)
-	until := time.Now().Add(sickTime)
-	load.tell(t, fmt.Sprintf("/v1/back-off?for_ms=%d&retry_after=%g", sickTime.Milliseconds(), backoffAsked.Seconds()))
-	time.Sleep(time.Until(until.Add(backoffAsked + judge.ServerBackoff().Again())))
-	load.await(t, "each engine is used again", func() bool {
-		for _, s := range load.asking {
-			if at := load.last(t, s); at.Before(until.Add(backoffAsked)) {
+// TestFaultServerBackoff: hosts send an engine no requests during the backoff that it
+// requests, and use it again soon afterwards.
+func TestFaultServerBackoff(t *testing.T) {
+	load := launchPushbackLoad(t)
+	until := time.Now().Add(refusalPeriod)
+	load.command(t, fmt.Sprintf("/v1/back-off?for_ms=%d&retry_after=%g", refusalPeriod.Milliseconds(), requestedBackoff.Seconds()))
+	time.Sleep(time.Until(until.Add(requestedBackoff + judge.ServerBackoff().Again())))
+	load.await(t, "each engine gets requests again after its backoff", func() bool {
+		for _, s := range load.engines {
+			if at := load.lastArrival(t, s); at.Before(until.Add(requestedBackoff)) {
 				return false
 			}
 		}
 		return true
 	})
-	load.end()
-	turned := 0
-	for _, s := range load.asking {
-		for host, log := range load.read(t, s) {
+	load.stop()
+	refused := 0
+	for _, s := range load.engines {
+		for host, log := range load.arrivals(t, s) {
 			var arrivals []time.Time
-			for _, one := range log {
-				arrivals = append(arrivals, time.UnixMilli(one.AtMS))
+			for _, a := range log {
+				arrivals = append(arrivals, time.UnixMilli(a.AtMS))
 			}
-			for i, one := range log {
-				if one.RetryAfter == "" {
+			for i, a := range log {
+				if a.RetryAfter == "" {
 					continue
 				}
-				turned++
-				if err := judge.ServerBackoff().Check(arrivals[i], backoffAsked, arrivals); err != nil {
-					t.Errorf("%s from %s: %v", s.name, host, err)
+				refused++
+				if err := judge.ServerBackoff().Check(arrivals[i], requestedBackoff, arrivals); err != nil {
+					t.Errorf("%s, requests from %s: %v", s.name, host, err)
 					break
 				}
 			}
 		}
 	}
-	if turned == 0 {
-		t.Error("no request was turned away")
+	if refused == 0 {
+		t.Error("no request was refused by an engine, want at least one")
 	}
 	load.report(t)
 }
 
-// Engines that said in their answers that they leave got requests all the same.
-func TestFaultServerThatSaysItLeaves(t *testing.T) {
+// TestFaultServerLeavingHeader: an engine that announces in its responses that it
+// leaves gets no more requests after one second.
+func TestFaultServerLeavingHeader(t *testing.T) {
 	const known = time.Second
-	load := launchAsking(t)
-	load.tell(t, "/v1/say-leaving")
-	time.Sleep(2 * backoffAsked)
-	load.end()
-	for _, s := range load.asking {
-		for host, log := range load.read(t, s) {
-			var told time.Time
+	load := launchPushbackLoad(t)
+	load.command(t, "/v1/say-leaving")
+	time.Sleep(2 * requestedBackoff)
+	load.stop()
+	for _, s := range load.engines {
+		for host, log := range load.arrivals(t, s) {
+			var announced time.Time
 			late := 0
-			for _, one := range log {
-				at := time.UnixMilli(one.AtMS)
-				if one.Leaving && told.IsZero() {
-					told = at
+			for _, a := range log {
+				at := time.UnixMilli(a.AtMS)
+				if a.Leaving && announced.IsZero() {
+					announced = at
 				}
-				if !told.IsZero() && at.Sub(told) > known {
+				if !announced.IsZero() && at.Sub(announced) > known {
 					late++
 				}
 			}
 			if late > 0 {
-				t.Errorf("%s got %d requests from %s later than %s after it had said that it leaves", s.name, late, host, known)
+				t.Errorf("%s got %d requests from %s later than %s after it announced that it leaves, want none", s.name, late, host, known)
 			}
 		}
 	}
 	load.report(t)
 }
 
-// askingLoad is a load on all hosts while the first engine of each region asks something.
-type askingLoad struct {
-	asking []*server
-	cancel context.CancelFunc
-	group  sync.WaitGroup
-	// served, refused and silent count requests by their end; silent ones were neither served
-	// nor told when to come back.
-	served, refused, silent atomic.Int64
+// pushbackLoad sends load through all hosts while the first engine of each region
+// pushes back.
+type pushbackLoad struct {
+	engines []*server
+	cancel  context.CancelFunc
+	group   sync.WaitGroup
+	// served, refused and failed count requests by result; failed ones were neither
+	// served nor refused with Retry-After.
+	served, refused, failed atomic.Int64
 }
 
-func launchAsking(t *testing.T) *askingLoad {
+func launchPushbackLoad(t *testing.T) *pushbackLoad {
 	t.Helper()
-	s := smallShape()
+	s := smallTopology()
 	s.hosts, s.engines = []int{2, 1, 1}, []int{3, 2, 2}
-	s.engine = []string{"--step", "2ms"}
+	s.engineArgs = []string{"--step", "2ms"}
 	d := launch(t, s)
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &askingLoad{cancel: cancel}
-	t.Cleanup(l.end)
+	l := &pushbackLoad{cancel: cancel}
+	t.Cleanup(l.stop)
 	seen := map[string]bool{}
 	for _, e := range d.servers {
 		if e.pool == "engines" && !seen[e.region] {
 			seen[e.region] = true
-			l.asking = append(l.asking, e)
+			l.engines = append(l.engines, e)
 		}
 	}
 	for _, n := range d.nodes {
 		for w := range 3 {
 			l.group.Go(func() {
 				for i := 0; ctx.Err() == nil; i++ {
-					l.note(d.do(n, chat(standby(n.region), fmt.Sprintf("question %d of %d at %s", i, w, n.name), 2)))
+					l.record(d.send(n, chat(testClient(n.region), fmt.Sprintf("question %d of %d at %s", i, w, n.name), 2)))
 					time.Sleep(30 * time.Millisecond)
 				}
 			})
 		}
 	}
-	l.await(t, "each engine is used", func() bool {
-		for _, s := range l.asking {
-			if l.last(t, s).IsZero() {
+	l.await(t, "each engine gets requests", func() bool {
+		for _, s := range l.engines {
+			if l.lastArrival(t, s).IsZero() {
 				return false
 			}
 		}
@@ -136,26 +139,26 @@
 	return l
 }
 
-func (l *askingLoad) note(r reply) {
+func (l *pushbackLoad) record(r reply) {
 	switch {
 	case r.status == http.StatusOK:
 		l.served.Add(1)
 	case r.status == http.StatusServiceUnavailable && r.header.Get("Retry-After") != "":
 		l.refused.Add(1)
 	default:
-		l.silent.Add(1)
+		l.failed.Add(1)
 	}
 }
 
-func (l *askingLoad) end() {
+func (l *pushbackLoad) stop() {
 	l.cancel()
 	l.group.Wait()
 }
 
-// tell sends a command to the engines that ask.
-func (l *askingLoad) tell(t *testing.T, path string) {
+// command sends a control request to the engines that push back.
+func (l *pushbackLoad) command(t *testing.T, path string) {
 	t.Helper()
-	for _, s := range l.asking {
+	for _, s := range l.engines {
 		resp, err := http.Get("http://" + s.addr + path)
 		if err != nil {
 			t.Fatal(err)
@@ -164,27 +167,27 @@
 	}
 }
 
-// read returns the requests that an engine got, by the host that sent them.
-func (l *askingLoad) read(t *testing.T, s *server) map[string][]engine.Asked {
+// arrivals returns the requests that an engine received, by sending host.
+func (l *pushbackLoad) arrivals(t *testing.T, s *server) map[string][]engine.Asked {
 	t.Helper()
 	var log []engine.Asked
 	if err := getJSON("http://"+s.addr+"/v1/asked", &log); err != nil {
 		t.Fatal(err)
 	}
 	out := map[string][]engine.Asked{}
-	for _, one := range log {
-		parts := strings.Split(one.ID, "-")
+	for _, a := range log {
+		parts := strings.Split(a.ID, "-")
 		host := strings.Join(parts[:len(parts)-2], "-")
-		out[host] = append(out[host], one)
+		out[host] = append(out[host], a)
 	}
 	return out
 }
 
-// last returns when an engine got its last request; zero if it has not got any.
-func (l *askingLoad) last(t *testing.T, s *server) time.Time {
+// lastArrival returns when an engine received its last request; zero if none.
+func (l *pushbackLoad) lastArrival(t *testing.T, s *server) time.Time {
 	t.Helper()
 	var last time.Time
-	for _, log := range l.read(t, s) {
+	for _, log := range l.arrivals(t, s) {
 		if at := time.UnixMilli(log[len(log)-1].AtMS); at.After(last) {
 			last = at
 		}
@@ -192,19 +195,19 @@
 	return last
 }
 
-func (l *askingLoad) await(t *testing.T, what string, ok func() bool) {
+func (l *pushbackLoad) await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); !ok(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("not seen: %s", what)
+			t.Fatalf("not within 20 s: %s", what)
 		}
 	}
 }
 
-func (l *askingLoad) report(t *testing.T) {
+func (l *pushbackLoad) report(t *testing.T) {
 	t.Helper()
-	t.Logf("%d served, %d refused, %d otherwise", l.served.Load(), l.refused.Load(), l.silent.Load())
-	if l.refused.Load() > 0 || l.silent.Load() > 0 {
-		t.Errorf("%d requests were refused and %d failed, with other engines idle", l.refused.Load(), l.silent.Load())
+	t.Logf("%d served, %d refused, %d failed", l.served.Load(), l.refused.Load(), l.failed.Load())
+	if l.refused.Load() > 0 || l.failed.Load() > 0 {
+		t.Errorf("%d requests were refused and %d failed while other engines were idle, want none", l.refused.Load(), l.failed.Load())
 	}
 }
--- a/systemtest/fault_store_test.go
+++ b/systemtest/fault_store_test.go
@@ -23,21 +23,21 @@
 	return wheelgauge.Resource{Kind: wheelgauge.KindClientClass, Name: name, Spec: spec(wheelgauge.ClientClassSpec{Priority: priority})}
 }
 
-// opsAt returns a client of one store only.
-func (d *deployment) opsAt(n *node) *opsclient.Client {
+// operatorAt returns an operator client that uses one store only.
+func (d *deployment) operatorAt(n *node) *opsclient.Client {
 	return opsclient.New([]string{fmt.Sprintf("%s:%d", n.ip, portStoreOps)}, writeToken, nil)
 }
 
 func (d *deployment) leader() *node {
 	d.t.Helper()
 	var found *node
-	eventually(d.t, readyLimit, "a leader is known", func() error {
+	eventually(d.t, readyTimeout, "a leader is known", func() error {
 		for _, n := range d.storeNodes() {
-			if n.store.gone {
+			if n.store.exited {
 				continue
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-			s, err := d.opsAt(n).Status(ctx)
+			s, err := d.operatorAt(n).Status(ctx)
 			cancel()
 			if err != nil {
 				continue
@@ -54,11 +54,11 @@
 	return found
 }
 
-// TestFaultInForce applies changes while stores are killed, frozen and cut off;
-// each accepted one is in force everywhere within seconds, and no host ever
-// goes back.
+// TestFaultInForce applies changes while stores are killed, frozen and partitioned:
+// each accepted change is in force everywhere within 14 s, and no host returns to an
+// earlier generation.
 func TestFaultInForce(t *testing.T) {
-	d := launch(t, smallShape())
+	d := launch(t, smallTopology())
 	highest := map[string]uint64{}
 	check := func(step string, limit time.Duration) {
 		t.Helper()
@@ -68,10 +68,10 @@
 			for _, n := range d.nodes {
 				g, err := d.generation(n)
 				if err != nil || g < result {
-					return fmt.Errorf("%s is at %d of %d, %v", n.name, g, result, err)
+					return fmt.Errorf("%s is at generation %d, want %d, %v", n.name, g, result, err)
 				}
 				if g < highest[n.name] {
-					t.Fatalf("%s went back from %d to %d", n.name, highest[n.name], g)
+					t.Fatalf("%s went back from generation %d to %d", n.name, highest[n.name], g)
 				}
 				highest[n.name] = g
 			}
@@ -90,12 +90,12 @@
 	check("leader frozen in silence", 14*time.Second)
 	other.store.thaw()
 	check("leader thawed again", 14*time.Second)
-	// The region's store is cut off from the other stores, not from its gateway.
-	d.cutRegion("peshawar")
+	// The region's store is separated from the other stores, not from its gateway.
+	d.isolateRegion("peshawar")
 	if _, err := d.put(class("moving", 7)); err != nil {
 		t.Fatal(err)
 	}
-	d.net.heal()
+	d.network.heal()
 	check("healed after a cut", 14*time.Second)
 	for _, n := range d.nodes {
 		n.gateway.kill()
@@ -105,21 +105,21 @@
 	check("gateways restarted", 14*time.Second)
 }
 
-// TestFaultSilentStore freezes the store that a gateway watches: the gateway
-// notices within the wait and the silence that are set, says so in its log and
-// metrics, and follows another store.
+// TestFaultSilentStore freezes the store that a gateway watches: within the wait and
+// silent settings the gateway moves to another store and reports it in its log and
+// metrics.
 func TestFaultSilentStore(t *testing.T) {
-	d := launch(t, smallShape())
+	d := launch(t, smallTopology())
 	lahore := d.node("lahore-1")
 	lahore.store.freeze()
-	eventually(t, 5*time.Second, "the silent store is left", func() error {
+	eventually(t, 5*time.Second, "the gateway leaves the frozen store", func() error {
 		if d.counter(lahore, "config.store_moves") == 0 || !strings.Contains(lahore.gateway.log.String(), "Watch moves to another store") {
-			return errors.New("not noticed")
+			return errors.New("no move reported")
 		}
 		return nil
 	})
 	generation := d.apply([]wheelgauge.Resource{class("news", 3)})
-	eventually(t, 10*time.Second, "changes come from another store", func() error {
+	eventually(t, 10*time.Second, "changes arrive from another store", func() error {
 		if g, err := d.generation(lahore); err != nil || g < generation {
 			return fmt.Errorf("at %d of %d, %v", g, generation, err)
 		}
@@ -128,22 +128,22 @@
 	lahore.store.thaw()
 }
 
-// TestFaultCutStore: a store that answers but is cut off from the others is
-// left too, though its gateway still reaches it.
-func TestFaultCutStore(t *testing.T) {
-	s := smallShape()
+// TestFaultPartitionedStore: a gateway also leaves a store that still answers it but
+// is partitioned from the other stores.
+func TestFaultPartitionedStore(t *testing.T) {
+	s := smallTopology()
 	s.hosts = []int{1, 2, 1}
 	d := launch(t, s)
 	lahore, second := d.node("lahore-1"), d.node("lahore-2")
-	d.net.cutBoth([]string{lahore.ip}, d.ips("lahore", true))
-	eventually(t, 15*time.Second, "the cut-off store is left", func() error {
+	d.network.partition([]string{lahore.ip}, d.ips("lahore", true))
+	eventually(t, 15*time.Second, "the gateway leaves the partitioned store", func() error {
 		if d.counter(second, "config.store_moves") == 0 {
-			return errors.New("not noticed")
+			return errors.New("no move reported")
 		}
 		return nil
 	})
 	generation := d.apply([]wheelgauge.Resource{class("news", 3)})
-	eventually(t, 14*time.Second, "changes come from another region", func() error {
+	eventually(t, 14*time.Second, "changes arrive from another region", func() error {
 		if g, err := d.generation(second); err != nil || g < generation {
 			return fmt.Errorf("at %d of %d, %v", g, generation, err)
 		}
@@ -151,16 +151,16 @@
 	})
 }
 
-// TestFaultNeverOlder: a gateway that restarts beside a store that lags takes
-// the newest configuration it can reach, not that store's.
-func TestFaultNeverOlder(t *testing.T) {
-	s := smallShape()
+// TestFaultRestartBesideLaggingStore: a restarted gateway whose regional store lags
+// loads the newest configuration that it can reach, not that store's.
+func TestFaultRestartBesideLaggingStore(t *testing.T) {
+	s := smallTopology()
 	s.hosts = []int{1, 2, 1}
 	d := launch(t, s)
 	lahore, second := d.node("lahore-1"), d.node("lahore-2")
-	d.net.cutBoth([]string{lahore.ip}, d.ips("lahore", true))
+	d.network.partition([]string{lahore.ip}, d.ips("lahore", true))
 	generation := d.apply([]wheelgauge.Resource{class("news", 3)})
-	eventually(t, 15*time.Second, "news come from another region", func() error {
+	eventually(t, 15*time.Second, "the change arrives from another region", func() error {
 		if g, err := d.generation(second); err != nil || g < generation {
 			return fmt.Errorf("at %d of %d, %v", g, generation, err)
 		}
@@ -169,93 +169,93 @@
 	for range 3 {
 		second.gateway.kill()
 		d.startGateway(second)
-		eventually(t, readyLimit, "the gateway has a configuration", func() error {
+		eventually(t, readyTimeout, "the gateway has a configuration", func() error {
 			g, err := d.generation(second)
 			if err != nil || g == 0 {
 				return fmt.Errorf("at %d, %v", g, err)
 			}
 			if g < generation {
-				t.Fatalf("fell back to %d from %d", g, generation)
+				t.Fatalf("went back to generation %d from %d", g, generation)
 			}
 			return nil
 		})
 	}
 }
 
-// TestFaultOperatorsRace: many operators change one resource at the same
-// generation with different content through different stores, with lost
-// answers and a leader killed. One wins each round, each loser is told by whom,
-// and a resend of a change ID gets its first answer through any store.
+// TestFaultOperatorsRace: nine concurrent changes write one resource at the same
+// expected generation through three stores, with connections reset and a leader
+// killed. One change wins each round, each loser gets a conflict that names the
+// winning operator, and a resent change ID gets its first result through any store.
 func TestFaultOperatorsRace(t *testing.T) {
-	d := launch(t, smallShape())
+	d := launch(t, smallTopology())
 	stores := d.storeNodes()
-	type try struct {
+	type attempt struct {
 		change wheelgauge.Change
 		result wheelgauge.ChangeResult
 		err    error
 	}
-	var all []try
+	var all []attempt
 	for round := range 6 {
-		current, err := d.ops.Get(context.Background(), wheelgauge.KindClientClass, "standard")
+		current, err := d.operator.Get(context.Background(), wheelgauge.KindClientClass, "standard")
 		if err != nil {
 			t.Fatal(err)
 		}
-		tries := make([]try, 9)
+		attempts := make([]attempt, 9)
 		var group sync.WaitGroup
-		for i := range tries {
+		for i := range attempts {
 			c := wheelgauge.Change{ID: fmt.Sprintf("round-%d-%d", round, i), Op: wheelgauge.OpPut, Kind: wheelgauge.KindClientClass, Name: "standard", Expected: &current.Generation}
 			c.Spec = spec(wheelgauge.ClientClassSpec{Priority: i, Burst: round + 1})
-			tries[i].change = c
+			attempts[i].change = c
 			group.Go(func() {
-				tries[i].result, tries[i].err = d.opsAt(stores[i%3]).Change(context.Background(), c, false)
+				attempts[i].result, attempts[i].err = d.operatorAt(stores[i%3]).Change(context.Background(), c, false)
 			})
 		}
 		if round%2 == 1 {
-			d.net.reset() // answers are lost; the client sends again
+			d.network.reset() // responses are lost; the client sends again
 		}
 		group.Wait()
 		won := 0
-		for _, one := range tries {
-			if one.err == nil {
+		for _, a := range attempts {
+			if a.err == nil {
 				won++
 				continue
 			}
-			fault := wheelgauge.AsError(one.err)
-			if fault.Reason() != wheelgauge.ReasonConflict || !strings.Contains(fault.Detail(), "operator-a") {
-				t.Errorf("round %d: a loser was told %v", round, one.err)
+			apiErr := wheelgauge.AsError(a.err)
+			if apiErr.Reason() != wheelgauge.ReasonConflict || !strings.Contains(apiErr.Detail(), "operator-a") {
+				t.Errorf("round %d: a losing change got %v, want a conflict that names the operator", round, a.err)
 			}
 		}
 		if won != 1 {
-			t.Errorf("round %d: %d won", round, won)
+			t.Errorf("round %d: %d changes won, want 1", round, won)
 		}
-		all = append(all, tries...)
+		all = append(all, attempts...)
 	}
 	leader := d.leader()
 	leader.store.kill()
-	var living []*node
+	var alive []*node
 	for _, n := range stores {
 		if n != leader {
-			living = append(living, n)
+			alive = append(alive, n)
 		}
 	}
 	d.leader()
-	// Push the log over its compaction, so that the answers come from a snapshot.
-	d.pile(living[0], 600)
-	for i, one := range all {
-		again, err := d.opsAt(living[i%2]).Change(context.Background(), one.change, false)
-		if (err == nil) != (one.err == nil) || again.Generation != one.result.Generation {
-			t.Errorf("%s: first %+v, %v; again %+v, %v", one.change.ID, one.result, one.err, again, err)
+	// Enough changes to compact the log, so that the results come from a snapshot.
+	d.putMany(alive[0], 600)
+	for i, a := range all {
+		again, err := d.operatorAt(alive[i%2]).Change(context.Background(), a.change, false)
+		if (err == nil) != (a.err == nil) || again.Generation != a.result.Generation {
+			t.Errorf("%s: first %+v, %v; again %+v, %v", a.change.ID, a.result, a.err, again, err)
 		}
 	}
 }
 
-// TestFaultLostDisk: a store whose disk is lost comes back as a new member; a
-// second failure right after its repair loses nothing.
+// TestFaultLostDisk: a store whose disk is lost rejoins as a new member, and losing
+// a second disk right afterwards loses no data.
 func TestFaultLostDisk(t *testing.T) {
-	d := launch(t, smallShape())
+	d := launch(t, smallTopology())
 	generation := d.apply([]wheelgauge.Resource{class("kept", 4)})
 	lost, second := d.node("peshawar-1"), d.node("lahore-1")
-	before, err := d.opsAt(lost).Status(context.Background())
+	before, err := d.operatorAt(lost).Status(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -265,9 +265,9 @@
 	}
 	d.startStore(lost)
 	d.awaitStore(lost, generation)
-	after, err := d.opsAt(lost).Status(context.Background())
+	after, err := d.operatorAt(lost).Status(context.Background())
 	if err != nil || after.Replica.Self.ID == before.Replica.Self.ID {
-		t.Fatalf("it votes under its old identity: %v", err)
+		t.Fatalf("the store kept its old identity after losing its disk: %v", err)
 	}
 	second.store.kill()
 	if err := os.RemoveAll(filepath.Join(second.dir, "store")); err != nil {
@@ -278,33 +278,33 @@
 	d.awaitStore(second, newer)
 	for _, name := range []string{"kept", "after", "standard"} {
 		for _, n := range d.storeNodes() {
-			if _, err := d.opsAt(n).Get(context.Background(), wheelgauge.KindClientClass, name); err != nil {
+			if _, err := d.operatorAt(n).Get(context.Background(), wheelgauge.KindClientClass, name); err != nil {
 				t.Errorf("%s at %s: %v", name, n.name, err)
 			}
 		}
 	}
 }
 
-// awaitStore waits until a store is one of three voters and has a generation.
+// awaitStore waits until a store is one of three voters and has reached a generation.
 func (d *deployment) awaitStore(n *node, generation uint64) {
 	d.t.Helper()
-	eventually(d.t, readyLimit, n.name+" votes again", func() error {
-		s, err := d.opsAt(n).Status(context.Background())
+	eventually(d.t, readyTimeout, n.name+" votes again", func() error {
+		s, err := d.operatorAt(n).Status(context.Background())
 		if err != nil {
 			return err
 		}
 		voters := votersOf(s)
 		if !s.Replica.Self.Voter || voters != 3 || len(s.Replica.Members) != 3 || s.Generation < generation {
-			return fmt.Errorf("voter %t, %d voters of %d, generation %d of %d", s.Replica.Self.Voter, voters, len(s.Replica.Members), s.Generation, generation)
+			return fmt.Errorf("voter %t, %d voters of %d members, generation %d, want %d", s.Replica.Self.Voter, voters, len(s.Replica.Members), s.Generation, generation)
 		}
 		return nil
 	})
 }
 
-// TestFaultRestoredDisk: a folder restored from a copy is not taken for the
-// member whose log it holds.
+// TestFaultRestoredDisk: a store on a folder restored from an old copy must not vote
+// as the member whose log the copy holds.
 func TestFaultRestoredDisk(t *testing.T) {
-	d := launch(t, smallShape())
+	d := launch(t, smallTopology())
 	lost := d.node("peshawar-1")
 	folder, copied := filepath.Join(lost.dir, "store"), filepath.Join(lost.dir, "backup")
 	lost.store.kill()
@@ -313,7 +313,7 @@
 	}
 	d.startStore(lost)
 	d.awaitVoters(3)
-	before, err := d.opsAt(lost).Status(context.Background())
+	before, err := d.operatorAt(lost).Status(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -325,16 +325,17 @@
 	}
 	d.startStore(lost)
 	d.awaitStore(lost, generation)
-	after, err := d.opsAt(lost).Status(context.Background())
+	after, err := d.operatorAt(lost).Status(context.Background())
 	if err != nil || after.Replica.Self.ID == before.Replica.Self.ID {
-		t.Fatalf("a restored folder votes under its old identity: %v", err)
+		t.Fatalf("the store kept its old identity on a restored folder: %v", err)
 	}
 }
 
-// TestFaultOldDiskBack: a disk whose place a new member has taken comes back; it
-// gives its old identity up and joins anew.
-func TestFaultOldDiskBack(t *testing.T) {
-	d := launch(t, smallShape())
+// TestFaultReplacedDiskReturns: a store starts on a disk whose member has been replaced.
+// It exits with an error, gives up the old identity, and joins as a new member on the
+// next start.
+func TestFaultReplacedDiskReturns(t *testing.T) {
+	d := launch(t, smallTopology())
 	n := d.node("peshawar-1")
 	folder, kept := filepath.Join(n.dir, "store"), filepath.Join(n.dir, "kept")
 	n.store.kill()
@@ -349,13 +350,13 @@
 		t.Fatal(err)
 	}
 	d.startStore(n)
-	n.store.fails(readyLimit)
+	n.store.awaitFailure(readyTimeout)
 	d.startStore(n)
 	d.awaitStore(n, generation)
 }
 
-// damage flips the bits of a byte in the middle of a file.
-func damage(t testing.TB, path string) {
+// corruptFile inverts one byte in the middle of a file.
+func corruptFile(t testing.TB, path string) {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -367,20 +368,20 @@
 	}
 }
 
-// TestFaultCorruptDisk: a store with damage in its log does not start, and says
-// what is wrong and where.
+// TestFaultCorruptDisk: a store with a corrupt log does not start and reports the
+// damage and the file.
 func TestFaultCorruptDisk(t *testing.T) {
-	d := launch(t, smallShape())
+	d := launch(t, smallTopology())
 	n := d.node("peshawar-1")
 	n.store.kill()
 	path := filepath.Join(n.dir, "store", "replica", "raft.log")
-	damage(t, path)
+	corruptFile(t, path)
 	d.startStore(n)
-	n.store.fails(readyLimit)
+	n.store.awaitFailure(readyTimeout)
 	if text := n.store.log.String(); !strings.Contains(text, "corrupt") || !strings.Contains(text, path) {
-		t.Errorf("the log does not say what is wrong: %s", text)
+		t.Errorf("the output does not report the corrupt file: %s", text)
 	}
-	// A torn tail is no damage.
+	// An incomplete last record is not corruption.
 	n2 := d.node("lahore-1")
 	n2.store.kill()
 	torn := filepath.Join(n2.dir, "store", "replica", "raft.log")
@@ -397,21 +398,21 @@
 }
 
 const (
-	pileNames   = 50
-	pileWriters = 20
+	putManyNames   = 50
+	putManyWriters = 20
 )
 
-// pile makes many changes through one store and returns the last generation.
-func (d *deployment) pile(n *node, changes int) uint64 {
+// putMany makes concurrent changes through one store and returns the newest generation.
+func (d *deployment) putMany(n *node, changes int) uint64 {
 	d.t.Helper()
 	var group errgroup.Group
-	group.SetLimit(pileWriters)
+	group.SetLimit(putManyWriters)
 	var last atomic.Uint64
 	for i := range changes {
 		group.Go(func() error {
-			c := class(fmt.Sprint("piled-", i%pileNames), 0)
+			c := class(fmt.Sprint("piled-", i%putManyNames), 0)
 			c.Spec = spec(wheelgauge.ClientClassSpec{Burst: i + 1})
-			result, err := d.opsAt(n).Change(context.Background(), wheelgauge.Change{Op: wheelgauge.OpPut, Kind: c.Kind, Name: c.Name, Spec: c.Spec}, false)
+			result, err := d.operatorAt(n).Change(context.Background(), wheelgauge.Change{Op: wheelgauge.OpPut, Kind: c.Kind, Name: c.Name, Spec: c.Spec}, false)
 			for {
 				was := last.Load()
 				if was >= result.Generation || last.CompareAndSwap(was, result.Generation) {
@@ -426,12 +427,12 @@
 	return last.Load()
 }
 
-// TestFaultRestartAfterChanges restarts all stores at once after hundreds of
-// changes; nothing is lost and nothing comes back.
+// TestFaultRestartAfterChanges restarts all stores at once after 700 changes: no
+// change is lost and no overwritten state returns.
 func TestFaultRestartAfterChanges(t *testing.T) {
-	d := launch(t, smallShape())
+	d := launch(t, smallTopology())
 	const changes = 700
-	last := d.pile(d.leader(), changes)
+	last := d.putMany(d.leader(), changes)
 	for _, n := range d.storeNodes() {
 		n.store.kill()
 	}
@@ -439,31 +440,32 @@
 	for _, n := range d.storeNodes() {
 		d.startStore(n)
 	}
-	list, err := d.ops.List(context.Background(), wheelgauge.KindClientClass)
+	list, err := d.operator.List(context.Background(), wheelgauge.KindClientClass)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("answers %s after the restart of all stores with %d changes", time.Since(started).Round(time.Millisecond), changes)
-	if list.Generation != last || len(list.Resources) != pileNames+1 {
-		t.Errorf("generation %d of %d, %d classes", list.Generation, last, len(list.Resources))
+	t.Logf("first response %s after the restart of all stores with %d changes", time.Since(started).Round(time.Millisecond), changes)
+	if list.Generation != last || len(list.Resources) != putManyNames+1 {
+		t.Errorf("generation %d, want %d; %d classes", list.Generation, last, len(list.Resources))
 	}
 }
 
-// TestFaultClaimsDisk: a store whose claims are damaged does not start.
+// TestFaultClaimsDisk: a store with a corrupt claims log does not start, and bookings
+// are refused as not run.
 func TestFaultClaimsDisk(t *testing.T) {
-	d := launch(t, smallShape())
+	d := launch(t, smallTopology())
 	n := d.node("karachi-1")
 	for i := range 3 {
-		if r := d.do(n, book(standby("karachi"), fmt.Sprint("tanker-c", i), newKey())); r.status != 200 {
+		if r := d.send(n, book(testClient("karachi"), fmt.Sprint("tanker-c", i), newKey())); r.status != 200 {
 			t.Fatalf("booking: %s", r)
 		}
 	}
 	n.store.kill()
 	path := filepath.Join(n.dir, "store", "claims", "claims.log")
-	damage(t, path)
+	corruptFile(t, path)
 	d.startStore(n)
-	n.store.fails(readyLimit)
-	if r := d.do(n, book(standby("karachi"), "tanker-c9", newKey())); r.outcome() != wheelgauge.OutcomeNotRun {
-		t.Errorf("without claims: %s", r)
+	n.store.awaitFailure(readyTimeout)
+	if r := d.send(n, book(testClient("karachi"), "tanker-c9", newKey())); r.outcome() != wheelgauge.OutcomeNotRun {
+		t.Errorf("without a claim store: got %s, want not run", r)
 	}
 }
--- a/systemtest/files_test.go
+++ b/systemtest/files_test.go
@@ -16,36 +16,36 @@
 	"wheelgauge/peerhttp"
 )
 
-// tlsINI issues a certificate for a host and names its files.
+// tlsINI issues a certificate for a host and returns the settings that name its files.
 func (d *deployment) tlsINI(n *node) string {
-	if !d.s.tls {
+	if !d.topology.tls {
 		return ""
 	}
 	dir := filepath.Join(d.dir, "certs")
-	if out, err := command("wheelgaugectl", "certs", n.name, n.ip, n.front, "--dir", dir); err != nil {
+	if out, err := command("wheelgaugectl", "certs", n.name, n.ip, n.proxyIP, "--dir", dir); err != nil {
 		d.t.Fatalf("certs: %v\n%s", err, out)
 	}
 	return fmt.Sprintf("[tls]\ncertificate = %[1]s/%[2]s.pem\nkey = %[1]s/%[2]s.key\nauthority = %[1]s/authority.pem\n", dir, n.name)
 }
 
 func (d *deployment) writeFiles() {
-	write(d.t, d.dir, "operators.ini", fmt.Sprintf("[operator-a]\ntoken = %s\nrole = write\n[reader]\ntoken = %s\nrole = read\n", writeToken, readToken))
+	writeFile(d.t, d.dir, "operators.ini", fmt.Sprintf("[operator-a]\ntoken = %s\nrole = write\n[reader]\ntoken = %s\nrole = read\n", writeToken, readToken))
 	var stores []string
 	for _, n := range d.storeNodes() {
-		stores = append(stores, fmt.Sprintf("%s:%d", n.front, portStorePeer))
+		stores = append(stores, fmt.Sprintf("%s:%d", n.proxyIP, portStorePeer))
 	}
 	for _, n := range d.storeNodes() {
-		write(d.t, n.dir, "store.ini", d.storeINI(n, stores)+d.tlsINI(n))
+		writeFile(d.t, n.dir, "store.ini", d.storeINI(n, stores)+d.tlsINI(n))
 	}
 	for _, n := range d.nodes {
-		write(d.t, n.dir, "gateway.ini", d.gatewayINI(n, d.storesFrom(n, stores))+d.tlsINI(n))
+		writeFile(d.t, n.dir, "gateway.ini", d.gatewayINI(n, d.ownStoreFirst(n, stores))+d.tlsINI(n))
 	}
-	d.ops = opsclient.New(d.operators(), writeToken, d.secure())
+	d.operator = opsclient.New(d.operatorAddresses(), writeToken, d.operatorTLS())
 	d.writeClients()
 }
 
-// operators returns the addresses of the stores' operator listeners.
-func (d *deployment) operators() []string {
+// operatorAddresses returns the addresses of the stores' operator listeners.
+func (d *deployment) operatorAddresses() []string {
 	var out []string
 	for _, n := range d.storeNodes() {
 		out = append(out, fmt.Sprintf("%s:%d", n.ip, portStoreOps))
@@ -53,9 +53,9 @@
 	return out
 }
 
-// secure is how operators check the stores; nil without TLS.
-func (d *deployment) secure() peerhttp.Secure {
-	if !d.s.tls {
+// operatorTLS returns the TLS settings of the operator client; nil without TLS.
+func (d *deployment) operatorTLS() peerhttp.Secure {
+	if !d.topology.tls {
 		return nil
 	}
 	data, err := os.ReadFile(filepath.Join(d.dir, "certs", "authority.pem"))
@@ -69,8 +69,8 @@
 	}
 }
 
-// storesFrom puts the store of the node's own region first.
-func (d *deployment) storesFrom(n *node, stores []string) []string {
+// ownStoreFirst returns the stores with that of the node's own region first.
+func (d *deployment) ownStoreFirst(n *node, stores []string) []string {
 	var out []string
 	for i, s := range d.storeNodes() {
 		if s.region == n.region {
@@ -100,12 +100,13 @@
 [log]
 level = debug
 `, n.name, n.region, n.ip, filepath.Join(n.dir, "store"), strings.Join(stores, ","), filepath.Join(d.dir, "operators.ini"),
-		d.pace("tick = 20ms\nheartbeat = 200ms"), n.ip, portStorePeer, n.front, portStorePeer, n.ip, portStoreOps, d.pace("interval = 200ms\nload_limit = 5s"))
+		d.shortIntervals("tick = 20ms\nheartbeat = 200ms"), n.ip, portStorePeer, n.proxyIP, portStorePeer, n.ip, portStoreOps, d.shortIntervals("interval = 200ms\nload_limit = 5s"))
 	return text
 }
 
-func (d *deployment) pace(quick string) string {
-	if d.s.real {
+// shortIntervals returns the given settings, or nothing with production intervals.
+func (d *deployment) shortIntervals(quick string) string {
+	if d.topology.productionIntervals {
 		return ""
 	}
 	return quick
@@ -115,7 +116,7 @@
 	var peers []string
 	for _, o := range d.nodes {
 		if o.region == n.region && o != n {
-			peers = append(peers, fmt.Sprintf("%s:%d", o.front, portPeer))
+			peers = append(peers, fmt.Sprintf("%s:%d", o.proxyIP, portPeer))
 		}
 	}
 	return fmt.Sprintf(`[host]
@@ -146,21 +147,21 @@
 level = debug
 %s
 `, n.name, n.region, n.region, n.ip, n.ip, portCaller, n.ip, portPeer, n.ip, portOperator, strings.Join(stores, ","),
-		d.pace("wait = 400ms\nsilent = 600ms"), strings.Join(peers, ","), d.block, d.block,
-		d.pace("notice = 700ms"), d.pace("ttl = 300ms"), d.pace("heartbeat = 200ms"), d.s.gateway)
+		d.shortIntervals("wait = 400ms\nsilent = 600ms"), strings.Join(peers, ","), d.block, d.block,
+		d.shortIntervals("notice = 700ms"), d.shortIntervals("ttl = 300ms"), d.shortIntervals("heartbeat = 200ms"), d.topology.gatewaySettings)
 }
 
 func (d *deployment) classOf(region string, i int) string {
-	if d.s.class == nil {
+	if d.topology.clientClass == nil {
 		return "standard"
 	}
-	return d.s.class(region, i)
+	return d.topology.clientClass(region, i)
 }
 
 func (d *deployment) writeClients() {
 	var clients []directory.Client
-	for _, region := range d.s.regions {
-		for i := range perRegion {
+	for _, region := range d.topology.regions {
+		for i := range clientsPerRegion {
 			name := load.ClientName(region, i)
 			clients = append(clients, directory.Client{Credential: load.CredentialOf(name), Identity: wheelgauge.Identity{Client: name, Class: d.classOf(region, i), Home: region}})
 		}
@@ -169,5 +170,5 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	write(d.t, d.dir, "clients.json", string(data))
+	writeFile(d.t, d.dir, "clients.json", string(data))
 }
--- a/systemtest/network_test.go
+++ b/systemtest/network_test.go
@@ -7,44 +7,45 @@
 	"time"
 )
 
-// rule is what happens to bytes on their way from one host to another.
-type rule struct {
+// linkRule describes how the link from one host to another treats bytes.
+type linkRule struct {
 	delay time.Duration
 	cut   bool
 }
 
-// network is a proxy in front of hosts. Hosts connect from addresses of their
-// own, so it knows both ends of each connection.
+// network is a set of proxies in front of the hosts. Each host connects from its
+// own address, so that both ends of each connection are known.
 type network struct {
-	t         testing.TB
-	mu        sync.Mutex
-	cond      *sync.Cond
-	rules     func(from, to string) rule
-	cuts      map[[2]string]bool
-	closed    bool
-	listeners []net.Listener
-	conns     map[net.Conn]bool
-	bytes     map[string]int64 // sent and received by each host, through the proxy
-	group     sync.WaitGroup
-}
-
-// newNetwork returns a network whose lasting rules are given; hosts are IPs.
-func newNetwork(t testing.TB, rules func(from, to string) rule) *network {
-	n := &network{t: t, rules: rules, cuts: map[[2]string]bool{}, conns: map[net.Conn]bool{}, bytes: map[string]int64{}}
+	t          testing.TB
+	mu         sync.Mutex
+	cond       *sync.Cond
+	rules      func(from, to string) linkRule
+	blocked    map[[2]string]bool
+	closed     bool
+	listeners  []net.Listener
+	conns      map[net.Conn]bool
+	bytes      map[string]int64 // sent and received by each host through the proxies
+	goroutines sync.WaitGroup
+}
+
+// newNetwork returns a network; rules gives the rule of each link between two IP
+// addresses.
+func newNetwork(t testing.TB, rules func(from, to string) linkRule) *network {
+	n := &network{t: t, rules: rules, blocked: map[[2]string]bool{}, conns: map[net.Conn]bool{}, bytes: map[string]int64{}}
 	n.cond = sync.NewCond(&n.mu)
 	t.Cleanup(n.close)
 	return n
 }
 
-// front listens on address and passes connections on to target, of host.
-func (n *network) front(address, target, host string) {
+// proxy listens on address and forwards connections to target, a listener of host.
+func (n *network) proxy(address, target, host string) {
 	n.t.Helper()
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		n.t.Fatal(err)
 	}
 	n.listeners = append(n.listeners, l)
-	n.group.Go(func() { n.accept(l, target, host) })
+	n.goroutines.Go(func() { n.accept(l, target, host) })
 }
 
 func (n *network) accept(l net.Listener, target, host string) {
@@ -53,7 +54,7 @@
 		if err != nil {
 			return
 		}
-		n.group.Go(func() { n.serve(c, target, host) })
+		n.goroutines.Go(func() { n.serve(c, target, host) })
 	}
 }
 
@@ -63,8 +64,8 @@
 	if !n.track(c) {
 		return
 	}
-	// As over a real link, no connection comes about while a way is cut.
-	if !n.pass(from, host) || !n.pass(host, from) {
+	// As on a real link, a connection needs both directions open.
+	if !n.awaitOpen(from, host) || !n.awaitOpen(host, from) {
 		return
 	}
 	d, err := net.DialTimeout("tcp", target, time.Second)
@@ -75,10 +76,10 @@
 	if !n.track(d) {
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { n.pump(c, d, from, host) })
-	both.Go(func() { n.pump(d, c, host, from) })
-	both.Wait()
+	var pumps sync.WaitGroup
+	pumps.Go(func() { n.pump(c, d, from, host) })
+	pumps.Go(func() { n.pump(d, c, host, from) })
+	pumps.Wait()
 	n.untrack(c)
 	n.untrack(d)
 }
@@ -99,94 +100,96 @@
 	delete(n.conns, c)
 }
 
-type piece struct {
+type chunk struct {
 	data []byte
 	at   time.Time
 }
 
-// pump copies bytes with the delay of their way; a cut way holds them back.
+// pump copies bytes from a to b with the delay of the link. While that direction
+// is blocked, bytes wait.
 func (n *network) pump(from, to net.Conn, a, b string) {
-	pieces := make(chan piece, 1024)
+	chunks := make(chan chunk, 1024)
 	var reader sync.WaitGroup
 	reader.Go(func() {
-		defer close(pieces)
+		defer close(chunks)
 		buf := make([]byte, 32<<10)
 		for {
 			k, err := from.Read(buf)
 			if k > 0 {
-				pieces <- piece{append([]byte(nil), buf[:k]...), time.Now()}
+				chunks <- chunk{append([]byte(nil), buf[:k]...), time.Now()}
 			}
 			if err != nil {
 				return
 			}
 		}
 	})
-	for p := range pieces {
+	for p := range chunks {
 		if wait := n.rules(a, b).delay - time.Since(p.at); wait > 0 {
 			time.Sleep(wait)
 		}
-		if !n.pass(a, b) {
+		if !n.awaitOpen(a, b) {
 			break
 		}
-		n.count(a, b, len(p.data))
+		n.countBytes(a, b, len(p.data))
 		if _, err := to.Write(p.data); err != nil {
 			break
 		}
 	}
 	_ = to.Close()
 	_ = from.Close()
-	for range pieces {
+	for range chunks {
 		continue
 	}
 	reader.Wait()
 }
 
-func (n *network) count(from, to string, k int) {
+func (n *network) countBytes(from, to string, k int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.bytes[from] += int64(k)
 	n.bytes[to] += int64(k)
 }
 
-// traffic returns the bytes that a host sent and received so far.
+// traffic returns the number of bytes that a host has sent and received.
 func (n *network) traffic(host string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.bytes[host]
 }
 
-// pass waits while the way from a to b is cut; false means the network closed.
-func (n *network) pass(a, b string) bool {
+// awaitOpen waits while the direction from a to b is blocked. It returns false if
+// the network is closed.
+func (n *network) awaitOpen(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for n.cuts[[2]string{a, b}] && !n.closed {
+	for n.blocked[[2]string{a, b}] && !n.closed {
 		n.cond.Wait()
 	}
 	return !n.closed
 }
 
-// cutWay stops bytes from a to b, and only that way.
-func (n *network) cutWay(a, b string) {
+// blockOneWay blocks the direction from a to b only.
+func (n *network) blockOneWay(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[[2]string{a, b}] = true
+	n.blocked[[2]string{a, b}] = true
 }
 
-// cutBoth stops bytes between every one of as and every one of bs.
-func (n *network) cutBoth(as, bs []string) {
+// partition blocks both directions between each of as and each of bs.
+func (n *network) partition(as, bs []string) {
 	for _, a := range as {
 		for _, b := range bs {
-			n.cutWay(a, b)
-			n.cutWay(b, a)
+			n.blockOneWay(a, b)
+			n.blockOneWay(b, a)
 		}
 	}
 }
 
-// heal ends all cuts.
+// heal unblocks all links.
 func (n *network) heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.cuts)
+	clear(n.blocked)
 	n.cond.Broadcast()
 }
 
@@ -210,5 +213,5 @@
 	for _, l := range n.listeners {
 		_ = l.Close()
 	}
-	n.group.Wait()
+	n.goroutines.Wait()
 }
--- a/systemtest/process_test.go
+++ b/systemtest/process_test.go
@@ -1,5 +1,5 @@
-// Package systemtest runs the real programs, each host on an address of its
-// own, behind a fault-injecting proxy.
+// Package systemtest runs the real programs, each host on its own loopback
+// address behind a fault-injecting proxy.
 package systemtest
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// binaries is the folder of the programs under test.
+// binaries is the directory that holds the programs under test.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -48,27 +48,27 @@
 
 // process is a running program.
 type process struct {
-	t    testing.TB
-	name string
-	cmd  *exec.Cmd
-	log  *logFile
-	done chan error
-	gone bool
+	t      testing.TB
+	name   string
+	cmd    *exec.Cmd
+	log    *logBuffer
+	done   chan error
+	exited bool
 }
 
-// logFile keeps what a program writes.
-type logFile struct {
+// logBuffer collects the output of a program.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *logFile) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-func (l *logFile) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
@@ -77,7 +77,7 @@
 // start runs a program until the test ends.
 func start(t testing.TB, name, program string, args ...string) *process {
 	t.Helper()
-	p := &process{t: t, name: name, log: &logFile{}, done: make(chan error, 1)}
+	p := &process{t: t, name: name, log: &logBuffer{}, done: make(chan error, 1)}
 	p.cmd = exec.Command(filepath.Join(binaries, program), args...)
 	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -90,7 +90,7 @@
 }
 
 func (p *process) cleanup() {
-	if !p.gone {
+	if !p.exited {
 		p.signal(syscall.SIGCONT)
 		p.kill()
 	}
@@ -115,17 +115,18 @@
 	}
 }
 
-// kill ends the program at once and waits.
+// kill sends SIGKILL and waits until the program has exited.
 func (p *process) kill() {
-	p.gone = true
+	p.exited = true
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// terminate asks the program to stop and returns how it ended.
+// terminate sends SIGTERM and returns the exit error; after limit it kills the
+// program and returns an error that says so.
 func (p *process) terminate(limit time.Duration) error {
 	p.t.Helper()
-	p.gone = true
+	p.exited = true
 	p.signal(syscall.SIGTERM)
 	select {
 	case err := <-p.done:
@@ -137,20 +138,22 @@
 	}
 }
 
-// fails waits until the program ends by itself, with an error.
-func (p *process) fails(limit time.Duration) {
+// awaitFailure waits until the program exits on its own with an error.
+func (p *process) awaitFailure(limit time.Duration) {
 	p.t.Helper()
 	select {
 	case err := <-p.done:
-		p.gone = true
+		p.exited = true
 		if err == nil {
-			p.t.Fatalf("%s ended without an error", p.name)
+			p.t.Fatalf("%s exited without an error, want one", p.name)
 		}
 	case <-time.After(limit):
-		p.t.Fatalf("%s still runs after %s", p.name, limit)
+		p.t.Fatalf("%s still runs after %s, want it to exit with an error", p.name, limit)
 	}
 }
 
+// freeze stops the program with SIGSTOP, so that its connections stay open but
+// nothing answers; thaw continues it.
 func (p *process) freeze() { p.signal(syscall.SIGSTOP) }
 func (p *process) thaw()   { p.signal(syscall.SIGCONT) }
 
@@ -160,7 +163,7 @@
 	return string(out), err
 }
 
-// eventually waits for a condition.
+// eventually polls check until it returns nil and fails the test after limit.
 func eventually(t testing.TB, limit time.Duration, what string, check func() error) {
 	t.Helper()
 	end := time.Now().Add(limit)
@@ -174,8 +177,8 @@
 	}
 }
 
-// write puts a file under dir and returns its path.
-func write(t testing.TB, dir, name, text string) string {
+// writeFile creates a file in dir and returns its path.
+func writeFile(t testing.TB, dir, name, text string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
