--- a/entrynode/rollout_recovery_test.go
+++ b/entrynode/rollout_recovery_test.go
@@ -32,7 +32,7 @@
 		return after.Number != 0
 	})
 	if after.Number != before.Number || after.RolloutOrder != req || !after.Running() {
-		t.Errorf("got %+v after the restart, want the rollout of %+v", before, after)
+		t.Errorf("rollout before the restart %+v, after it %+v, want the same one, running", before, after)
 	}
 	if lost := before.ElapsedMS - after.ElapsedMS; lost > 4000 {
 		t.Errorf("lost %d ms of %d ms elapsed", lost, before.ElapsedMS)
