--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -14,13 +14,14 @@
 	"wheelgauge/serverlimit"
 )
 
-// deferral is until when a server's limit allows nothing, and the limit that this was by.
+// deferral is the time until which a server's limit allows no request, and the rate that the
+// limit had then.
 type deferral struct {
 	until time.Time
 	rate  float64
 }
 
-// deferrals are those of servers that refused this host a permit.
+// deferrals holds the servers for which this host was refused a permit.
 type deferrals struct {
 	limits *serverlimit.Table
 	mu     sync.Mutex
@@ -37,9 +38,9 @@
 	d.rows[server] = deferral{until: now.Add(after), rate: rate}
 }
 
-// holds tells whether a server gets nothing now; a limit that has changed or ended since
-// holds it back no more.
-func (d *deferrals) holds(server string, now time.Time) bool {
+// blocks reports whether a server must get no request now. A deferral no longer applies once
+// the server's limit has changed or ended.
+func (d *deferrals) blocks(server string, now time.Time) bool {
 	d.mu.Lock()
 	row, known := d.rows[server]
 	d.mu.Unlock()
@@ -50,37 +51,37 @@
 	return limited && rate == row.rate
 }
 
-// openPermits prepares what servers with limits need.
+// openPermits sets up the limits that servers state and the permits for them.
 func (g *Gateway) openPermits() {
 	g.limits = serverlimit.New(g.clock.Now)
-	g.deferred.limits = g.limits
+	g.deferrals.limits = g.limits
 	g.permits = permitclient.New(permitclient.Options{
-		Host: g.o.Host, Limits: g.limits, Stores: g.permitStores, Sharers: g.sharers, Ask: g.askPermit, Now: g.clock.Now,
+		Host: g.options.Host, Limits: g.limits, Stores: g.permitStores, Sharers: g.liveHosts, Ask: g.requestPermit, Now: g.clock.Now,
 	})
 }
 
-// hearLimit takes what a server's answer to a call sent at a moment says of its limit.
-func (g *Gateway) hearLimit(server string, answer *wheelgauge.Answer, sent time.Time) {
+// observeLimit reads a server's limit from its answer to a call that was sent at the given time.
+func (g *Gateway) observeLimit(server string, answer *wheelgauge.Answer, sent time.Time) {
 	text := answer.Header(wheelgauge.HeaderLimit)
 	rate, named := serverlimit.Parse(text)
 	switch {
 	case named:
 		if g.limits.Named(server, rate) {
 			g.meter.Count("servers.limited")
-			g.o.Log.Info("A server names a limit.", "server", server, "rate", rate)
+			g.options.Log.Info("A server names a limit.", "server", server, "rate", rate)
 		}
 	case text != "":
 		g.meter.Count("servers.limit.unreadable")
 	case answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices && g.limits.Absent(server, sent):
-		g.o.Log.Info("A server's limit ends.", "server", server)
+		g.options.Log.Info("A server's limit ends.", "server", server)
 	}
 }
 
-// pickPermitted picks a server that may get the call: what one takes that has named a limit
-// binds all hosts of the region together.
+// pickPermitted picks a server that may get the call. The limit that a server states applies to
+// all hosts of the region together, so a call to it needs a permit.
 func (g *Gateway) pickPermitted(ctx context.Context, rq *request, tried []string) (*catalog.Server, bool) {
-	for ctx.Err() == nil && !g.over(rq) {
-		server, ok := g.pick(rq, tried)
+	for ctx.Err() == nil && !g.expired(rq) {
+		server, ok := g.pickServer(rq, tried)
 		if !ok {
 			return nil, false
 		}
@@ -89,23 +90,23 @@
 			return server, true
 		}
 		g.meter.Count("permits.refused")
-		g.deferred.add(server.Name, after, g.clock.Now())
+		g.deferrals.add(server.Name, after, g.clock.Now())
 	}
 	return nil, false
 }
 
-// permit takes a permit for a call to a server, if that has named a limit.
+// permit takes a permit for a call to a server that has stated a limit; other servers need none.
 func (g *Gateway) permit(ctx context.Context, rq *request, server string) (after time.Duration, ok bool) {
 	if _, limited := g.limits.Rate(server); !limited {
 		return 0, true
 	}
-	limit, cancel := context.WithDeadline(ctx, g.due(rq))
+	permitCtx, cancel := context.WithDeadline(ctx, g.localDeadline(rq))
 	defer cancel()
-	return g.permits.Take(limit, server, 0)
+	return g.permits.Take(permitCtx, server, 0)
 }
 
-// permitStores returns the stores of the region, whose hubs give permits; without any, the
-// gateway that all agree on.
+// permitStores returns the stores of the region, whose hubs issue permits. In a region without
+// stores it returns the gateway that all hosts choose by rendezvous hashing.
 func (g *Gateway) permitStores() []wheelgauge.RegionStore {
 	c := g.watcher.Current()
 	if c == nil {
@@ -113,28 +114,28 @@
 	}
 	var out []wheelgauge.RegionStore
 	var names []string
-	for _, h := range c.Hosts(g.o.Region) {
+	for _, h := range c.Hosts(g.options.Region) {
 		if h.Store != "" {
 			out = append(out, wheelgauge.RegionStore{Address: h.Store, Answers: true})
 		}
 		names = append(names, h.Name)
 	}
 	if len(out) == 0 && len(names) > 0 {
-		first := c.Host(rendezvous.Top(g.o.Region, names, 1)[0])
+		first := c.Host(rendezvous.Top(g.options.Region, names, 1)[0])
 		out = append(out, wheelgauge.RegionStore{Address: first.Peer, Answers: true})
 	}
 	return out
 }
 
-// sharers are the live hosts of the region.
-func (g *Gateway) sharers() []string {
+// liveHosts returns the sorted names of the region's live hosts, including this one.
+func (g *Gateway) liveHosts() []string {
 	c := g.watcher.Current()
 	if c == nil {
 		return nil
 	}
 	var out []string
-	for _, h := range c.Hosts(g.o.Region) {
-		if h.Name == g.o.Host || g.node.HostAlive(h.Name) {
+	for _, h := range c.Hosts(g.options.Region) {
+		if h.Name == g.options.Host || g.node.HostAlive(h.Name) {
 			out = append(out, h.Name)
 		}
 	}
@@ -142,10 +143,10 @@
 	return out
 }
 
-func (g *Gateway) askPermit(ctx context.Context, address string, ask wheelgauge.PermitAsk) (a wheelgauge.PermitAnswer, err error) {
-	if address == g.o.Peer {
-		return g.node.Hub().Permit(ask), nil
+func (g *Gateway) requestPermit(ctx context.Context, address string, req wheelgauge.PermitAsk) (a wheelgauge.PermitAnswer, err error) {
+	if address == g.options.Peer {
+		return g.node.Hub().Permit(req), nil
 	}
-	err = g.client.Call(ctx, http.MethodPost, address, permitclient.Path, ask, &a)
+	err = g.client.Call(ctx, http.MethodPost, address, permitclient.Path, req, &a)
 	return a, err
 }
--- a/replica/founders_test.go
+++ b/replica/bootstrap_test.go
@@ -18,28 +18,28 @@
 	"wheelgauge/raft"
 )
 
-const testLimit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// machine keeps the last command.
-type machine struct {
+// testMachine is a state machine that holds the last command.
+type testMachine struct {
 	mu   sync.Mutex
 	last string
 }
 
-func (m *machine) Apply(_ uint64, command []byte) []byte {
+func (m *testMachine) Apply(_ uint64, command []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.last = string(command)
 	return []byte(`{}`)
 }
 
-func (m *machine) Snapshot() ([]byte, error) {
+func (m *testMachine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return json.Marshal(m.last)
 }
 
-func (m *machine) Restore(snapshot []byte) error {
+func (m *testMachine) Restore(snapshot []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.last = ""
@@ -49,33 +49,33 @@
 	return json.Unmarshal(snapshot, &m.last)
 }
 
-func (m *machine) value() string {
+func (m *testMachine) value() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.last
 }
 
-// node is one replica with its listener.
+// node is one replica with its HTTP server.
 type node struct {
 	replica *Replica
-	machine *machine
+	machine *testMachine
 	http    *httpserve.Server
 	address string
 	dir     string
 }
 
-// group starts replicas at addresses of their own.
+// group is a Raft group of replicas in this process, by address.
 type group struct {
 	t     *testing.T
 	seeds []string
 	nodes map[string]*node
-	// options changes those of the next replicas; nil changes nothing.
-	options func(o *Options)
+	// editOptions modifies the options of replicas started later; it may be nil.
+	editOptions func(o *Options)
 }
 
 func (g *group) start(address, dir string, first bool) *node {
 	g.t.Helper()
-	n := &node{machine: &machine{}, address: address, dir: dir}
+	n := &node{machine: &testMachine{}, address: address, dir: dir}
 	o := Options{
 		Dir: dir, Name: address, Address: address, Peers: g.seeds, Voters: 5, Tick: 5 * time.Millisecond,
 		Client: peerhttp.NewClient(nil, ""), Log: logr.Discard(),
@@ -83,8 +83,8 @@
 	if first {
 		o.Founders = g.seeds
 	}
-	if g.options != nil {
-		g.options(&o)
+	if g.editOptions != nil {
+		g.editOptions(&o)
 	}
 	var err error
 	if n.replica, err = Open(context.Background(), o, n.machine); err != nil {
@@ -117,30 +117,30 @@
 }
 
 func (g *group) voters() int {
-	best := 0
+	voters := 0
 	for _, n := range g.nodes {
 		if !n.replica.Leading() {
 			continue
 		}
-		best = 0
+		voters = 0
 		for _, m := range n.replica.Status().Members {
 			if m.Voter {
-				best++
+				voters++
 			}
 		}
 	}
-	return best
+	return voters
 }
 
 func (g *group) waitFor(what string, ok func() bool) {
 	g.t.Helper()
-	limit := time.Now().Add(testLimit)
+	deadline := time.Now().Add(testTimeout)
 	for !ok() {
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			for _, n := range g.nodes {
-				g.t.Logf("%s refuses %v: %+v", n.address, n.replica.Refuses(), n.replica.Status())
+				g.t.Logf("%s: disk unwritable %v, status %+v", n.address, n.replica.Refuses(), n.replica.Status())
 			}
-			g.t.Fatalf("not seen: %s", what)
+			g.t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -157,9 +157,9 @@
 	})
 }
 
-// Three seeds found a group together, two stores join it, and a store whose
-// disk is lost comes back as a voter, without an operator.
-func TestGroupFoundsItself(t *testing.T) {
+// Three seeds bootstrap a group, two stores join it, and a store that lost its
+// disk becomes a voter again, all without an operator.
+func TestGroupBootstraps(t *testing.T) {
 	all := []string{"127.0.77.1:7801", "127.0.77.2:7801", "127.0.77.3:7801", "127.0.77.4:7801", "127.0.77.5:7801"}
 	g := &group{t: t, seeds: all[:3], nodes: map[string]*node{}}
 	defer g.stopAll()
@@ -170,22 +170,22 @@
 	g.propose(g.nodes[all[4]], "kept")
 
 	lost := g.nodes[all[0]]
-	before := lost.replica.Status().Self.ID
+	oldID := lost.replica.Status().Self.ID
 	g.stop(lost)
-	again := g.start(all[0], t.TempDir(), false)
+	restarted := g.start(all[0], t.TempDir(), false)
 	g.waitFor("five voters with the store on its new disk", func() bool {
-		return g.voters() == 5 && slices.ContainsFunc(again.replica.Status().Members, func(m raft.Member) bool {
-			return m.ID == again.replica.Status().Self.ID && m.Voter
+		return g.voters() == 5 && slices.ContainsFunc(restarted.replica.Status().Members, func(m raft.Member) bool {
+			return m.ID == restarted.replica.Status().Self.ID && m.Voter
 		})
 	})
-	if again.replica.Status().Self.ID == before {
-		t.Error("a store on a blank disk has its old identity")
+	if restarted.replica.Status().Self.ID == oldID {
+		t.Error("a store on a blank disk still has its old ID")
 	}
-	g.waitFor("the state at the new disk", func() bool { return again.machine.value() == `"kept"` })
+	g.waitFor("the state on the new disk", func() bool { return restarted.machine.value() == `"kept"` })
 }
 
-// A sixth store stays a learner, and takes the place of a voter that is gone.
-func TestSpareTakesPlaceOfLostVoter(t *testing.T) {
+// A sixth store remains a learner and replaces a voter that has failed.
+func TestLearnerReplacesLostVoter(t *testing.T) {
 	all := []string{"127.0.78.1:7801", "127.0.78.2:7801", "127.0.78.3:7801", "127.0.78.4:7801", "127.0.78.5:7801", "127.0.78.6:7801"}
 	g := &group{t: t, seeds: all[:3], nodes: map[string]*node{}}
 	defer g.stopAll()
@@ -193,19 +193,19 @@
 		g.start(a, t.TempDir(), true)
 	}
 	g.waitFor("five voters", func() bool { return g.voters() == 5 })
-	spare := g.start(all[5], t.TempDir(), false)
+	learner := g.start(all[5], t.TempDir(), false)
 	g.waitFor("a learner", func() bool {
-		return g.voters() == 5 && len(spare.replica.Status().Members) == 6
+		return g.voters() == 5 && len(learner.replica.Status().Members) == 6
 	})
-	if spare.replica.Status().Self.Voter {
-		t.Error("a sixth store votes")
+	if learner.replica.Status().Self.Voter {
+		t.Error("the sixth store is a voter, want a learner")
 	}
 	g.stop(g.nodes[all[1]])
-	g.waitFor("the spare votes", func() bool { return g.voters() == 5 && spare.replica.Status().Self.Voter })
+	g.waitFor("the learner to become a voter", func() bool { return g.voters() == 5 && learner.replica.Status().Self.Voter })
 }
 
-// A write that is torn in its middle, as a loss of power leaves it, damages
-// the last record only: what was synced before is all there.
+// A write that is torn in the middle, as by a power failure, damages only the last
+// record: everything synced before is kept.
 func TestTornBatch(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _, err := openStorage(dir)
@@ -215,7 +215,7 @@
 	if err := s.save(&raft.HardState{Term: 2}, []raft.Entry{{Index: 1, Term: 2, Data: []byte(`"a"`)}}); err != nil {
 		t.Fatal(err)
 	}
-	whole := s.log.Size()
+	intactBytes := s.log.Size()
 	if err := s.save(&raft.HardState{Term: 2, Commit: 1}, []raft.Entry{{Index: 2, Term: 2, Data: []byte(`"b"`)}, {Index: 3, Term: 2, Data: []byte(`"c"`)}}); err != nil {
 		t.Fatal(err)
 	}
@@ -227,7 +227,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := whole + 20; i < whole+40; i++ {
+	for i := intactBytes + 20; i < intactBytes+40; i++ {
 		data[i] = 0
 	}
 	if err := os.WriteFile(path, data, 0o600); err != nil {
@@ -239,9 +239,9 @@
 	}
 	defer s.log.Close()
 	if blank || len(state.Entries) != 1 || state.HardState.Term != 2 {
-		t.Errorf("blank %v, state %+v", blank, state)
+		t.Errorf("got blank %v, state %+v, want entry 1 of term 2", blank, state)
 	}
-	if s.log.Size() != whole {
-		t.Errorf("log of %d bytes, want the %d that were whole", s.log.Size(), whole)
+	if s.log.Size() != intactBytes {
+		t.Errorf("got a log of %d bytes, want the %d before the torn write", s.log.Size(), intactBytes)
 	}
 }
--- a/replica/disk.go
+++ b/replica/disk.go
@@ -13,78 +13,80 @@
 	"wheelgauge/wal"
 )
 
-// diskRetry is how often a disk that takes no writes is tried again: a full disk
-// costs one failed write each time, and the group misses the replica that long
-// after there is room.
-const diskRetry = 200 * time.Millisecond
+// diskRetryInterval is the time between write attempts on a disk that is not
+// writable: each attempt costs one failed write, and the group lacks the replica
+// for up to this long after space is free again.
+const diskRetryInterval = 200 * time.Millisecond
 
-// diskState tells whether the disk takes writes. While it takes none, the replica
-// stays a reader of the group, which decides without it.
+// diskState records whether the disk is writable. While it is not, the replica
+// follows the group but takes no part in elections and commits.
 type diskState struct {
-	// refuses is read outside the run loop.
-	refuses atomic.Bool
-	tried   time.Time
+	// unwritable is also read outside the run loop.
+	unwritable  atomic.Bool
+	lastAttempt time.Time
 }
 
-// openWaiting opens the storage. While a blank disk has no room for its folder,
-// nothing can be known of who this replica is, and it waits.
-func openWaiting(ctx context.Context, o Options) (*storage, raft.State, bool, error) {
+// openStorageWithRetry opens the storage. It retries while a full disk has no
+// space for the data folder or the disk marker, as the replica's identity is
+// unknown until then.
+func openStorageWithRetry(ctx context.Context, o Options) (*storage, raft.State, bool, error) {
 	for {
 		s, state, blank, err := openStorage(o.Dir)
-		if s != nil || !wal.Full(err) {
+		if s != nil || !wal.IsNoSpace(err) {
 			return s, state, blank, err
 		}
-		o.Log.Error(err, "Replica waits for its disk.")
+		o.Log.Error(err, "Replica waits for disk space.")
 		select {
 		case <-ctx.Done():
 			return nil, state, false, err
-		case <-time.After(diskRetry):
+		case <-time.After(diskRetryInterval):
 		}
 	}
 }
 
-// Refuses tells whether the replica's disk takes no writes now.
-func (r *Replica) Refuses() bool { return r.disk.refuses.Load() }
+// Refuses reports whether the replica's disk is currently not writable.
+func (r *Replica) Refuses() bool { return r.disk.unwritable.Load() }
 
-// refuse goes on without the disk: the core takes no part in decisions, and who
-// waits for one is sent elsewhere.
-func (r *Replica) refuse(cause error) {
-	r.core.Bar()
-	r.disk.tried = time.Now()
-	if !r.disk.refuses.Swap(true) {
-		r.options.Log.Error(cause, "Disk takes no writes: replica takes no part in decisions.", "term", r.core.Term(), "commit", r.core.Commit())
+// suspendWrites continues without the disk: the core takes no part in elections
+// and commits, and pending proposals fail with an error that refers callers to
+// another store.
+func (r *Replica) suspendWrites(cause error) {
+	r.core.SuspendWrites()
+	r.disk.lastAttempt = time.Now()
+	if !r.disk.unwritable.Swap(true) {
+		r.options.Log.Error(cause, "Disk is not writable: replica takes no part in elections and commits.", "term", r.core.Term(), "commit", r.core.Commit())
 	}
-	lost := noDisk().WithOutcome(wheelgauge.OutcomeUnknown)
+	err := diskUnwritableError().WithOutcome(wheelgauge.OutcomeUnknown)
 	for index, w := range r.waiters {
 		delete(r.waiters, index)
-		w.done <- result{err: lost}
+		w.done <- result{err: err}
 	}
 }
 
-func noDisk() *wheelgauge.Error {
+func diskUnwritableError() *wheelgauge.Error {
 	return wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable,
-		"the disk of this store takes no writes: ask another store").WithRetryAfter(leaderRetryTime)
+		"the disk of this store is not writable: use another store").WithRetryAfter(leaderRetryAfter)
 }
 
-// retryDisk tries a disk that took no writes again.
+// retryDisk tries to write to an unwritable disk at each diskRetryInterval.
 func (r *Replica) retryDisk() {
-	if !r.disk.refuses.Load() || time.Since(r.disk.tried) < diskRetry {
+	if !r.disk.unwritable.Load() || time.Since(r.disk.lastAttempt) < diskRetryInterval {
 		return
 	}
-	r.disk.tried = time.Now()
-	if err := r.storage.mend(r.core.Snapshot(), r.core.Hard(), r.core.Tail()); err != nil {
-		return // told when it began
+	r.disk.lastAttempt = time.Now()
+	if err := r.storage.repair(r.core.Snapshot(), r.core.HardState(), r.core.Tail()); err != nil {
+		return // logged when the disk became unwritable
 	}
-	r.core.Unbar()
-	r.disk.refuses.Store(false)
+	r.core.ResumeWrites()
+	r.disk.unwritable.Store(false)
 	r.options.Log.Info("Disk takes writes again.", "term", r.core.Term(), "commit", r.core.Commit())
 }
 
-// keep persists what a Ready asks for; false means that nothing of the Ready may
-// be carried out now.
-func (r *Replica) keep(rd raft.Ready) (bool, error) {
-	if r.disk.refuses.Load() {
-		return !r.core.Durable(rd), nil
+// tryPersist persists a Ready. It returns false if the Ready must not be
+// processed further.
+func (r *Replica) tryPersist(rd raft.Ready) (bool, error) {
+	if r.disk.unwritable.Load() {
+		return !r.core.MustSync(rd), nil
 	}
 	err := r.persist(rd)
 	if err == nil {
@@ -93,11 +95,11 @@
 	if errors.Is(err, errState) {
 		return false, err
 	}
-	r.refuse(err)
+	r.suspendWrites(err)
 	return false, nil
 }
 
-// errState marks errors of the state itself rather than of the disk.
+// errState marks errors of the state machine as opposed to the disk.
 var errState = errors.New("state")
 
 func stateError(what string, err error) error { return fmt.Errorf("%s: %w: %w", what, errState, err) }
--- a/replica/progress.go
+++ b/replica/progress.go
@@ -8,33 +8,33 @@
 	"wheelgauge/raft"
 )
 
-// progress lets others wait until an index is applied.
-type progress struct {
+// appliedIndex lets callers wait until an index is applied.
+type appliedIndex struct {
 	mu      sync.Mutex
 	index   uint64
 	changed chan struct{}
 }
 
-func newProgress() *progress { return &progress{changed: make(chan struct{})} }
+func newAppliedIndex() *appliedIndex { return &appliedIndex{changed: make(chan struct{})} }
 
-func (p *progress) set(index uint64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.index = max(p.index, index)
-	close(p.changed)
-	p.changed = make(chan struct{})
+func (a *appliedIndex) set(index uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.index = max(a.index, index)
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-func (p *progress) get() (uint64, <-chan struct{}) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.index, p.changed
+func (a *appliedIndex) get() (uint64, <-chan struct{}) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.index, a.changed
 }
 
-func (p *progress) wait(ctx context.Context, index uint64) error {
+func (a *appliedIndex) wait(ctx context.Context, index uint64) error {
 	for {
-		at, changed := p.get()
-		if at >= index {
+		applied, changed := a.get()
+		if applied >= index {
 			return nil
 		}
 		select {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Status is what a replica knows of its group.
+// Status is a replica's view of itself and its group.
 type Status struct {
 	Self    raft.Member   `json:"self"`
 	Role    string        `json:"role"`
@@ -57,13 +57,13 @@
 	Members []raft.Member `json:"members"`
 }
 
-// view is the last published status, for readers outside the run loop.
-type view struct {
+// statusView holds the last published status, for readers outside the run loop.
+type statusView struct {
 	mu     sync.RWMutex
 	status Status
 }
 
-func (v *view) get() Status {
+func (v *statusView) get() Status {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.status
@@ -85,7 +85,7 @@
 	}
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
-	if was := r.view.status; was.Role != s.Role || was.Leader != s.Leader {
+	if previous := r.view.status; previous.Role != s.Role || previous.Leader != s.Leader {
 		r.options.Log.Info("Replica changes role.", "role", s.Role, "term", s.Term, "leader", s.Leader)
 	}
 	r.view.status = s
@@ -94,7 +94,7 @@
 // Status returns the last published status.
 func (r *Replica) Status() Status { return r.view.get() }
 
-// Leading tells whether this replica is the leader.
+// Leading reports whether this replica is the leader.
 func (r *Replica) Leading() bool {
 	s := r.view.get()
 	return s.Leader == s.Self.ID
@@ -103,7 +103,7 @@
 // Term returns the term of the last published status.
 func (r *Replica) Term() uint64 { return r.view.get().Term }
 
-// LeaderAddress returns where the leader is reached; empty when there is none.
+// LeaderAddress returns the leader's address, or an empty string if none is known.
 func (r *Replica) LeaderAddress() string {
 	s := r.view.get()
 	for _, m := range s.Members {
@@ -114,7 +114,7 @@
 	return ""
 }
 
-// MemberAddresses returns where all members are reached.
+// MemberAddresses returns the addresses of all members, this replica included.
 func (r *Replica) MemberAddresses() []string {
 	members := r.view.get().Members
 	out := make([]string, 0, len(members))
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica drives one member of the replicated log: it owns the core,
-// the file it is kept in, the messages to the other members and the state
-// machine.
+// Package replica runs one member of a Raft group: it drives the core, persists
+// its log, exchanges messages with the other members and applies committed
+// commands to the state machine.
 package replica
 
 import (
@@ -23,50 +23,50 @@
 const (
 	heartbeatTicks = 4
 	electionTicks  = 20
-	compactEvery   = 512
-	// compactBytes is the length of the log from which on it is compacted
-	// sooner: whole configurations may be megabytes each.
-	compactBytes    = 16 << 20
-	compactLeast    = 8
-	keptEntries     = 128
-	queueLength     = 1024
-	batchLength     = 256
-	leaderRetryTime = time.Second
+	compactEntries = 512
+	// compactBytes is the log size from which on it is compacted after
+	// minCompactEntries: an entry may hold a whole configuration of megabytes.
+	compactBytes      = 16 << 20
+	minCompactEntries = 8
+	retainedEntries   = 128
+	taskQueueLength   = 1024
+	maxBatchLength    = 256
+	leaderRetryAfter  = time.Second
 )
 
 // Options of a Replica.
 type Options struct {
-	// Dir is the data folder.
+	// Dir is the data directory.
 	Dir string
-	// Name is the host's name; a member of the same name with another identity
-	// is the one whose disk was lost.
+	// Name is the name of the host. A new replica replaces the member of the same
+	// name and another ID, whose disk was lost.
 	Name string
-	// Address is the peer address that others reach this replica at.
+	// Address is the peer address of this replica.
 	Address string
-	// Voters is the most voters of the group; 0 means all members vote. Further
-	// members stay learners and take the place of voters that are lost.
+	// Voters is the maximum number of voters; 0 means that all members vote.
+	// Further members remain learners and replace voters that fail.
 	Voters int
-	// Peers are the addresses of stores to join through.
+	// Peers are the addresses of the stores that a join request is sent to.
 	Peers []string
-	// Founders are the addresses of the first voters when a whole new group
-	// starts at once, the same at each replica; empty at any other start. A
-	// founder on a blank disk begins the group together with the others.
+	// Founders are the addresses of the initial voters when a whole new group
+	// starts at once, the same on each replica; empty at any other start. An
+	// initial voter on a blank disk bootstraps the group together with the others.
 	Founders []string
-	// Tick is the unit of election and heartbeat times; 50 ms when zero.
+	// Tick is the unit of the election and heartbeat timeouts; 0 means 50 ms.
 	Tick   time.Duration
 	Client *peerhttp.Client
 	Log    logr.Logger
-	// journal stands before the log file in tests, and full is how its first
-	// write fails.
-	journal func(journal) journal
-	full    error
+	// wrapLog wraps the log file in tests, and firstWriteErr is the error of its
+	// first write.
+	wrapLog       func(recordLog) recordLog
+	firstWriteErr error
 }
 
-// result is the end of a proposal or a barrier.
+// result is the outcome of a proposal or a read barrier.
 type result struct {
-	index  uint64
-	answer []byte
-	err    error
+	index    uint64
+	response []byte
+	err      error
 }
 
 type waiter struct {
@@ -82,30 +82,30 @@
 	machine wheelgauge.StateMachine
 	net     *network
 
-	do       chan func()
+	tasks    chan func()
 	waiters  map[uint64]waiter
 	barriers map[uint64]chan result
 	nextRead uint64
-	applied  *progress
-	view     *view
+	applied  *appliedIndex
+	view     *statusView
 	disk     diskState
 
 	cancel context.CancelFunc
 	done   chan error
 }
 
-// Open starts a replica on the folder of the options. A blank folder joins the
-// group through the peers as a learner.
+// Open starts a replica on the data directory. A replica with a blank directory
+// that does not bootstrap a group joins one through the peers as a learner.
 func Open(ctx context.Context, options Options, machine wheelgauge.StateMachine) (*Replica, error) {
 	if options.Tick == 0 {
 		options.Tick = 50 * time.Millisecond
 	}
-	s, state, blank, full := openWaiting(ctx, options)
+	s, state, blank, openErr := openStorageWithRetry(ctx, options)
 	if s == nil {
-		return nil, full
+		return nil, openErr
 	}
-	if full != nil && !wal.Full(full) {
-		return nil, errors.Join(full, s.log.Close())
+	if openErr != nil && !wal.IsNoSpace(openErr) {
+		return nil, errors.Join(openErr, s.log.Close())
 	}
 	if state.Snapshot != nil {
 		if err := machine.Restore(state.Snapshot.Data); err != nil {
@@ -113,26 +113,26 @@
 		}
 	}
 	if blank && slices.Contains(options.Founders, options.Address) {
-		if state, full = s.foundTogether(options); full != nil && !wal.Full(full) {
-			return nil, errors.Join(full, s.log.Close())
+		if state, openErr = s.bootstrapGroup(options); openErr != nil && !wal.IsNoSpace(openErr) {
+			return nil, errors.Join(openErr, s.log.Close())
 		}
 	}
-	if options.journal != nil {
-		s.log, full = options.journal(s.log), cmp.Or(full, options.full)
+	if options.wrapLog != nil {
+		s.log, openErr = options.wrapLog(s.log), cmp.Or(openErr, options.firstWriteErr)
 	}
 	core := raft.New(raft.Options{ID: s.self.ID, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: s.self.ID}, state)
 	ctx, cancel := context.WithCancel(ctx)
 	r := &Replica{
 		options: options, core: core, storage: s, machine: machine,
-		do: make(chan func(), queueLength), waiters: map[uint64]waiter{}, barriers: map[uint64]chan result{},
-		applied: newProgress(), view: &view{}, cancel: cancel, done: make(chan error, 1),
+		tasks: make(chan func(), taskQueueLength), waiters: map[uint64]waiter{}, barriers: map[uint64]chan result{},
+		applied: newAppliedIndex(), view: &statusView{}, cancel: cancel, done: make(chan error, 1),
 	}
 	r.net = newNetwork(ctx, options.Client, r.self())
-	if full != nil {
-		r.refuse(full)
+	if openErr != nil {
+		r.suspendWrites(openErr)
 	}
 	r.publish()
-	options.Log.Info("Replica starts.", "id", s.self.ID, "blank", blank, "applied", core.Applied())
+	options.Log.Info("Replica started.", "id", s.self.ID, "blank", blank, "applied", core.Applied())
 	go func() {
 		r.done <- r.run(ctx)
 		close(r.done)
@@ -144,10 +144,11 @@
 	return raft.Member{ID: r.storage.self.ID, Name: r.options.Name, Address: r.options.Address}
 }
 
-// Done gives the error that ended the replica; a store stops with it.
+// Done returns a channel that delivers the error that stopped the replica; the
+// store must stop with it.
 func (r *Replica) Done() <-chan error { return r.done }
 
-// Close stops the replica and waits.
+// Close stops the replica and waits until it has ended.
 func (r *Replica) Close() error {
 	r.cancel()
 	err := <-r.done
@@ -159,10 +160,10 @@
 	ticker := time.NewTicker(r.options.Tick)
 	defer ticker.Stop()
 	join := newJoiner(r)
-	defer r.fail()
-	// What is committed on disk is applied before anything else, so that this
-	// replica knows whether it is a member.
-	if err := r.carryOut(); err != nil {
+	defer r.failPending()
+	// Committed entries on disk are applied first, so that this replica knows
+	// whether it is a member.
+	if err := r.processReady(); err != nil {
 		return err
 	}
 	for {
@@ -172,39 +173,39 @@
 		case <-ticker.C:
 			r.core.Tick()
 			r.retryDisk()
-			r.maintain()
+			r.maintainMembers()
 			join.tick(ctx)
-		case f := <-r.do:
+		case f := <-r.tasks:
 			f()
-			r.drain()
+			r.runQueued()
 		}
-		if r.net.replaced.Load() && !r.disk.refuses.Load() {
-			return r.giveUp()
+		if r.net.replaced.Load() && !r.disk.unwritable.Load() {
+			return r.discardIdentity()
 		}
-		if err := r.carryOut(); err != nil {
-			r.options.Log.Error(err, "Replica stops: its state cannot be kept.")
+		if err := r.processReady(); err != nil {
+			r.options.Log.Error(err, "Replica stops: its state cannot be persisted.")
 			return err
 		}
 		r.publish()
 	}
 }
 
-// giveUp forgets the identity that was replaced. The next start joins as a new
-// member.
-func (r *Replica) giveUp() error {
-	r.options.Log.Info("Replica was replaced by another member of its name. Start again to join anew.")
-	r.storage.self.ID = mint()
+// discardIdentity replaces the ID of a replica that was replaced by a new one. The
+// next start joins as a new member.
+func (r *Replica) discardIdentity() error {
+	r.options.Log.Info("Replica was replaced by another member of the same name. Restart it to join as a new member.")
+	r.storage.self.ID = newID()
 	if err := r.storage.rewrite(nil, raft.HardState{}, nil); err != nil {
-		return fmt.Errorf("give up identity: %w", err)
+		return fmt.Errorf("discard identity: %w", err)
 	}
 	return errReplaced
 }
 
-// drain takes what else has come, so that one sync serves all of it.
-func (r *Replica) drain() {
-	for range batchLength {
+// runQueued runs further queued tasks, so that one sync covers them all.
+func (r *Replica) runQueued() {
+	for range maxBatchLength {
 		select {
-		case f := <-r.do:
+		case f := <-r.tasks:
 			f()
 		default:
 			return
@@ -212,26 +213,26 @@
 	}
 }
 
-// fail answers all who still wait.
-func (r *Replica) fail() {
-	lost := wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeUnknown, http.StatusServiceUnavailable, "the store stops").WithRetryAfter(leaderRetryTime)
+// failPending fails all pending proposals and read barriers.
+func (r *Replica) failPending() {
+	stopErr := wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeUnknown, http.StatusServiceUnavailable, "the store is shutting down").WithRetryAfter(leaderRetryAfter)
 	for _, w := range r.waiters {
-		w.done <- result{err: lost}
+		w.done <- result{err: stopErr}
 	}
 	for _, b := range r.barriers {
-		b <- result{err: lost}
+		b <- result{err: stopErr}
 	}
 }
 
-// carryOut does what the core asks for until it asks for nothing more.
-func (r *Replica) carryOut() error {
+// processReady processes the core's Ready until it is empty.
+func (r *Replica) processReady() error {
 	for {
 		rd := r.core.Ready()
 		if rd.Empty() {
 			return nil
 		}
-		if kept, err := r.keep(rd); !kept {
-			r.endReads(rd.Dropped, rd.Reads)
+		if kept, err := r.tryPersist(rd); !kept {
+			r.failReads(rd.DroppedReads, rd.ConfirmedReads)
 			return err
 		}
 		r.net.send(r.core.Members(), rd.Messages)
@@ -239,8 +240,8 @@
 		if err := r.core.Advance(rd); err != nil {
 			return fmt.Errorf("advance: %w", err)
 		}
-		r.answerReads(rd.Reads)
-		r.endReads(rd.Dropped)
+		r.completeReads(rd.ConfirmedReads)
+		r.failReads(rd.DroppedReads)
 		if err := r.compact(); err != nil {
 			return err
 		}
@@ -278,49 +279,49 @@
 		}
 		delete(r.waiters, e.Index)
 		if w.term != e.Term {
-			w.done <- result{err: noLeader("another leader took over before the change was logged")}
+			w.done <- result{err: noLeaderError("another leader took over before the change was committed")}
 			continue
 		}
-		w.done <- result{index: e.Index, answer: answer}
+		w.done <- result{index: e.Index, response: answer}
 	}
 }
 
-func (r *Replica) answerReads(confirmed []uint64) {
+func (r *Replica) completeReads(confirmed []uint64) {
 	for _, id := range confirmed {
 		r.barriers[id] <- result{index: r.core.Applied()}
 		delete(r.barriers, id)
 	}
 }
 
-// endReads ends barriers that this replica confirms no more.
-func (r *Replica) endReads(lists ...[]uint64) {
+// failReads fails read barriers that this replica can no longer confirm.
+func (r *Replica) failReads(lists ...[]uint64) {
 	for _, id := range slices.Concat(lists...) {
-		r.barriers[id] <- result{err: noLeader("the leader changed")}
+		r.barriers[id] <- result{err: noLeaderError("the leader changed")}
 		delete(r.barriers, id)
 	}
 }
 
 func (r *Replica) compact() error {
-	since := r.core.Applied() - r.core.SnapshotIndex()
-	large := r.storage.log.Size() > compactBytes && since >= compactLeast
-	if since < compactEvery && !large {
+	entriesSince := r.core.Applied() - r.core.SnapshotIndex()
+	large := r.storage.log.Size() > compactBytes && entriesSince >= minCompactEntries
+	if entriesSince < compactEntries && !large {
 		return nil
 	}
-	if r.disk.refuses.Load() {
+	if r.disk.unwritable.Load() {
 		return nil
 	}
 	data, err := r.machine.Snapshot()
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	snap := r.core.Compact(data, keptEntries)
+	snap := r.core.Compact(data, retainedEntries)
 	hard := raft.HardState{Term: r.core.Term(), Vote: r.core.Vote(), Commit: r.core.Commit()}
 	if err := r.storage.rewrite(snap, hard, r.core.Tail()); err != nil {
-		r.refuse(fmt.Errorf("compact: %w", err))
+		r.suspendWrites(fmt.Errorf("compact: %w", err))
 	}
 	return nil
 }
 
-func noLeader(detail string) *wheelgauge.Error {
-	return wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, detail).WithRetryAfter(leaderRetryTime)
+func noLeaderError(detail string) *wheelgauge.Error {
+	return wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, detail).WithRetryAfter(leaderRetryAfter)
 }
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -1,7 +1,7 @@
-// Package wal is an append-only file of checksummed records. A record counts
-// as written only when Append has returned, that is, once it is synced.
+// Package wal is a write-ahead log: an append-only file of checksummed records. A
+// record is durable once Append has returned, as it syncs the file.
 //
-// A torn tail, as a crash leaves it, is cut at Open. Damage in front of other
+// Open truncates a torn tail, as a crash may leave it. Damage before intact
 // records is an error: such a file must not be trusted.
 package wal
 
@@ -18,27 +18,27 @@
 )
 
 const (
-	magic        = "WGLOG001"
-	headerBytes  = 8
-	maxRecord    = 256 << 20
-	fileMode     = 0o600
-	rewriteShape = ".new"
+	magic             = "WGLOG001"
+	recordHeaderBytes = 8
+	maxRecordBytes    = 256 << 20
+	fileMode          = 0o600
+	tempSuffix        = ".new"
 )
 
 var (
-	// ErrCorrupt is returned by Open when a damaged record stands before others.
+	// ErrCorrupt is returned by Open when a damaged record precedes intact ones.
 	ErrCorrupt = errors.New("wal: corrupt record before the end of the file")
-	// ErrPoisoned is returned after a failed sync: what is on disk is not known
+	// ErrPoisoned is returned after a failed sync: the contents on disk are unknown
 	// until a Rewrite succeeds.
 	ErrPoisoned = errors.New("wal: an earlier write failed, rewrite or reopen the log")
-	// ErrFull is returned by Open when the disk takes no writes. The records are
-	// whole, and the log is poisoned.
-	ErrFull = errors.New("wal: the disk takes no writes")
+	// ErrNoSpace is returned by Open when the disk has no space. The records are
+	// complete, and the log is poisoned.
+	ErrNoSpace = errors.New("wal: no space left on the disk")
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// file is the part of *os.File that Log needs; tests put faults behind it.
+// file is the part of *os.File that Log needs; tests inject faults through it.
 type file interface {
 	io.Writer
 	io.Closer
@@ -57,47 +57,49 @@
 	closed   bool
 }
 
-// Full tells whether an error says that a disk has no room.
-func Full(err error) bool { return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) }
+// IsNoSpace reports whether an error means a full disk or an exceeded disk quota.
+func IsNoSpace(err error) bool {
+	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
+}
 
 // Open opens or creates the log at path and returns the records it holds. On a
-// disk without room it returns them with ErrFull.
+// full disk it returns the log and the records together with ErrNoSpace.
 func Open(path string) (*Log, [][]byte, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		l := &Log{path: path}
-		return l.opened(nil, l.Rewrite())
+		return l.openResult(nil, l.Rewrite())
 	}
 	if err != nil {
 		return nil, nil, fmt.Errorf("read log: %w", err)
 	}
-	records, good, err := parse(data)
+	records, validBytes, err := parse(data)
 	if err != nil {
 		return nil, nil, fmt.Errorf("parse %s: %w", path, err)
 	}
 	l := &Log{path: path}
-	return l.opened(records, l.open(good))
+	return l.openResult(records, l.openFile(validBytes))
 }
 
-// opened is what Open returns, by how the first write went.
-func (l *Log) opened(records [][]byte, err error) (*Log, [][]byte, error) {
+// openResult returns the results of Open, given the error of the first write.
+func (l *Log) openResult(records [][]byte, err error) (*Log, [][]byte, error) {
 	switch {
 	case err == nil:
 		return l, records, nil
-	case Full(err):
+	case IsNoSpace(err):
 		l.poisoned = true
-		return l, records, fmt.Errorf("%w: %w", ErrFull, err)
+		return l, records, fmt.Errorf("%w: %w", ErrNoSpace, err)
 	}
 	return nil, nil, fmt.Errorf("open log: %w", err)
 }
 
-func (l *Log) open(size int64) error {
+func (l *Log) openFile(size int64) error {
 	f, err := os.OpenFile(l.path, os.O_RDWR, fileMode)
 	if err != nil {
 		return fmt.Errorf("open log: %w", err)
 	}
 	if err := f.Truncate(size); err != nil {
-		return errors.Join(fmt.Errorf("cut torn tail: %w", err), f.Close())
+		return errors.Join(fmt.Errorf("truncate torn tail: %w", err), f.Close())
 	}
 	if _, err := f.Seek(size, io.SeekStart); err != nil {
 		return errors.Join(fmt.Errorf("seek log: %w", err), f.Close())
@@ -109,55 +111,57 @@
 	return nil
 }
 
-// parse returns the whole records and the length of the part that holds them.
+// parse returns the intact records and the offset at which they end.
 func parse(data []byte) ([][]byte, int64, error) {
 	if len(data) < len(magic) || string(data[:len(magic)]) != magic {
 		return nil, 0, ErrCorrupt
 	}
 	var records [][]byte
-	at := len(magic)
-	for at < len(data) {
-		payload, next, ok := record(data, at)
+	offset := len(magic)
+	for offset < len(data) {
+		payload, next, ok := decodeRecord(data, offset)
 		if ok {
 			records = append(records, payload)
-			at = next
+			offset = next
 			continue
 		}
-		if next < len(data) && !zero(data[at:]) || holdsRecord(data, at+1) {
+		if next < len(data) && !allZero(data[offset:]) || containsRecord(data, offset+1) {
 			return nil, 0, ErrCorrupt
 		}
 		break
 	}
-	return records, int64(at), nil
+	return records, int64(offset), nil
 }
 
-// record reads one record; next is where it ends by its own length.
-func record(data []byte, at int) (payload []byte, next int, ok bool) {
-	if len(data)-at < headerBytes {
+// decodeRecord reads the record at an offset; next is where it ends according to
+// its length field.
+func decodeRecord(data []byte, offset int) (payload []byte, next int, ok bool) {
+	if len(data)-offset < recordHeaderBytes {
 		return nil, len(data), false
 	}
-	size := int(binary.LittleEndian.Uint32(data[at:]))
-	sum := binary.LittleEndian.Uint32(data[at+4:])
-	start := at + headerBytes
+	size := int(binary.LittleEndian.Uint32(data[offset:]))
+	checksum := binary.LittleEndian.Uint32(data[offset+4:])
+	start := offset + recordHeaderBytes
 	if size == 0 || size > len(data)-start {
 		return nil, len(data), false
 	}
 	payload = data[start : start+size]
-	return payload, start + size, crc32.Checksum(payload, table) == sum
+	return payload, start + size, crc32.Checksum(payload, crcTable) == checksum
 }
 
-// holdsRecord tells whether a whole record begins at an offset or after it: what
-// stands before it is then no torn tail, whatever its length says.
-func holdsRecord(data []byte, from int) bool {
-	for at := from; at < len(data); at++ {
-		if _, _, ok := record(data, at); ok {
+// containsRecord reports whether an intact record begins at or after an offset.
+// The damaged data before it is then not a torn tail, whatever its length field
+// says.
+func containsRecord(data []byte, from int) bool {
+	for offset := from; offset < len(data); offset++ {
+		if _, _, ok := decodeRecord(data, offset); ok {
 			return true
 		}
 	}
 	return false
 }
 
-func zero(data []byte) bool {
+func allZero(data []byte) bool {
 	for _, b := range data {
 		if b != 0 {
 			return false
@@ -169,18 +173,18 @@
 func encode(records [][]byte) ([]byte, error) {
 	var buf []byte
 	for _, r := range records {
-		if len(r) == 0 || len(r) > maxRecord {
-			return nil, fmt.Errorf("wal: record of %d bytes", len(r))
+		if len(r) == 0 || len(r) > maxRecordBytes {
+			return nil, fmt.Errorf("wal: invalid record length of %d bytes", len(r))
 		}
 		buf = binary.LittleEndian.AppendUint32(buf, uint32(len(r)))
-		buf = binary.LittleEndian.AppendUint32(buf, crc32.Checksum(r, table))
+		buf = binary.LittleEndian.AppendUint32(buf, crc32.Checksum(r, crcTable))
 		buf = append(buf, r...)
 	}
 	return buf, nil
 }
 
-// Append writes records and syncs them. A write that fails, as on a full disk,
-// is taken back; a sync that fails poisons the log.
+// Append writes records and syncs the file. A failed write, as on a full disk, is
+// rolled back; a failed sync poisons the log.
 func (l *Log) Append(records ...[]byte) error {
 	buf, err := encode(records)
 	if err != nil {
@@ -192,7 +196,7 @@
 		return ErrPoisoned
 	}
 	if _, err := l.file.Write(buf); err != nil {
-		return errors.Join(fmt.Errorf("write log: %w", err), l.takeBack())
+		return errors.Join(fmt.Errorf("write log: %w", err), l.rollBack())
 	}
 	if err := l.file.Sync(); err != nil {
 		l.poisoned = true
@@ -202,7 +206,7 @@
 	return nil
 }
 
-func (l *Log) takeBack() error {
+func (l *Log) rollBack() error {
 	if err := l.file.Truncate(l.size); err != nil {
 		l.poisoned = true
 		return fmt.Errorf("take back a failed write: %w", err)
@@ -214,8 +218,8 @@
 	return nil
 }
 
-// Rewrite replaces all records in one step: after a crash the file holds
-// either the old records or the new ones. It makes a poisoned log good again.
+// Rewrite replaces all records atomically: after a crash the file holds either the
+// old records or the new ones. It also makes a poisoned log usable again.
 func (l *Log) Rewrite(records ...[]byte) error {
 	buf, err := encode(records)
 	if err != nil {
@@ -226,21 +230,21 @@
 	if l.closed {
 		return os.ErrClosed
 	}
-	temp := l.path + rewriteShape
-	if err := writeSynced(temp, append([]byte(magic), buf...)); err != nil {
-		return errors.Join(err, os.Remove(temp))
+	tempPath := l.path + tempSuffix
+	if err := writeSynced(tempPath, append([]byte(magic), buf...)); err != nil {
+		return errors.Join(err, os.Remove(tempPath))
 	}
-	if err := os.Rename(temp, l.path); err != nil {
+	if err := os.Rename(tempPath, l.path); err != nil {
 		return fmt.Errorf("rename log: %w", err)
 	}
-	old := l.file
-	if err := errors.Join(syncFolder(filepath.Dir(l.path)), l.open(int64(len(magic)+len(buf)))); err != nil {
+	oldFile := l.file
+	if err := errors.Join(syncDir(filepath.Dir(l.path)), l.openFile(int64(len(magic)+len(buf)))); err != nil {
 		l.poisoned = true
 		return err
 	}
 	l.poisoned = false
-	if old != nil {
-		return old.Close()
+	if oldFile != nil {
+		return oldFile.Close()
 	}
 	return nil
 }
@@ -262,15 +266,15 @@
 	return nil
 }
 
-func syncFolder(path string) error {
+func syncDir(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
-		return fmt.Errorf("open folder: %w", err)
+		return fmt.Errorf("open directory: %w", err)
 	}
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Poisoned tells whether the log takes no records until it is rewritten.
+// Poisoned reports whether the log rejects records until it is rewritten.
 func (l *Log) Poisoned() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -284,7 +288,7 @@
 	return l.size
 }
 
-// Close closes the file.
+// Close closes the log for good: later writes fail.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
