--- a/acceptor/acceptor.go
+++ b/acceptor/acceptor.go
@@ -20,8 +20,8 @@
 	"wheelgauge/replica"
 )
 
-// PathInForce is the path at which a store returns its StoreReport.
-const PathInForce = "/store/inforce"
+// PathReport is the path at which a store returns its StoreReport.
+const PathReport = "/store/inforce"
 
 const (
 	checkInterval  = 250 * time.Millisecond
@@ -30,9 +30,9 @@
 
 // StoreReport has the generation of a store and those that hosts reported to it.
 type StoreReport struct {
-	Store      string               `json:"store"`
-	Generation uint64               `json:"generation"`
-	Hosts      []wheelgauge.InForce `json:"hosts"`
+	Store      string                         `json:"store"`
+	Generation uint64                         `json:"generation"`
+	Hosts      []wheelgauge.AppliedGeneration `json:"hosts"`
 }
 
 // Acceptor checks for pending rules on every store; only the leader accepts them.
@@ -50,7 +50,7 @@
 func Start(ctx context.Context, reg *registry.Registry, rep *replica.Replica, table *inforce.Table, client *peerhttp.Client, log logr.Logger) *Acceptor {
 	ctx, cancel := context.WithCancel(ctx)
 	a := &Acceptor{registry: reg, replica: rep, table: table, client: client, log: log, cancel: cancel, done: make(chan error, 1)}
-	go func() { a.done <- every.Interval(ctx, checkInterval, a.tick) }()
+	go func() { a.done <- every.Run(ctx, checkInterval, a.tick) }()
 	return a
 }
 
@@ -61,7 +61,7 @@
 }
 
 func (a *Acceptor) tick(ctx context.Context) {
-	if !a.replica.Leading() {
+	if !a.replica.IsLeader() {
 		return
 	}
 	pending := a.registry.PendingRules()
@@ -70,14 +70,14 @@
 	}
 	reports := a.Reports(ctx)
 	for _, r := range pending {
-		if len(a.Lagging(r.PendingGen, reports)) == 0 {
+		if len(a.Lagging(r.PendingGeneration, reports)) == 0 {
 			a.accept(ctx, r)
 		}
 	}
 }
 
 func (a *Acceptor) accept(ctx context.Context, r wheelgauge.Resource) {
-	change := wheelgauge.Change{Op: wheelgauge.OpAccept, Kind: r.Kind, Name: r.Name, Expected: &r.PendingGen}
+	change := wheelgauge.Change{Op: wheelgauge.OpAccept, Kind: r.Kind, Name: r.Name, ExpectedGeneration: &r.PendingGeneration}
 	command, err := json.Marshal(change)
 	if err != nil {
 		a.log.Error(err, "Acceptance of a rule could not be encoded.")
@@ -110,7 +110,7 @@
 			continue
 		}
 		group.Go(func() {
-			if err := a.client.Call(callCtx, http.MethodGet, m.Address, PathInForce, nil, &out[i]); err != nil {
+			if err := a.client.Call(callCtx, http.MethodGet, m.Address, PathReport, nil, &out[i]); err != nil {
 				out[i] = StoreReport{}
 			}
 			out[i].Store = m.Name
@@ -121,8 +121,8 @@
 }
 
 // MergeHosts returns the latest report of each host.
-func MergeHosts(reports []StoreReport) []wheelgauge.InForce {
-	lists := make([][]wheelgauge.InForce, len(reports))
+func MergeHosts(reports []StoreReport) []wheelgauge.AppliedGeneration {
+	lists := make([][]wheelgauge.AppliedGeneration, len(reports))
 	for i := range reports {
 		lists[i] = reports[i].Hosts
 	}
--- a/adapter/engine/engine.go
+++ b/adapter/engine/engine.go
@@ -26,8 +26,8 @@
 
 // Send implements wheelgauge.BackendServer. An engine that did not execute a call says
 // so in the outcome header; without the header, a failed call counts as executed.
-func (a *Adapter) Send(ctx context.Context, address string, call *wheelgauge.Call) (*wheelgauge.Answer, error) {
-	answer, err := a.pool.Send(ctx, address, call, call.Key != "")
+func (a *Adapter) Send(ctx context.Context, address string, call *wheelgauge.Call) (*wheelgauge.Response, error) {
+	answer, err := a.pool.Send(ctx, address, call, call.IdempotencyKey != "")
 	if err != nil {
 		return nil, err
 	}
--- a/adapter/hostlist/hostlist.go
+++ b/adapter/hostlist/hostlist.go
@@ -25,8 +25,8 @@
 }
 
 // Hosts implements wheelgauge.HostList.
-func (l *List) Hosts(ctx context.Context) ([]wheelgauge.HostHint, error) {
-	var hosts []wheelgauge.HostHint
+func (l *List) Hosts(ctx context.Context) ([]wheelgauge.HostListEntry, error) {
+	var hosts []wheelgauge.HostListEntry
 	if err := l.client.Call(ctx, http.MethodGet, l.address, path, nil, &hosts); err != nil {
 		return nil, fmt.Errorf("read host list: %w", err)
 	}
--- a/adapter/service/service.go
+++ b/adapter/service/service.go
@@ -24,7 +24,7 @@
 // Send implements wheelgauge.BackendServer. Every response of a service is returned to
 // the caller, whatever its status. Calls other than GET use a new connection, which
 // the service cannot have closed while it was idle.
-func (a *Adapter) Send(ctx context.Context, address string, call *wheelgauge.Call) (*wheelgauge.Answer, error) {
+func (a *Adapter) Send(ctx context.Context, address string, call *wheelgauge.Call) (*wheelgauge.Response, error) {
 	return a.pool.Send(ctx, address, call, call.Method != http.MethodGet)
 }
 
--- a/answerhead/error.go
+++ b/answerhead/error.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// ForeignError names the part of a response that is not valid HTTP/1.1 or HTTP/1.0.
-type ForeignError struct {
+// MalformedError names the part of a response that is not valid HTTP/1.1 or HTTP/1.0.
+type MalformedError struct {
 	part string
 	text string
 }
@@ -11,11 +11,11 @@
 // maxQuotedBytes bounds the excerpt of a response in an error.
 const maxQuotedBytes = 40
 
-func malformed(what string, text []byte) *ForeignError {
-	return &ForeignError{part: what, text: string(text[:min(len(text), maxQuotedBytes)])}
+func malformed(what string, text []byte) *MalformedError {
+	return &MalformedError{part: what, text: string(text[:min(len(text), maxQuotedBytes)])}
 }
 
 // Error implements error.
-func (e *ForeignError) Error() string {
+func (e *MalformedError) Error() string {
 	return fmt.Sprintf("invalid HTTP/1.x response: %s %q", e.part, e.text)
 }
--- a/answerhead/head_test.go
+++ b/answerhead/head_test.go
@@ -45,7 +45,7 @@
 				t.Fatalf("Peek: got %q, %v, want the head alone", head, err)
 			}
 			err = Check(head)
-			if _, malformed := errors.AsType[*ForeignError](err); malformed == tt.good || (err == nil) != tt.good {
+			if _, malformed := errors.AsType[*MalformedError](err); malformed == tt.good || (err == nil) != tt.good {
 				t.Errorf("got %v, want a *ForeignError for invalid heads only", err)
 			}
 		})
--- a/away/away_test.go
+++ b/away/away_test.go
@@ -37,7 +37,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := New(tt.policy, Weights{Second: 1, Share: 0.05, ColdPrefill: 150 * time.Millisecond})
+			d := New(tt.policy, Weights{SecondValue: 1, ForwardCost: 0.05, ColdPrefill: 150 * time.Millisecond})
 			if got := d.Decide(tt.here, tt.fits, RequestSize{Bytes: 1000, Tokens: 100}, tt.others); got != tt.want {
 				t.Fatalf("got %d, want %d", got, tt.want)
 			}
@@ -47,7 +47,7 @@
 
 // TestHysteresis checks that forwarding goes on at a gain that would not start it.
 func TestHysteresis(t *testing.T) {
-	d := New(PolicyCost, Weights{Second: 1, Share: 0})
+	d := New(PolicyCost, Weights{SecondValue: 1, ForwardCost: 0})
 	there := []RegionState{{Region: "lahore", Granted: 5}}
 	steps := []struct {
 		wait time.Duration
@@ -61,7 +61,7 @@
 }
 
 func BenchmarkDecide(b *testing.B) {
-	d := New(PolicyCost, Weights{Second: 1, Share: 0.05})
+	d := New(PolicyCost, Weights{SecondValue: 1, ForwardCost: 0.05})
 	here := RegionState{Region: "r0", Wait: time.Second, Price: 1}
 	others := []RegionState{{Region: "r1", Granted: 5, Price: 1}, {Region: "r2", Granted: 5, Price: 2}, {Region: "r3", Granted: 5, Price: 2}, {Region: "r4", Granted: 5, Price: 2}}
 	b.ReportAllocs()
--- a/away/decider.go
+++ b/away/decider.go
@@ -26,10 +26,10 @@
 
 // Weights convert waiting time, price and distance into one cost.
 type Weights struct {
-	// Second is the value of one second of waiting, in the currency of prices.
-	Second float64
-	// Share is the fixed cost of forwarding one request, in the same currency.
-	Share float64
+	// SecondValue is the value of one second of waiting, in the currency of prices.
+	SecondValue float64
+	// ForwardCost is the fixed cost of forwarding one request, in the same currency.
+	ForwardCost float64
 	// ColdPrefill is the time lost on a cold cache for 1,000 bytes of prompt.
 	ColdPrefill time.Duration
 }
@@ -105,9 +105,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.forwarding[region] {
-		return forwardStopMargin.Seconds() * d.weights.Second
+		return forwardStopMargin.Seconds() * d.weights.SecondValue
 	}
-	return forwardStartMargin.Seconds() * d.weights.Second
+	return forwardStartMargin.Seconds() * d.weights.SecondValue
 }
 
 func (d *Decider) recordChoice(others []RegionState, best int) {
@@ -122,13 +122,13 @@
 	if d.policy == PolicyCheapest {
 		return here.price(work) - other.price(work)
 	}
-	return here.Wait.Seconds()*d.weights.Second + here.price(work) - d.cost(other, work)
+	return here.Wait.Seconds()*d.weights.SecondValue + here.price(work) - d.cost(other, work)
 }
 
 func (d *Decider) cost(p RegionState, work RequestSize) float64 {
 	cold := d.weights.ColdPrefill.Seconds() * float64(work.Bytes) / unitSize
 	delay := p.Wait.Seconds() + 2*p.Latency.Seconds() + cold
-	return delay*d.weights.Second + p.price(work) + d.weights.Share
+	return delay*d.weights.SecondValue + p.price(work) + d.weights.ForwardCost
 }
 
 func (p *RegionState) price(work RequestSize) float64 {
--- a/beat/client.go
+++ b/beat/client.go
@@ -44,23 +44,23 @@
 	maxMisses = 2
 )
 
-// News receives updates from stores. Its methods are called one at a time.
-type News interface {
+// Receiver receives updates from stores. Its methods are called one at a time.
+type Receiver interface {
 	State(s wheelgauge.FleetState)
 	// Called when no store is known to hold a newer state.
-	SameState()
+	StateCurrent()
 	// A partial update may lack what the store has not received yet.
 	Hosts(hosts []wheelgauge.FleetHost, partial bool)
 	Servers(list []wheelgauge.Server, requestedAt time.Time)
 	// Called when the last list was unchanged on another request.
-	SameServers(requestedAt time.Time)
-	Uses(uses []wheelgauge.ServerUse)
-	Regions(regions []wheelgauge.RegionUse, partial bool)
+	ServersUnchanged(requestedAt time.Time)
+	ServerUsage(uses []wheelgauge.ServerUsage)
+	RegionUsage(regions []wheelgauge.RegionUsage, partial bool)
 	// Receives the crashes by which requests are quarantined, all of them unless
 	// partial.
 	Crashes(crashes []wheelgauge.Crash, partial bool)
 	// Receives the duration of an answered call to a store of a region.
-	Reached(region string, took time.Duration)
+	RoundTrip(region string, took time.Duration)
 }
 
 // CrashSource returns the crashes that the host recorded after a change, and the number
@@ -73,13 +73,13 @@
 type LimitTable interface {
 	// Heard returns those that this host received itself after a change, and the number of
 	// the last change.
-	Heard(change uint64) ([]wheelgauge.ServerLimit, uint64)
+	LocalSince(change uint64) ([]wheelgauge.ServerLimit, uint64)
 	// Merge adds those that others received.
 	Merge(limits []wheelgauge.ServerLimit)
 }
 
-// RolloutLog returns what the host did and observed in the rollouts in progress.
-type RolloutLog interface {
+// RolloutSource returns what the host did and observed in the rollouts in progress.
+type RolloutSource interface {
 	Reports() []wheelgauge.RolloutReport
 	// Changes grows with each change that must be sent to all stores at once.
 	Changes() uint64
@@ -89,8 +89,8 @@
 type Options struct {
 	// Self describes the host; called for each heartbeat.
 	Self func() wheelgauge.FleetHost
-	// Report returns what the host has in flight.
-	Report func() ([]wheelgauge.ServerUse, []wheelgauge.ServiceUse)
+	// Usage returns what the host has in flight.
+	Usage func() ([]wheelgauge.ServerUsage, []wheelgauge.ServiceUsage)
 	// Crashes is sent to every store, so that each knows what all hosts recorded; nil
 	// where none are recorded.
 	Crashes CrashSource
@@ -99,7 +99,7 @@
 	Limits LimitTable
 	// Rollouts is sent to every store, so that any of them can decide on the next step; nil
 	// where none are known.
-	Rollouts RolloutLog
+	Rollouts RolloutSource
 	// Seeds are peer addresses of stores.
 	Seeds []string
 	// Interval is the time between heartbeats to the primary, FarInterval to stores of
@@ -107,10 +107,10 @@
 	Interval    time.Duration
 	FarInterval time.Duration
 	// Clock is used for ages and due times; the monotonic clock when nil.
-	Clock  wheelgauge.Clock
-	Client *peerhttp.Client
-	News   News
-	Log    logr.Logger
+	Clock    wheelgauge.Clock
+	Client   *peerhttp.Client
+	Receiver Receiver
+	Log      logr.Logger
 }
 
 // Client sends heartbeats until it is closed.
@@ -143,10 +143,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Client{options: o, done: make(chan error, 1), cancel: cancel, ctx: ctx, stores: map[string]*store{}, fetcher: statefetch.New(o.Client)}
 	if c.options.Clock == nil {
-		c.options.Clock = wheelgauge.SteadyClock{}
+		c.options.Clock = wheelgauge.MonotonicClock{}
 	}
 	c.addStores(o.Seeds)
-	go func() { c.done <- every.Interval(ctx, min(startupInterval, o.Interval)/2, c.tick) }()
+	go func() { c.done <- every.Run(ctx, min(startupInterval, o.Interval)/2, c.tick) }()
 	return c
 }
 
@@ -206,8 +206,8 @@
 	return c.options.Rollouts.Changes()
 }
 
-// Now sends a heartbeat to every store at once, as when the host is leaving.
-func (c *Client) Now() {
+// SendNow sends a heartbeat to every store at once, as when the host is leaving.
+func (c *Client) SendNow() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.stores {
@@ -248,22 +248,22 @@
 }
 
 // heartbeat builds the message for a store; the lock is held.
-func (c *Client) heartbeat(s *store) wheelgauge.Beat {
-	b := wheelgauge.Beat{Host: c.options.Self(), Primary: s.address == c.primary, IntervalMS: c.interval(s).Milliseconds()}
-	uses, totals := c.options.Report()
-	b.Totals = totals
+func (c *Client) heartbeat(s *store) wheelgauge.FleetHeartbeat {
+	b := wheelgauge.FleetHeartbeat{Host: c.options.Self(), Primary: s.address == c.primary, IntervalMS: c.interval(s).Milliseconds()}
+	uses, totals := c.options.Usage()
+	b.ServiceTotals = totals
 	if c.options.Crashes != nil {
 		b.Crashes, s.crashesSent = c.options.Crashes.Since(s.crashesAcked)
 	}
 	if c.options.Limits != nil {
-		b.Limits, s.limitsSent = c.options.Limits.Heard(s.limitsAcked)
+		b.Limits, s.limitsSent = c.options.Limits.LocalSince(s.limitsAcked)
 	}
 	if c.options.Rollouts != nil {
 		s.rolloutsSent = c.options.Rollouts.Changes()
 		b.Rollouts = c.options.Rollouts.Reports()
 	}
 	if b.Primary {
-		b.Uses, b.Store, b.Hosts, b.Servers, b.CrashesAt, b.LimitsAt = uses, s.boot, s.hostsVersion, s.serversVersion, s.crashesVersion, s.limitsVersion
+		b.ServerUsage, b.StoreBoot, b.HostsVersion, b.ServersVersion, b.CrashesVersion, b.LimitsVersion = uses, s.boot, s.hostsVersion, s.serversVersion, s.crashesVersion, s.limitsVersion
 		if !c.listTime.IsZero() {
 			b.ListAgeMS = max(1, c.now().Sub(c.listTime).Milliseconds())
 		}
@@ -271,9 +271,9 @@
 	return b
 }
 
-func (c *Client) call(ctx context.Context, s *store, b wheelgauge.Beat) {
+func (c *Client) call(ctx context.Context, s *store, b wheelgauge.FleetHeartbeat) {
 	sentAt, began := c.now(), time.Now()
-	var answer wheelgauge.BeatAnswer
+	var answer wheelgauge.FleetHeartbeatResponse
 	err := c.options.Client.Call(ctx, http.MethodPost, s.address, Path, b, &answer)
 	c.deliverMu.Lock()
 	defer c.deliverMu.Unlock()
@@ -283,20 +283,20 @@
 	}
 	answer = c.dropOlderList(answer, sentAt)
 	c.recordAnswer(s, b, answer)
-	c.options.News.Reached(answer.Region, time.Since(began))
+	c.options.Receiver.RoundTrip(answer.Region, time.Since(began))
 	c.deliver(b, answer, sentAt)
 }
 
 // dropOlderList removes a list of servers from an answer if it is older than the current
 // one: a store that was not the primary of any host lately may hold an old list.
-func (c *Client) dropOlderList(a wheelgauge.BeatAnswer, sentAt time.Time) wheelgauge.BeatAnswer {
+func (c *Client) dropOlderList(a wheelgauge.FleetHeartbeatResponse, sentAt time.Time) wheelgauge.FleetHeartbeatResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	requestedAt := listTime(a, sentAt)
 	switch {
-	case a.ServersAt == 0:
+	case a.ServersVersion == 0:
 	case a.Servers != nil && requestedAt.Before(c.listTime):
-		a.Servers, a.ServersAt = nil, 0
+		a.Servers, a.ServersVersion = nil, 0
 	default:
 		c.listTime = requestedAt
 	}
@@ -304,7 +304,7 @@
 }
 
 // listTime returns when the list of an answer was requested.
-func listTime(a wheelgauge.BeatAnswer, sentAt time.Time) time.Time {
+func listTime(a wheelgauge.FleetHeartbeatResponse, sentAt time.Time) time.Time {
 	return sentAt.Add(-time.Duration(a.ServersAgeMS) * time.Millisecond)
 }
 
@@ -321,24 +321,24 @@
 }
 
 // recordAnswer updates the store from its answer.
-func (c *Client) recordAnswer(s *store, b wheelgauge.Beat, a wheelgauge.BeatAnswer) {
+func (c *Client) recordAnswer(s *store, b wheelgauge.FleetHeartbeat, a wheelgauge.FleetHeartbeatResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s.inFlight, s.longTimeout, s.answeredInterval, s.misses = false, false, s.sentInterval, 0
-	s.answeredAt, s.connected, s.generation = c.now(), a.InTouch, a.Generation
+	s.answeredAt, s.connected, s.generation = c.now(), a.Connected, a.Generation
 	s.region, s.hall = a.Region, a.Hall
 	s.crashesAcked, s.limitsAcked = s.crashesSent, s.limitsSent
-	if s.boot != a.Store {
+	if s.boot != a.StoreBoot {
 		// The store has restarted and lost what was sent to it before.
-		s.boot, s.hostsVersion, s.serversVersion, s.crashesVersion, s.crashesAcked, s.limitsAcked = a.Store, 0, 0, 0, 0, 0
+		s.boot, s.hostsVersion, s.serversVersion, s.crashesVersion, s.crashesAcked, s.limitsAcked = a.StoreBoot, 0, 0, 0, 0, 0
 	}
 	if b.Primary {
-		s.hostsVersion, s.serversVersion, s.crashesVersion, s.limitsVersion = a.HostsAt, a.ServersAt, a.CrashesAt, a.LimitsAt
+		s.hostsVersion, s.serversVersion, s.crashesVersion, s.limitsVersion = a.HostsVersion, a.ServersVersion, a.CrashesVersion, a.LimitsVersion
 	}
-	if a.InTouch && len(a.Stores) > 0 {
-		c.addStores(a.Stores)
-		c.removeStores(a.Stores)
-		c.members = a.Stores
+	if a.Connected && len(a.StoreAddresses) > 0 {
+		c.addStores(a.StoreAddresses)
+		c.removeStores(a.StoreAddresses)
+		c.members = a.StoreAddresses
 	}
 	c.serversKnown = c.serversKnown || len(a.Servers) > 0
 	if c.startingUp() {
@@ -369,11 +369,11 @@
 
 // deliver passes an answer to News: the updates of the primary, and that the state is
 // current.
-func (c *Client) deliver(b wheelgauge.Beat, a wheelgauge.BeatAnswer, sentAt time.Time) {
-	n := c.options.News
+func (c *Client) deliver(b wheelgauge.FleetHeartbeat, a wheelgauge.FleetHeartbeatResponse, sentAt time.Time) {
+	n := c.options.Receiver
 	// A store that is cut off from the others may not know of a newer state.
-	if a.InTouch && c.current() {
-		n.SameState()
+	if a.Connected && c.current() {
+		n.StateCurrent()
 	}
 	if !b.Primary {
 		return
@@ -381,8 +381,8 @@
 	if a.Hosts != nil {
 		n.Hosts(a.Hosts, a.Partial)
 	}
-	if a.CrashesAt != b.CrashesAt || a.Store != b.Store {
-		n.Crashes(a.Crashes, a.Partial || !a.InTouch)
+	if a.CrashesVersion != b.CrashesVersion || a.StoreBoot != b.StoreBoot {
+		n.Crashes(a.Crashes, a.Partial || !a.Connected)
 	}
 	if c.options.Limits != nil {
 		c.options.Limits.Merge(a.Limits)
@@ -391,9 +391,9 @@
 	switch {
 	case a.Servers != nil:
 		n.Servers(a.Servers, requestedAt)
-	case a.ServersAt > 0:
-		n.SameServers(requestedAt)
+	case a.ServersVersion > 0:
+		n.ServersUnchanged(requestedAt)
 	}
-	n.Uses(a.Uses)
-	n.Regions(a.Regions, a.Partial)
+	n.ServerUsage(a.ServerUsage)
+	n.RegionUsage(a.Regions, a.Partial)
 }
--- a/beat/client_test.go
+++ b/beat/client_test.go
@@ -27,8 +27,8 @@
 // fakeStore answers heartbeats with a fixed answer.
 type fakeStore struct {
 	mu     sync.Mutex
-	answer wheelgauge.BeatAnswer
-	beats  []wheelgauge.Beat
+	answer wheelgauge.FleetHeartbeatResponse
+	beats  []wheelgauge.FleetHeartbeat
 	http   *httpserve.Server
 	// latency is added to each answer, as by a long link.
 	latency time.Duration
@@ -38,7 +38,7 @@
 
 func newStore(t *testing.T, region string, generation uint64) *fakeStore {
 	t.Helper()
-	s := &fakeStore{answer: wheelgauge.BeatAnswer{Store: generation + 1, InTouch: true, Generation: generation, Region: region}}
+	s := &fakeStore{answer: wheelgauge.FleetHeartbeatResponse{StoreBoot: generation + 1, Connected: true, Generation: generation, Region: region}}
 	l, err := httpserve.Listen("127.0.0.1:0", s.serve, httpserve.Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -62,24 +62,24 @@
 	if string(ctx.Path()) == statefeed.Path {
 		r, err := peerhttp.Decode[wheelgauge.StateRequest](ctx)
 		if err != nil {
-			peerhttp.AnswerError(ctx, err)
+			peerhttp.WriteError(ctx, err)
 			return
 		}
 		time.Sleep(s.latency)
-		part, err := statefeed.New(s.state).Part(r)
+		part, err := statefeed.New(s.state).Chunk(r)
 		if err != nil {
-			peerhttp.AnswerError(ctx, err)
+			peerhttp.WriteError(ctx, err)
 			return
 		}
-		peerhttp.Answer(ctx, part)
+		peerhttp.WriteJSON(ctx, part)
 		return
 	}
 	if s.silent.Load() {
 		time.Sleep(callTimeout + 50*time.Millisecond)
 	}
-	b, err := peerhttp.Decode[wheelgauge.Beat](ctx)
+	b, err := peerhttp.Decode[wheelgauge.FleetHeartbeat](ctx)
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	time.Sleep(s.latency)
@@ -88,23 +88,23 @@
 	s.beats = append(s.beats, b)
 	a := s.answer
 	if b.Primary {
-		a.ServersAt = 1
+		a.ServersVersion = 1
 		a.Servers = []wheelgauge.Server{{Instance: a.Region}}
 	}
-	peerhttp.Answer(ctx, a)
+	peerhttp.WriteJSON(ctx, a)
 }
 
-func (s *fakeStore) set(f func(a *wheelgauge.BeatAnswer)) {
+func (s *fakeStore) set(f func(a *wheelgauge.FleetHeartbeatResponse)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.answer)
 }
 
-func (s *fakeStore) last() wheelgauge.Beat {
+func (s *fakeStore) last() wheelgauge.FleetHeartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.beats) == 0 {
-		return wheelgauge.Beat{}
+		return wheelgauge.FleetHeartbeat{}
 	}
 	return s.beats[len(s.beats)-1]
 }
@@ -133,12 +133,12 @@
 	defer n.mu.Unlock()
 	n.from = list[0].Instance
 }
-func (n *recorder) Reached(string, time.Duration)        {}
-func (n *recorder) SameState()                           {}
-func (n *recorder) SameServers(time.Time)                {}
-func (n *recorder) Uses([]wheelgauge.ServerUse)          {}
-func (n *recorder) Regions([]wheelgauge.RegionUse, bool) {}
-func (n *recorder) Crashes([]wheelgauge.Crash, bool)     {}
+func (n *recorder) RoundTrip(string, time.Duration)            {}
+func (n *recorder) StateCurrent()                              {}
+func (n *recorder) ServersUnchanged(time.Time)                 {}
+func (n *recorder) ServerUsage([]wheelgauge.ServerUsage)       {}
+func (n *recorder) RegionUsage([]wheelgauge.RegionUsage, bool) {}
+func (n *recorder) Crashes([]wheelgauge.Crash, bool)           {}
 
 func (n *recorder) primary() string {
 	n.mu.Lock()
@@ -161,7 +161,7 @@
 			defer mu.Unlock()
 			return wheelgauge.FleetHost{Name: "g", Region: "here", Leaving: leaving != nil && *leaving}
 		},
-		FarInterval: interval, News: n, Log: logr.Discard(),
+		FarInterval: interval, Receiver: n, Log: logr.Discard(),
 	})
 }
 
@@ -171,7 +171,7 @@
 	for _, s := range seeds {
 		o.Seeds = append(o.Seeds, s.http.Address())
 	}
-	o.Report = func() ([]wheelgauge.ServerUse, []wheelgauge.ServiceUse) { return nil, nil }
+	o.Usage = func() ([]wheelgauge.ServerUsage, []wheelgauge.ServiceUsage) { return nil, nil }
 	o.Interval, o.Client = interval, peerhttp.NewClient(nil, "")
 	c := Start(o)
 	t.Cleanup(func() {
@@ -198,15 +198,15 @@
 	n := &recorder{}
 	startClient(t, n, nil, near, far)
 	waitFor(t, "the list of the near store", func() bool { return n.primary() == "here" })
-	near.set(func(a *wheelgauge.BeatAnswer) { a.InTouch = false })
+	near.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.Connected = false })
 	waitFor(t, "the list of the store that is connected to the others", func() bool { return n.primary() == "there" })
-	near.set(func(a *wheelgauge.BeatAnswer) { a.InTouch = true })
+	near.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.Connected = true })
 	waitFor(t, "the list of the near store again", func() bool { return n.primary() == "here" })
 }
 
 func TestDisconnectedStoreIsUsedIfAlone(t *testing.T) {
 	s := newStore(t, "here", 3)
-	s.set(func(a *wheelgauge.BeatAnswer) { a.InTouch = false })
+	s.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.Connected = false })
 	n := &recorder{}
 	startClient(t, n, nil, s)
 	waitFor(t, "configuration and servers", func() bool { return len(n.states()) == 1 && n.primary() == "here" })
@@ -218,13 +218,15 @@
 	n := &recorder{}
 	startClient(t, n, nil, near, far)
 	waitFor(t, "first configuration", func() bool { return len(n.states()) > 0 })
-	far.set(func(a *wheelgauge.BeatAnswer) { a.Generation = 8 })
+	far.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.Generation = 8 })
 	waitFor(t, "the newer configuration", func() bool { return slices.Contains(n.states(), 8) })
 }
 
 func TestStoreDiscovery(t *testing.T) {
 	seed, member := newStore(t, "here", 3), newStore(t, "there", 3)
-	seed.set(func(a *wheelgauge.BeatAnswer) { a.Stores = []string{seed.http.Address(), member.http.Address()} })
+	seed.set(func(a *wheelgauge.FleetHeartbeatResponse) {
+		a.StoreAddresses = []string{seed.http.Address(), member.http.Address()}
+	})
 	startClient(t, &recorder{}, nil, seed)
 	waitFor(t, "a heartbeat at a store that is not a seed", func() bool { return member.last().Host.Name == "g" })
 }
@@ -264,7 +266,7 @@
 			selfCalls.Add(1)
 			return wheelgauge.FleetHost{Name: "g", Region: "here"}
 		},
-		FarInterval: time.Second, News: n, Log: funcr.New(changes.write, funcr.Options{}),
+		FarInterval: time.Second, Receiver: n, Log: funcr.New(changes.write, funcr.Options{}),
 	})
 	waitFor(t, "a state and a server list", func() bool { return n.primary() != "" && len(n.states()) > 0 })
 	for _, s := range stores {
@@ -296,18 +298,18 @@
 // more servers, after one 0.6 s old.
 func TestOlderListIsIgnored(t *testing.T) {
 	near, far := newStore(t, "here", 3), newStore(t, "there", 3)
-	far.set(func(a *wheelgauge.BeatAnswer) { a.ServersAgeMS = time.Hour.Milliseconds() })
+	far.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.ServersAgeMS = time.Hour.Milliseconds() })
 	n := &recorder{}
 	startClient(t, n, nil, near, far)
 	waitFor(t, "the list of the near store", func() bool { return n.primary() == "here" })
-	near.set(func(a *wheelgauge.BeatAnswer) { a.InTouch = false })
+	near.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.Connected = false })
 	waitFor(t, "heartbeats to the far store as the primary", func() bool { return far.last().Primary })
 	from := far.count()
 	waitFor(t, "more heartbeats", func() bool { return far.count() > from+10 })
 	if got := n.primary(); got != "here" {
 		t.Errorf("the current list is that of the store %q, which is an hour old", got)
 	}
-	far.set(func(a *wheelgauge.BeatAnswer) { a.ServersAgeMS = 0 })
+	far.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.ServersAgeMS = 0 })
 	waitFor(t, "the list of the far store after it was read again", func() bool { return n.primary() == "there" })
 }
 
@@ -331,15 +333,15 @@
 		{"none", nil, nil},
 	}
 	for _, tt := range tests {
-		c := &Client{options: Options{Clock: wheelgauge.SteadyClock{}, Self: func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Region: "here"} }}, stores: map[string]*store{}}
+		c := &Client{options: Options{Clock: wheelgauge.MonotonicClock{}, Self: func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Region: "here"} }}, stores: map[string]*store{}}
 		for _, s := range tt.stores {
 			c.stores[s.address] = s
 		}
 		var got []string
 		for _, s := range c.Stores() {
 			got = append(got, s.Address)
-			if near := c.stores[s.Address].region == "here"; near != s.Near {
-				t.Errorf("%s: store %s has Near = %v, which does not match its region", tt.name, s.Address, s.Near)
+			if near := c.stores[s.Address].region == "here"; near != s.SameRegion {
+				t.Errorf("%s: store %s has Near = %v, which does not match its region", tt.name, s.Address, s.SameRegion)
 			}
 		}
 		if !slices.Equal(got, tt.want) {
@@ -351,7 +353,7 @@
 // BenchmarkStores orders five stores, as each request with a cap does: 0.7 us when each
 // store is ranked once, 1.3 us when each comparison ranks both stores.
 func BenchmarkStores(b *testing.B) {
-	c := &Client{options: Options{Clock: wheelgauge.SteadyClock{}, Self: func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Region: "a"} }}, stores: map[string]*store{}, primary: "s1"}
+	c := &Client{options: Options{Clock: wheelgauge.MonotonicClock{}, Self: func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Region: "a"} }}, stores: map[string]*store{}, primary: "s1"}
 	for i, region := range []string{"a", "a", "b", "b", "c"} {
 		address := "s" + string(rune('0'+i))
 		c.stores[address] = &store{address: address, region: region, connected: true, answeredAt: time.Now(), answeredInterval: time.Hour}
--- a/beat/crashes_test.go
+++ b/beat/crashes_test.go
@@ -31,11 +31,11 @@
 // store that has restarted and lost it.
 func TestCrashesAreSentAtOnce(t *testing.T) {
 	near, far := newStore(t, "here", 3), newStore(t, "there", 3)
-	far.set(func(a *wheelgauge.BeatAnswer) { a.Store = 77 })
+	far.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.StoreBoot = 77 })
 	log := quarantine.New(time.Now)
 	c := startWith(t, []*fakeStore{near, far}, Options{
 		Self:        func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Name: "g", Region: "here"} },
-		FarInterval: time.Hour, News: &recorder{}, Log: logr.Discard(), Crashes: log,
+		FarInterval: time.Hour, Receiver: &recorder{}, Log: logr.Discard(), Crashes: log,
 	})
 	bothAnswered := func() bool {
 		c.mu.Lock()
@@ -48,17 +48,17 @@
 		return !c.startingUp()
 	}
 	waitFor(t, "both stores answer", bothAnswered)
-	first := wheelgauge.Crash{Request: "p", Server: "a"}
-	log.Ended(first)
+	first := wheelgauge.Crash{Fingerprint: "p", Server: "a"}
+	log.RecordCrash(first)
 	both := func(crash wheelgauge.Crash) func() bool {
 		return func() bool { return slices.Contains(near.crashes(), crash) && slices.Contains(far.crashes(), crash) }
 	}
 	waitFor(t, "the first crash at both stores", both(first))
 	waitFor(t, "both answers", bothAnswered)
 	far.forget()
-	far.set(func(a *wheelgauge.BeatAnswer) { a.Store = 78 })
-	second := wheelgauge.Crash{Request: "p", Server: "b"}
-	log.Ended(second)
+	far.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.StoreBoot = 78 })
+	second := wheelgauge.Crash{Fingerprint: "p", Server: "b"}
+	log.RecordCrash(second)
 	waitFor(t, "the second crash at both stores", both(second))
 	waitFor(t, "the first crash at the restarted store", func() bool { return slices.Contains(far.crashes(), first) })
 }
--- a/beat/limits_test.go
+++ b/beat/limits_test.go
@@ -27,15 +27,15 @@
 // to one that has restarted; limits received from the primary are merged.
 func TestLimitsAreSent(t *testing.T) {
 	near, far := newStore(t, "here", 3), newStore(t, "there", 3)
-	near.set(func(a *wheelgauge.BeatAnswer) {
-		a.Limits, a.LimitsAt = []wheelgauge.ServerLimit{{Server: "other", Rate: 3}}, 5
+	near.set(func(a *wheelgauge.FleetHeartbeatResponse) {
+		a.Limits, a.LimitsVersion = []wheelgauge.ServerLimit{{Server: "other", Rate: 3}}, 5
 	})
-	far.set(func(a *wheelgauge.BeatAnswer) { a.Store = 77 })
+	far.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.StoreBoot = 77 })
 	limits := serverlimit.New(time.Now)
-	limits.Named("own", 2)
+	limits.ObserveLimit("own", 2)
 	c := startWith(t, []*fakeStore{near, far}, Options{
 		Self:        func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Name: "g", Region: "here"} },
-		FarInterval: interval, News: &recorder{}, Log: logr.Discard(), Limits: limits,
+		FarInterval: interval, Receiver: &recorder{}, Log: logr.Discard(), Limits: limits,
 	})
 	waitFor(t, "the limit at both stores", func() bool {
 		return slices.Contains(near.limits(), "own") && slices.Contains(far.limits(), "own")
@@ -45,7 +45,7 @@
 		return ok && rate == 3
 	})
 	waitFor(t, "the region's store in RegionStores", func() bool {
-		return slices.Equal(c.RegionStores(), []wheelgauge.RegionStore{{Address: near.http.Address(), Answers: true}})
+		return slices.Equal(c.RegionStores(), []wheelgauge.RegionStore{{Address: near.http.Address(), Reachable: true}})
 	})
 	// A store gets everything once more when the host learns its boot number.
 	moreHeartbeats := func() bool { return far.count() > 3 }
@@ -56,7 +56,7 @@
 	if slices.Contains(far.limits(), "own") || slices.Contains(far.limits(), "other") {
 		t.Errorf("limits were sent again to a store that knows them: %v", far.limits())
 	}
-	far.set(func(a *wheelgauge.BeatAnswer) { a.Store = 78 })
+	far.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.StoreBoot = 78 })
 	waitFor(t, "the limit at the restarted store", func() bool { return slices.Contains(far.limits(), "own") })
 }
 
@@ -66,14 +66,14 @@
 func TestFormerSeedIsExcluded(t *testing.T) {
 	seed, member := newStore(t, "here", 3), newStore(t, "here", 3)
 	for _, s := range []*fakeStore{seed, member} {
-		s.set(func(a *wheelgauge.BeatAnswer) { a.Stores = []string{member.http.Address()} })
+		s.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.StoreAddresses = []string{member.http.Address()} })
 	}
 	c := startWith(t, []*fakeStore{seed, member}, Options{
-		Self: func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Name: "g", Region: "here"} },
-		News: &recorder{}, Log: logr.Discard(),
+		Self:     func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Name: "g", Region: "here"} },
+		Receiver: &recorder{}, Log: logr.Discard(),
 	})
 	waitFor(t, "answers of both stores", func() bool { return seed.count() > 2 && member.count() > 2 })
 	waitFor(t, "only the member in RegionStores", func() bool {
-		return slices.Equal(c.RegionStores(), []wheelgauge.RegionStore{{Address: member.http.Address(), Answers: true}})
+		return slices.Equal(c.RegionStores(), []wheelgauge.RegionStore{{Address: member.http.Address(), Reachable: true}})
 	})
 }
--- a/beat/state.go
+++ b/beat/state.go
@@ -81,17 +81,17 @@
 	defer c.deliverMu.Unlock()
 	if err != nil {
 		c.options.Log.Info("State could not be fetched.", "generation", held.Generation, "took_ms", c.now().Sub(began).Milliseconds(),
-			"bytes", c.fetcher.Came(), "cause", err.Error())
+			"bytes", c.fetcher.ReceivedBytes(), "cause", err.Error())
 		c.fetchEnded(held, fetchRetryDelay)
 		return
 	}
 	c.options.Log.Info("State is fetched.", "generation", s.Generation, "version", s.Version, "took_ms", c.now().Sub(began).Milliseconds(),
 		"bytes", len(s.Body), "stores", stores)
-	c.options.News.State(s)
+	c.options.Receiver.State(s)
 	s.Body = nil
 	c.fetchEnded(s, 0)
 	if c.current() {
-		c.options.News.SameState()
+		c.options.Receiver.StateCurrent()
 	}
 }
 
--- a/beat/stores.go
+++ b/beat/stores.go
@@ -53,7 +53,7 @@
 // Stores returns the reachable stores, those of the host's region first. One of the region
 // that is cut off from the other stores comes before one of another region: drawing cap
 // units there takes 2 ms instead of 115 ms.
-func (c *Client) Stores() []wheelgauge.StoreAt {
+func (c *Client) Stores() []wheelgauge.StoreEndpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	self := c.options.Self()
@@ -61,13 +61,13 @@
 	for _, s := range c.stores {
 		if rank := c.rank(s, self); rank >= 0 {
 			near := s.region == self.Region
-			found = append(found, ranked{StoreAt: wheelgauge.StoreAt{Address: s.address, Near: near}, rank: rank, primary: s.address == c.primary})
+			found = append(found, ranked{StoreEndpoint: wheelgauge.StoreEndpoint{Address: s.address, SameRegion: near}, rank: rank, primary: s.address == c.primary})
 		}
 	}
 	slices.SortFunc(found, ranked.compare)
-	out := make([]wheelgauge.StoreAt, 0, len(found))
+	out := make([]wheelgauge.StoreEndpoint, 0, len(found))
 	for _, r := range found {
-		out = append(out, r.StoreAt)
+		out = append(out, r.StoreEndpoint)
 	}
 	return out
 }
@@ -82,7 +82,7 @@
 	var out []wheelgauge.RegionStore
 	for _, s := range c.stores {
 		if s.region == self.Region && (len(c.members) == 0 || slices.Contains(c.members, s.address)) {
-			out = append(out, wheelgauge.RegionStore{Address: s.address, Answers: c.rank(s, self) >= 0})
+			out = append(out, wheelgauge.RegionStore{Address: s.address, Reachable: c.rank(s, self) >= 0})
 		}
 	}
 	return out
@@ -90,14 +90,14 @@
 
 // ranked is a reachable store with its sort keys.
 type ranked struct {
-	wheelgauge.StoreAt
+	wheelgauge.StoreEndpoint
 	rank    int
 	primary bool
 }
 
 // compare sorts better stores first.
 func (r ranked) compare(other ranked) int {
-	return cmp.Or(trueFirst(r.Near, other.Near), cmp.Compare(other.rank, r.rank), trueFirst(r.primary, other.primary), cmp.Compare(r.Address, other.Address))
+	return cmp.Or(trueFirst(r.SameRegion, other.SameRegion), cmp.Compare(other.rank, r.rank), trueFirst(r.primary, other.primary), cmp.Compare(r.Address, other.Address))
 }
 
 func trueFirst(a, b bool) int {
--- a/beat/suspend_test.go
+++ b/beat/suspend_test.go
@@ -18,7 +18,7 @@
 	clock := &fakeclock.Clock{}
 	c := startWith(t, []*fakeStore{store}, Options{
 		Self:        func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Name: "g", Region: "here"} },
-		FarInterval: interval, News: &recorder{}, Log: logr.Discard(), Clock: clock,
+		FarInterval: interval, Receiver: &recorder{}, Log: logr.Discard(), Clock: clock,
 	})
 	waitFor(t, "an answer of the store and a list of servers", func() bool { return len(c.Stores()) == 1 && store.last().ListAgeMS > 0 })
 	c.mu.Lock()
--- a/bootclock/clock.go
+++ b/bootclock/clock.go
@@ -41,8 +41,8 @@
 // and does not count suspended time.
 func New() (*Clock, error) { return newClock(bootTime, time.Now) }
 
-// OrSteady returns a clock that starts now, and logs if it has to be the monotonic one.
-func OrSteady(log logr.Logger) *Clock {
+// NewOrMonotonic returns a clock that starts now, and logs if it has to be the monotonic one.
+func NewOrMonotonic(log logr.Logger) *Clock {
 	c, err := New()
 	if err != nil {
 		log.Info("The clock is the steady one.", "cause", err.Error())
--- a/callerconn/callerconn.go
+++ b/callerconn/callerconn.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// Gone reports whether the peer closed or reset a connection that is not being read.
+// PeerClosed reports whether the peer closed or reset a connection that is not being read.
 // It is always false for connections that cannot be peeked at, such as TLS.
-func Gone(c net.Conn) bool {
+func PeerClosed(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
 		return false
--- a/callerconn/callerconn_test.go
+++ b/callerconn/callerconn_test.go
@@ -50,10 +50,10 @@
 			if err := tt.do(local, remote); err != nil {
 				t.Fatal(err)
 			}
-			got := Gone(local)
+			got := PeerClosed(local)
 			for i := 0; i < 200 && got != tt.want; i++ {
 				time.Sleep(5 * time.Millisecond)
-				got = Gone(local)
+				got = PeerClosed(local)
 			}
 			if got != tt.want {
 				t.Fatalf("Gone returned %t, want the opposite", got)
--- a/callerhttp/conn.go
+++ b/callerhttp/conn.go
@@ -35,7 +35,7 @@
 }
 
 func newConn(s *Server, c net.Conn) *conn {
-	return &conn{server: s, net: c, in: bufio.NewReaderSize(c, max(minReadBufferBytes, s.options.Limits().HeaderBytes))}
+	return &conn{server: s, net: c, in: bufio.NewReaderSize(c, max(minReadBufferBytes, s.options.Limits().MaxHeaderBytes))}
 }
 
 // currentCancel returns the function that cancels the request in progress, nil if there is none.
@@ -86,7 +86,7 @@
 		k.reject(r, headerErrorStatus(err), err)
 		return false
 	}
-	if n := r.request.Header.ContentLength(); limits.BodyBytes > 0 && n > limits.BodyBytes {
+	if n := r.request.Header.ContentLength(); limits.MaxBodyBytes > 0 && n > limits.MaxBodyBytes {
 		k.reject(r, http.StatusRequestEntityTooLarge, fasthttp.ErrBodyTooLarge)
 		return false
 	}
@@ -96,7 +96,7 @@
 		}
 	}
 	k.setReadTimeout(bodyTimeout)
-	if err := r.request.ContinueReadBody(k.in, limits.BodyBytes, false); err != nil {
+	if err := r.request.ContinueReadBody(k.in, limits.MaxBodyBytes, false); err != nil {
 		k.reject(r, bodyErrorStatus(err), err)
 		return false
 	}
@@ -132,7 +132,7 @@
 	if status == http.StatusRequestEntityTooLarge {
 		reason = wheelgauge.ReasonTooLarge
 	}
-	r.Refuse(wheelgauge.NewError(reason, wheelgauge.OutcomeNotRun, status, cause.Error()))
+	r.RespondError(wheelgauge.NewError(reason, wheelgauge.OutcomeNotRun, status, cause.Error()))
 }
 
 // headerErrorStatus returns the status for a header that could not be read, 0 for no response.
--- a/callerhttp/fuzz_test.go
+++ b/callerhttp/fuzz_test.go
@@ -79,7 +79,9 @@
 	} {
 		f.Add([]byte(seed))
 	}
-	s := &Server{options: Options{Limits: func() wheelgauge.Limits { return wheelgauge.Limits{HeaderBytes: 4096, BodyBytes: 4096} }}}
+	s := &Server{options: Options{Limits: func() wheelgauge.CallerLimits {
+		return wheelgauge.CallerLimits{MaxHeaderBytes: 4096, MaxBodyBytes: 4096}
+	}}}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		k := newConn(s, &bytesConn{in: bytes.NewReader(in)})
 		r := &Request{conn: k}
--- a/callerhttp/request.go
+++ b/callerhttp/request.go
@@ -52,24 +52,24 @@
 // Arrived returns when the request's first byte was received.
 func (r *Request) Arrived() time.Time { return r.arrived }
 
-// Left reports whether the caller was found to have disconnected.
-func (r *Request) Left() bool { return r.conn.callerLeft.Load() }
+// Disconnected reports whether the caller was found to have disconnected.
+func (r *Request) Disconnected() bool { return r.conn.callerLeft.Load() }
 
-// Interrupt cancels the context of the request's handler. It is safe for concurrent use.
-func (r *Request) Interrupt() {
+// Cancel cancels the context of the request's handler. It is safe for concurrent use.
+func (r *Request) Cancel() {
 	if cancel := r.conn.currentCancel(); cancel != nil {
 		cancel()
 	}
 }
 
-// Begun reports whether a response was started.
-func (r *Request) Begun() bool { return r.started }
+// Started reports whether a response was started.
+func (r *Request) Started() bool { return r.started }
 
-// Begin sets the head of a response whose body follows by Write and ends with
+// StartResponse sets the head of a response whose body follows by Write and ends with
 // End; the head is sent with the first part of the body. length is that of the
 // body, -1 if unknown. To an HTTP/1.0 caller, a body of unknown length ends when
 // the connection closes.
-func (r *Request) Begin(status int, fields []Field, length int) {
+func (r *Request) StartResponse(status int, fields []Field, length int) {
 	if r.conn.server.draining.Load() {
 		r.closeAfter = true
 	}
@@ -105,7 +105,7 @@
 		r.pendingHead = nil
 	}
 	for part := range slices.Chunk(p, maxWriteBytes) {
-		_ = r.conn.net.SetWriteDeadline(time.Now().Add(r.conn.server.options.Unread)) // on a closed connection the write fails
+		_ = r.conn.net.SetWriteDeadline(time.Now().Add(r.conn.server.options.WriteTimeout)) // on a closed connection the write fails
 		if _, err := r.conn.net.Write(part); err != nil {
 			return fmt.Errorf("write to caller: %w", err)
 		}
@@ -135,7 +135,7 @@
 // connection is cut instead.
 func (r *Request) End() error {
 	if r.length >= 0 && r.written != r.length {
-		r.Cut()
+		r.Abort()
 		return errors.New("end response: body shorter than its Content-Length")
 	}
 	var tail []byte
@@ -151,9 +151,9 @@
 	return nil
 }
 
-// Answer sends a complete response.
-func (r *Request) Answer(status int, fields []Field, body []byte) error {
-	r.Begin(status, fields, len(body))
+// Respond sends a complete response.
+func (r *Request) Respond(status int, fields []Field, body []byte) error {
+	r.StartResponse(status, fields, len(body))
 	if r.length > 0 {
 		if _, err := r.Write(body); err != nil {
 			return err
@@ -162,15 +162,15 @@
 	return r.End()
 }
 
-// Cut closes the connection without completing the response, so that the caller
+// Abort closes the connection without completing the response, so that the caller
 // detects the truncation.
-func (r *Request) Cut() {
+func (r *Request) Abort() {
 	r.closeAfter = true
 	r.finished = false
 }
 
-// Refuse responds with the gateway's own error.
-func (r *Request) Refuse(e *wheelgauge.Error) {
+// RespondError responds with the gateway's own error.
+func (r *Request) RespondError(e *wheelgauge.Error) {
 	body, err := json.Marshal(e)
 	if err != nil {
 		body = []byte(`{"reason":"internal","outcome":"unknown","status":500}`)
@@ -183,7 +183,7 @@
 		fields = append(fields, NewField(wheelgauge.HeaderSends, strconv.Itoa(sends)))
 	}
 	// Fails only if the caller has disconnected.
-	_ = r.Answer(e.Status(), fields, body)
+	_ = r.Respond(e.Status(), fields, body)
 }
 
 func appendHead(dst []byte, status int, fields []Field) []byte {
--- a/callerhttp/server.go
+++ b/callerhttp/server.go
@@ -33,14 +33,14 @@
 // Options of a Server.
 type Options struct {
 	// Limits returns the current limits for callers.
-	Limits func() wheelgauge.Limits
+	Limits func() wheelgauge.CallerLimits
 	// Serve handles a request and returns when the response is done.
 	Serve func(ctx context.Context, r *Request)
-	// Conns is the maximum number of connections; further ones are closed at once.
-	Conns int
-	// Unread is the time after which a caller that does not read its response is
+	// MaxConns is the maximum number of connections; further ones are closed at once.
+	MaxConns int
+	// WriteTimeout is the time after which a caller that does not read its response is
 	// disconnected; defaultWriteTimeout when 0.
-	Unread time.Duration
+	WriteTimeout time.Duration
 }
 
 // Server is a running listener.
@@ -59,7 +59,7 @@
 
 // Listen starts a server on address.
 func Listen(address string, o Options) (*Server, error) {
-	o.Unread = cmp.Or(o.Unread, defaultWriteTimeout)
+	o.WriteTimeout = cmp.Or(o.WriteTimeout, defaultWriteTimeout)
 	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: 3}}
 	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{options: o, listener: listener, ctx: ctx, cancel: cancel, done: make(chan error, 2), conns: map[*conn]struct{}{}}
 	go func() { s.done <- s.accept() }()
-	go func() { s.done <- every.Interval(ctx, disconnectScanInterval, s.cancelDisconnected) }()
+	go func() { s.done <- every.Run(ctx, disconnectScanInterval, s.cancelDisconnected) }()
 	return s, nil
 }
 
@@ -93,7 +93,7 @@
 func (s *Server) start(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) >= s.options.Conns || s.ctx.Err() != nil {
+	if len(s.conns) >= s.options.MaxConns || s.ctx.Err() != nil {
 		_ = c.Close() // nothing was read, so the caller can retry at another host
 		return
 	}
@@ -112,7 +112,7 @@
 // cancelDisconnected cancels the requests of callers that disconnected.
 func (s *Server) cancelDisconnected(context.Context) {
 	for _, k := range s.snapshot() {
-		if cancel := k.currentCancel(); cancel != nil && callerconn.Gone(k.net) {
+		if cancel := k.currentCancel(); cancel != nil && callerconn.PeerClosed(k.net) {
 			k.callerLeft.Store(true)
 			cancel()
 		}
@@ -129,8 +129,8 @@
 	return out
 }
 
-// Serving returns the number of requests in progress.
-func (s *Server) Serving() int {
+// InFlight returns the number of requests in progress.
+func (s *Server) InFlight() int {
 	n := 0
 	for _, k := range s.snapshot() {
 		if k.currentCancel() != nil {
@@ -150,7 +150,7 @@
 	err := s.listener.Close()
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
-	for s.Serving() > 0 && ctx.Err() == nil {
+	for s.InFlight() > 0 && ctx.Err() == nil {
 		<-ticker.C
 	}
 	s.cancel()
--- a/callerhttp/server_test.go
+++ b/callerhttp/server_test.go
@@ -15,13 +15,13 @@
 
 const testTimeout = 10 * time.Second
 
-func limits() wheelgauge.Limits {
-	return wheelgauge.Limits{HeaderBytes: 16 << 10, BodyBytes: 64, HeaderTimeout: time.Second, IdleTimeout: testTimeout}
+func limits() wheelgauge.CallerLimits {
+	return wheelgauge.CallerLimits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64, HeaderTimeout: time.Second, IdleTimeout: testTimeout}
 }
 
 func listen(t *testing.T, serve func(ctx context.Context, r *Request)) (*Server, net.Conn) {
 	t.Helper()
-	s, err := Listen("127.0.0.1:0", Options{Limits: limits, Serve: serve, Conns: 8})
+	s, err := Listen("127.0.0.1:0", Options{Limits: limits, Serve: serve, MaxConns: 8})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 }
 
 func echo(_ context.Context, r *Request) {
-	_ = r.Answer(http.StatusOK, nil, append([]byte(string(r.Header().RequestURI())+" "), r.Body()...))
+	_ = r.Respond(http.StatusOK, nil, append([]byte(string(r.Header().RequestURI())+" "), r.Body()...))
 }
 
 func TestRequests(t *testing.T) {
@@ -125,18 +125,18 @@
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if r := <-left; !r.Left() {
+	if r := <-left; !r.Disconnected() {
 		t.Error("the request was cancelled without noting that its caller disconnected")
 	}
 }
 
 func TestCutResponseIsNotComplete(t *testing.T) {
 	_, c := listen(t, func(_ context.Context, r *Request) {
-		r.Begin(http.StatusOK, nil, -1)
+		r.StartResponse(http.StatusOK, nil, -1)
 		if _, err := r.Write([]byte("part")); err != nil {
 			t.Error(err)
 		}
-		r.Cut()
+		r.Abort()
 	})
 	if _, err := c.Write([]byte("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")); err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 
 func TestShortResponseIsCut(t *testing.T) {
 	_, c := listen(t, func(_ context.Context, r *Request) {
-		r.Begin(http.StatusOK, nil, 8)
+		r.StartResponse(http.StatusOK, nil, 8)
 		if _, err := r.Write([]byte("part")); err != nil {
 			t.Error(err)
 		}
--- a/capbank/allocator.go
+++ b/capbank/allocator.go
@@ -56,8 +56,8 @@
 	Now     func() time.Time
 }
 
-// Bank divides caps with the other stores. It is safe for concurrent use.
-type Bank struct {
+// Allocator divides caps with the other stores. It is safe for concurrent use.
+type Allocator struct {
 	options    Options
 	mu         sync.Mutex
 	started    time.Time
@@ -74,19 +74,19 @@
 }
 
 // New returns an allocator without caps.
-func New(o Options) *Bank {
-	return &Bank{options: o, started: o.Now(), peers: map[string]*peer{}, hosts: map[string]*host{}, buckets: map[string]*bucket{}}
+func New(o Options) *Allocator {
+	return &Allocator{options: o, started: o.Now(), peers: map[string]*peer{}, hosts: map[string]*host{}, buckets: map[string]*bucket{}}
 }
 
 // SetCaps applies the workspaces of the current configuration.
-func (a *Bank) SetCaps(list []wheelgauge.Workspace) {
+func (a *Allocator) SetCaps(list []wheelgauge.Workspace) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.options.Now()
 	seen := map[string]bool{}
 	for i := range list {
 		w := &list[i]
-		if !w.Cap.Bounds() {
+		if !w.Cap.HasLimit() {
 			continue
 		}
 		seen[w.Name] = true
@@ -116,7 +116,7 @@
 
 // SetMembers applies the addresses of all stores. A smaller number takes effect only once
 // removed stores have noticed for sure, or their hosts have turned to others.
-func (a *Bank) SetMembers(addresses []string) {
+func (a *Allocator) SetMembers(addresses []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.options.Now()
@@ -139,12 +139,12 @@
 }
 
 // margin is what may be sent of a cap in a window beyond its rate and burst.
-func (a *Bank) margin(c wheelgauge.Cap) float64 {
+func (a *Allocator) margin(c wheelgauge.Cap) float64 {
 	return a.options.Overage*(c.Rate*a.options.Window.Seconds()+c.Burst) + a.options.Slack
 }
 
 // divisor is the number of stores that caps are divided among.
-func (a *Bank) divisor(now time.Time) int {
+func (a *Allocator) divisor(now time.Time) int {
 	if now.Before(a.shrinkAt) {
 		return max(a.previousMembers, len(a.members))
 	}
@@ -153,7 +153,7 @@
 
 // ownShare is the share of a cap that this store may use or lease. It is 0 while the store
 // does not know whether others still hold leases from before its restart.
-func (a *Bank) ownShare(b *bucket, now time.Time) float64 {
+func (a *Allocator) ownShare(b *bucket, now time.Time) float64 {
 	if !a.ready(now) || !slices.Contains(a.members, a.options.Self) {
 		return 0
 	}
@@ -164,7 +164,7 @@
 }
 
 // baseShare is a store's share of a cap before any leases.
-func (a *Bank) baseShare(b *bucket, address string, now time.Time) float64 {
+func (a *Allocator) baseShare(b *bucket, address string, now time.Time) float64 {
 	if !a.unsplit(b, now) {
 		return 1 / float64(a.divisor(now))
 	}
@@ -175,7 +175,7 @@
 }
 
 // soleHolder is the store that holds an unsplit cap.
-func (a *Bank) soleHolder(b *bucket) string {
+func (a *Allocator) soleHolder(b *bucket) string {
 	if len(a.members) == 0 {
 		return ""
 	}
@@ -186,7 +186,7 @@
 // hosts of other stores are redirected there: shares that no request fits into would let
 // nothing pass. A region that is cut off from that store cannot use the cap. All stores must
 // agree, so the decision depends on the configuration only.
-func (a *Bank) unsplit(b *bucket, now time.Time) bool {
+func (a *Allocator) unsplit(b *bucket, now time.Time) bool {
 	minSplit := 1.0
 	if b.cap.Unit == wheelgauge.CapTokens {
 		minSplit = minSplitTokens
@@ -195,7 +195,7 @@
 }
 
 // ready reports whether no store holds a lease from before this store's start.
-func (a *Bank) ready(now time.Time) bool {
+func (a *Allocator) ready(now time.Time) bool {
 	if now.Sub(a.started) > leaseTime {
 		return true
 	}
@@ -208,7 +208,7 @@
 }
 
 // recompute recalculates the shares that draws use. The lock must be held.
-func (a *Bank) recompute(now time.Time) {
+func (a *Allocator) recompute(now time.Time) {
 	a.recomputed = now
 	silent := a.silentHosts(now)
 	for name, b := range a.buckets {
@@ -225,7 +225,7 @@
 }
 
 // recomputeIfStale recalculates shares older than recomputeInterval. The lock must be held.
-func (a *Bank) recomputeIfStale(now time.Time) {
+func (a *Allocator) recomputeIfStale(now time.Time) {
 	if now.Sub(a.recomputed) >= recomputeInterval {
 		a.recompute(now)
 	}
--- a/capbank/allocator_test.go
+++ b/capbank/allocator_test.go
@@ -21,11 +21,11 @@
 func (c *clock) now() time.Time          { return c.at }
 func (c *clock) advance(d time.Duration) { c.at = c.at.Add(d) }
 func newClock() *clock                   { return &clock{at: time.Unix(1000, 0)} }
-func (c *clock) newBank(self string, boot uint64, members []string) *Bank {
+func (c *clock) newBank(self string, boot uint64, members []string) *Allocator {
 	return c.newBankWithSlack(self, boot, members, testSlack)
 }
 
-func (c *clock) newBankWithSlack(self string, boot uint64, members []string, slack float64) *Bank {
+func (c *clock) newBankWithSlack(self string, boot uint64, members []string, slack float64) *Allocator {
 	b := New(Options{Self: self, Boot: boot, Window: testWindow, Overage: testOverage, Slack: slack, Now: c.now})
 	b.SetMembers(members)
 	b.SetCaps(caps())
@@ -41,26 +41,26 @@
 }
 
 // exchangeLease sends a store's report to another and applies the lease it gets back.
-func exchangeLease(c *clock, from, to *Bank, boot uint64) wheelgauge.CapSheet {
+func exchangeLease(c *clock, from, to *Allocator, boot uint64) wheelgauge.CapLease {
 	sent := c.now()
-	lease := to.Lend(from.options.Self, boot, from.News(to.options.Self))
-	from.Borrow(to.options.Self, sent, lease)
+	lease := to.GrantLease(from.options.Self, boot, from.Report(to.options.Self))
+	from.ApplyLease(to.options.Self, sent, lease)
 	return lease
 }
 
-func shareOfCap(b *Bank) float64 { return shareOf(b, "w") }
+func shareOfCap(b *Allocator) float64 { return shareOf(b, "w") }
 
-func shareOf(b *Bank, workspace string) float64 {
+func shareOf(b *Allocator, workspace string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.recompute(b.options.Now())
 	return b.buckets[workspace].share
 }
 
-func draw(b *Bank, units float64) wheelgauge.CapGrant { return drawFrom(b, "w", units) }
+func draw(b *Allocator, units float64) wheelgauge.CapGrant { return drawFrom(b, "w", units) }
 
-func drawFrom(b *Bank, workspace string, units float64) wheelgauge.CapGrant {
-	return b.Draw(wheelgauge.CapAsk{Host: "h", Boot: 1, Wants: []wheelgauge.CapWant{{Workspace: workspace, Units: units}}}).Grants[0]
+func drawFrom(b *Allocator, workspace string, units float64) wheelgauge.CapGrant {
+	return b.Draw(wheelgauge.CapUnitsRequest{Host: "h", Boot: 1, Items: []wheelgauge.CapUnitsItem{{Workspace: workspace, Units: units}}}).Grants[0]
 }
 
 // A cap of two requests a second works through any of five stores: it is not divided into
@@ -68,7 +68,7 @@
 func TestTinyCap(t *testing.T) {
 	c := newClock()
 	members := []string{"a", "b", "c", "d", "e"}
-	var stores []*Bank
+	var stores []*Allocator
 	for _, m := range members {
 		stores = append(stores, c.newBankWithSlack(m, 1, members, 0))
 	}
@@ -83,13 +83,13 @@
 		}
 		c.advance(200 * time.Millisecond)
 		for _, store := range stores {
-			store.Seen("h", 1)
+			store.HostSeen("h", 1)
 		}
 		b := stores[granted%len(stores)]
 		g := drawFrom(b, "tiny", 1)
 		for _, other := range stores {
-			if !g.Granted && other.options.Self == g.Elsewhere {
-				g = other.Draw(wheelgauge.CapAsk{Host: "h", Moved: true, Wants: []wheelgauge.CapWant{{Workspace: "tiny", Units: 1}}}).Grants[0]
+			if !g.Granted && other.options.Self == g.OtherStore {
+				g = other.Draw(wheelgauge.CapUnitsRequest{Host: "h", Redirected: true, Items: []wheelgauge.CapUnitsItem{{Workspace: "tiny", Units: 1}}}).Grants[0]
 			}
 		}
 		if g.Granted {
@@ -111,7 +111,7 @@
 		for i := range 3 + int(seed%4) {
 			members = append(members, fmt.Sprint("s", i))
 		}
-		var stores []*Bank
+		var stores []*Allocator
 		boots := make([]uint64, len(members))
 		for i, m := range members {
 			boots[i] = 1
@@ -128,7 +128,7 @@
 				draw(stores[i], 1e5*r.Float64())
 				drawFrom(stores[i], "tiny", 1)
 			case r.IntN(4) == 0: // the answer is lost
-				stores[j].Lend(members[i], boots[i], stores[i].News(members[j]))
+				stores[j].GrantLease(members[i], boots[i], stores[i].Report(members[j]))
 			default:
 				exchangeLease(c, stores[i], stores[j], boots[i])
 			}
@@ -222,7 +222,7 @@
 		t.Error("the store uses no share though nobody holds a lease")
 	}
 	old := c.newBank("b", 5, members)
-	old.Borrow("a", c.now(), wheelgauge.CapSheet{Giver: 1, Number: 4, Shares: []wheelgauge.CapShare{{Workspace: "w", Share: 0.3}}})
+	old.ApplyLease("a", c.now(), wheelgauge.CapLease{Lessor: 1, Number: 4, Shares: []wheelgauge.CapShare{{Workspace: "w", Share: 0.3}}})
 	again := c.newBank("a", 3, members)
 	exchangeLease(c, again, old, 3)
 	exchangeLease(c, again, blank, 3)
@@ -236,20 +236,20 @@
 func TestSilentHosts(t *testing.T) {
 	tests := []struct {
 		name  string
-		after func(b *Bank, c *clock)
+		after func(b *Allocator, c *clock)
 		less  bool
 	}{
-		{"in contact", func(b *Bank, _ *clock) { b.Seen("h", 1) }, false},
-		{"silent", func(*Bank, *clock) {}, true},
-		{"restarted as a new process", func(b *Bank, _ *clock) { b.Seen("h", 2) }, false},
-		{"lapsed", func(_ *Bank, c *clock) { c.advance(standaloneTime) }, false},
+		{"in contact", func(b *Allocator, _ *clock) { b.HostSeen("h", 1) }, false},
+		{"silent", func(*Allocator, *clock) {}, true},
+		{"restarted as a new process", func(b *Allocator, _ *clock) { b.HostSeen("h", 2) }, false},
+		{"lapsed", func(_ *Allocator, c *clock) { c.advance(standaloneTime) }, false},
 	}
 	for _, tt := range tests {
 		c := newClock()
 		b := c.newBank("a", 1, []string{"a"})
 		before := shareOfCap(b)
 		g := draw(b, 1)
-		if g.Alone <= 0 || g.AloneMS <= 0 {
+		if g.StandaloneRate <= 0 || g.StandaloneMS <= 0 {
 			t.Fatalf("the grant has no standalone rate or time: %+v", g)
 		}
 		c.advance(hostSilenceTimeout + time.Millisecond)
@@ -264,7 +264,7 @@
 	c := newClock()
 	b := c.newBank("a", 1, []string{"a"})
 	c.advance(time.Minute)
-	if g := b.Draw(wheelgauge.CapAsk{Host: "h", Wants: []wheelgauge.CapWant{{Workspace: "free", Units: 1e12}}}).Grants[0]; !g.Granted {
+	if g := b.Draw(wheelgauge.CapUnitsRequest{Host: "h", Items: []wheelgauge.CapUnitsItem{{Workspace: "free", Units: 1e12}}}).Grants[0]; !g.Granted {
 		t.Error("a workspace without a cap is refused")
 	}
 	sum, refused := 0.0, 0
@@ -273,8 +273,8 @@
 			sum += 5000
 		} else {
 			refused++
-			if g.AfterMS < minRetryAfter.Milliseconds() || g.AfterMS > maxRetryAfter.Milliseconds() {
-				t.Fatalf("retry after %d ms is out of bounds", g.AfterMS)
+			if g.RetryAfterMS < minRetryAfter.Milliseconds() || g.RetryAfterMS > maxRetryAfter.Milliseconds() {
+				t.Fatalf("retry after %d ms is out of bounds", g.RetryAfterMS)
 			}
 		}
 	}
@@ -323,7 +323,7 @@
 				list = append(list, wheelgauge.Workspace{Name: fmt.Sprint("w", i), Cap: wheelgauge.Cap{Rate: 1e6, Burst: 1e6}})
 			}
 			store.SetCaps(list)
-			req := wheelgauge.CapAsk{Host: "h", Boot: 1, Wants: []wheelgauge.CapWant{{Workspace: "w7", Units: 5000}}}
+			req := wheelgauge.CapUnitsRequest{Host: "h", Boot: 1, Items: []wheelgauge.CapUnitsItem{{Workspace: "w7", Units: 5000}}}
 			b.ReportAllocs()
 			for b.Loop() {
 				store.Draw(req)
@@ -341,7 +341,7 @@
 		c := newClock()
 		members := []string{"a", "b", "c", "d"}
 		boots := []uint64{1, 1, 1, 1}
-		var stores []*Bank
+		var stores []*Allocator
 		for _, m := range members {
 			stores = append(stores, c.newBank(m, 1, members))
 		}
@@ -352,7 +352,7 @@
 			case i != j && step&0x10 == 0:
 				exchangeLease(c, stores[i], stores[j], boots[i])
 			case i != j:
-				stores[j].Lend(members[i], boots[i], stores[i].News(members[j]))
+				stores[j].GrantLease(members[i], boots[i], stores[i].Report(members[j]))
 			case step&0x20 == 0:
 				draw(stores[i], 1e5)
 			default:
--- a/capbank/bucket.go
+++ b/capbank/bucket.go
@@ -59,7 +59,7 @@
 
 // initialize sets the first level of a new bucket. A store that has just started does not know
 // what was drawn before, so it begins with a small part of the margin.
-func (b *bucket) initialize(a *Bank, now time.Time) {
+func (b *bucket) initialize(a *Allocator, now time.Time) {
 	b.initialized = true
 	if now.Sub(a.started) > leaseTime {
 		b.level = b.capacity() // the workspace itself is new
--- a/capbank/hosts.go
+++ b/capbank/hosts.go
@@ -28,8 +28,8 @@
 	standaloneShares map[string]float64
 }
 
-// Seen records contact with a host and the run of its process.
-func (a *Bank) Seen(name string, boot uint64) {
+// HostSeen records contact with a host and the run of its process.
+func (a *Allocator) HostSeen(name string, boot uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if h := a.hosts[name]; h != nil {
@@ -43,7 +43,7 @@
 
 // silentHosts returns the hosts that may be standalone and drops those that may no longer be.
 // The lock must be held.
-func (a *Bank) silentHosts(now time.Time) []*host {
+func (a *Allocator) silentHosts(now time.Time) []*host {
 	var out []*host
 	for name, h := range a.hosts {
 		switch {
@@ -57,23 +57,23 @@
 }
 
 // Draw takes units for a host; grants are in the order of the wants.
-func (a *Bank) Draw(req wheelgauge.CapAsk) wheelgauge.CapAnswer {
+func (a *Allocator) Draw(req wheelgauge.CapUnitsRequest) wheelgauge.CapUnitsResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.options.Now()
 	a.recomputeIfStale(now)
 	var h *host
-	if !req.Moved {
+	if !req.Redirected {
 		h = a.touchHost(req, now)
 	}
-	var out wheelgauge.CapAnswer
-	for _, w := range req.Wants {
-		out.Grants = append(out.Grants, a.drawOne(h, w, req.Moved, now))
+	var out wheelgauge.CapUnitsResponse
+	for _, w := range req.Items {
+		out.Grants = append(out.Grants, a.drawOne(h, w, req.Redirected, now))
 	}
 	return out
 }
 
-func (a *Bank) touchHost(req wheelgauge.CapAsk, now time.Time) *host {
+func (a *Allocator) touchHost(req wheelgauge.CapUnitsRequest, now time.Time) *host {
 	h := a.hosts[req.Host]
 	if h == nil || h.boot != req.Boot {
 		h = &host{boot: req.Boot, standaloneShares: map[string]float64{}}
@@ -83,7 +83,7 @@
 	return h
 }
 
-func (a *Bank) drawOne(h *host, w wheelgauge.CapWant, moved bool, now time.Time) wheelgauge.CapGrant {
+func (a *Allocator) drawOne(h *host, w wheelgauge.CapUnitsItem, moved bool, now time.Time) wheelgauge.CapGrant {
 	b := a.buckets[w.Workspace]
 	if b == nil {
 		// This store has no cap for the workspace. A host that has one uses a newer or an
@@ -98,18 +98,18 @@
 	}
 	after, ok := b.draw(w.Units, now)
 	if moved {
-		return wheelgauge.CapGrant{Granted: ok, AfterMS: after.Milliseconds()}
+		return wheelgauge.CapGrant{Granted: ok, RetryAfterMS: after.Milliseconds()}
 	}
 	h.standaloneShares[w.Workspace] = standaloneFraction * b.share / float64(len(a.hosts))
 	g := wheelgauge.CapGrant{
-		Granted: ok, AfterMS: after.Milliseconds(),
-		Alone: h.standaloneShares[w.Workspace] * b.cap.Rate, AloneMS: standaloneTime.Milliseconds(),
+		Granted: ok, RetryAfterMS: after.Milliseconds(),
+		StandaloneRate: h.standaloneShares[w.Workspace] * b.cap.Rate, StandaloneMS: standaloneTime.Milliseconds(),
 	}
-	if ok && w.Ahead > 0 {
-		g.Ahead = b.prefetch(w.Ahead, now)
+	if ok && w.Prefetch > 0 {
+		g.Prefetched = b.prefetch(w.Prefetch, now)
 	}
 	if !ok {
-		g.Elsewhere = a.alternative(b, w.Units, now)
+		g.OtherStore = a.alternative(b, w.Units, now)
 	}
 	return g
 }
--- a/capbank/peer.go
+++ b/capbank/peer.go
@@ -99,14 +99,14 @@
 	p.granted = slices.DeleteFunc(p.granted, func(l lease) bool { return !now.Before(l.expires) })
 }
 
-// News returns the report of this store's demand for another store.
-func (a *Bank) News(to string) wheelgauge.CapNews {
+// Report returns the report of this store's demand for another store.
+func (a *Allocator) Report(to string) wheelgauge.CapUpdate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.options.Now()
-	n := wheelgauge.CapNews{Ready: a.ready(now)}
+	n := wheelgauge.CapUpdate{Ready: a.ready(now)}
 	if p := a.peers[to]; p != nil {
-		n.Giver, n.Number = p.held.lender, p.held.number
+		n.Lessor, n.LeaseNumber = p.held.lender, p.held.number
 	}
 	for name, b := range a.buckets {
 		b.refill(now)
@@ -120,7 +120,7 @@
 }
 
 // hasRemoteDemand reports whether hosts of other stores request units of a workspace's cap.
-func (a *Bank) hasRemoteDemand(workspace string, now time.Time) bool {
+func (a *Allocator) hasRemoteDemand(workspace string, now time.Time) bool {
 	for _, p := range a.peers {
 		if p.currentDemand(workspace, now) > 0 {
 			return true
@@ -131,7 +131,7 @@
 
 // alternative returns the store that is likely to have the units which this one lacks, empty
 // if there is none.
-func (a *Bank) alternative(b *bucket, units float64, now time.Time) string {
+func (a *Allocator) alternative(b *bucket, units float64, now time.Time) string {
 	if a.unsplit(b, now) {
 		return a.soleHolder(b)
 	}
@@ -148,9 +148,9 @@
 	return best
 }
 
-// Lend applies another store's report and returns the lease granted to it, which holds from
+// GrantLease applies another store's report and returns the lease granted to it, which holds from
 // when the report was sent. The lender counts the shares as gone for as long from now.
-func (a *Bank) Lend(from string, boot uint64, n wheelgauge.CapNews) wheelgauge.CapSheet {
+func (a *Allocator) GrantLease(from string, boot uint64, n wheelgauge.CapUpdate) wheelgauge.CapLease {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.options.Now()
@@ -163,15 +163,15 @@
 	for _, d := range n.Demands {
 		p.demand[d.Workspace], p.spare[d.Workspace] = float64(d.Units), float64(d.Spare)
 	}
-	if n.Giver == a.options.Boot {
-		p.dropBefore(n.Number)
+	if n.Lessor == a.options.Boot {
+		p.dropBefore(n.LeaseNumber)
 		p.confirmed = true
 	}
 	p.lastNumber++
 	l := lease{number: p.lastNumber, expires: now.Add(leaseTime), shares: map[string]float64{}}
-	out := wheelgauge.CapSheet{Giver: a.options.Boot, Number: p.lastNumber}
+	out := wheelgauge.CapLease{Lessor: a.options.Boot, Number: p.lastNumber}
 	if now.Before(p.held.expires) {
-		out.Holds = p.held.lender
+		out.HeldLessor = p.held.lender
 	}
 	a.recompute(now)
 	for name, b := range a.buckets {
@@ -187,7 +187,7 @@
 
 // leasableShare is the share of a cap that a peer is granted: this store's surplus, divided in
 // proportion to what each store lacks.
-func (a *Bank) leasableShare(from string, b *bucket, now time.Time) float64 {
+func (a *Allocator) leasableShare(from string, b *bucket, now time.Time) float64 {
 	ownShare := a.ownShare(b, now)
 	if ownShare == 0 || a.unsplit(b, now) {
 		return 0
@@ -220,7 +220,7 @@
 }
 
 // targetShare is the share of a cap that a store should have at its demand.
-func (a *Bank) targetShare(b *bucket, address string, demand float64, now time.Time) float64 {
+func (a *Allocator) targetShare(b *bucket, address string, demand float64, now time.Time) float64 {
 	base := a.baseShare(b, address, now)
 	totalDemand := b.demand.At(now)
 	for _, p := range a.peers {
@@ -232,14 +232,14 @@
 	return evenFraction*base + (1-evenFraction)*demand/totalDemand
 }
 
-// Borrow applies the lease with which another store answered a report sent at the given time.
-func (a *Bank) Borrow(from string, sent time.Time, l wheelgauge.CapSheet) {
+// ApplyLease applies the lease with which another store answered a report sent at the given time.
+func (a *Allocator) ApplyLease(from string, sent time.Time, l wheelgauge.CapLease) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.options.Now()
 	p := a.peer(from)
-	p.held = lease{lender: l.Giver, number: l.Number, expires: sent.Add(leaseTime), shares: map[string]float64{}}
-	if l.Holds == 0 || l.Holds == a.options.Boot {
+	p.held = lease{lender: l.Lessor, number: l.Number, expires: sent.Add(leaseTime), shares: map[string]float64{}}
+	if l.HeldLessor == 0 || l.HeldLessor == a.options.Boot {
 		p.confirmed = true
 	}
 	for _, share := range l.Shares {
@@ -249,7 +249,7 @@
 }
 
 // peer returns a store's entry, creating it if needed. The lock must be held.
-func (a *Bank) peer(address string) *peer {
+func (a *Allocator) peer(address string) *peer {
 	if a.peers[address] == nil {
 		a.peers[address] = &peer{}
 	}
--- a/capbank/suspend_test.go
+++ b/capbank/suspend_test.go
@@ -27,7 +27,7 @@
 func maxShareSum(seed uint64, steady bool) float64 {
 	r, c := rand.New(rand.NewPCG(seed, 9)), newClock()
 	members := []string{"a", "b", "c"}
-	var stores []*Bank
+	var stores []*Allocator
 	var clocks []*suspendableClock
 	for _, m := range members {
 		s := &suspendableClock{base: c, steady: steady}
@@ -41,7 +41,7 @@
 			for j, to := range stores {
 				if i != j && i != except && j != except {
 					sent := clocks[i].now()
-					from.Borrow(members[j], sent, to.Lend(members[i], 1, from.News(members[j])))
+					from.ApplyLease(members[j], sent, to.GrantLease(members[i], 1, from.Report(members[j])))
 				}
 			}
 		}
--- a/capbank/usage.go
+++ b/capbank/usage.go
@@ -22,9 +22,9 @@
 	Refusals int
 }
 
-// Refusing returns the usage of caps with refusals since the last call, the most refused
+// TakeRefusals returns the usage of caps with refusals since the last call, the most refused
 // first, and resets the counts.
-func (a *Bank) Refusing() []Usage {
+func (a *Allocator) TakeRefusals() []Usage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.options.Now()
--- a/cappurse/client.go
+++ b/cappurse/client.go
@@ -55,10 +55,10 @@
 	// Boot identifies this run of the host's process.
 	Boot uint64
 	// Stores returns the reachable stores in order of preference.
-	Stores func() []wheelgauge.StoreAt
-	// Ask sends a draw to a store.
-	Ask func(ctx context.Context, address string, req wheelgauge.CapAsk) (wheelgauge.CapAnswer, error)
-	Now func() time.Time
+	Stores func() []wheelgauge.StoreEndpoint
+	// Draw sends a draw to a store.
+	Draw func(ctx context.Context, address string, req wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error)
+	Now  func() time.Time
 }
 
 // standaloneBucket bounds what the host may send of a workspace while no store answers.
@@ -113,8 +113,8 @@
 	}
 }
 
-// Purse draws units from stores. It is safe for concurrent use.
-type Purse struct {
+// Client draws units from stores. It is safe for concurrent use.
+type Client struct {
 	options     Options
 	mu          sync.Mutex
 	standalone  map[string]*standaloneBucket
@@ -127,28 +127,28 @@
 }
 
 // New returns a client without units.
-func New(o Options) *Purse {
+func New(o Options) *Client {
 	ctx, stop := context.WithCancel(context.Background())
-	return &Purse{options: o, standalone: map[string]*standaloneBucket{}, cached: map[string]*unitCache{}, silentUntil: map[string]time.Time{}, ctx: ctx, cancel: stop}
+	return &Client{options: o, standalone: map[string]*standaloneBucket{}, cached: map[string]*unitCache{}, silentUntil: map[string]time.Time{}, ctx: ctx, cancel: stop}
 }
 
 // Close cancels prefetches in progress and waits for them.
-func (p *Purse) Close() {
+func (p *Client) Close() {
 	p.cancel()
 	p.prefetches.Wait()
 }
 
-// Take implements wheelgauge.CapLimiter.
-func (p *Purse) Take(ctx context.Context, w *wheelgauge.Workspace, units float64) *wheelgauge.Error {
+// Acquire implements wheelgauge.CapLimiter.
+func (p *Client) Acquire(ctx context.Context, w *wheelgauge.Workspace, units float64) *wheelgauge.Error {
 	if p.takeCached(w.Name, units) {
 		return nil
 	}
 	for _, s := range p.reachable() {
 		g, ok := p.draw(ctx, s, w.Name, units, false)
-		if ok && g.Elsewhere != "" {
+		if ok && g.OtherStore != "" {
 			// Shares of caps follow demand within about 0.5 s; until then another store may
 			// have the units that this one lacks.
-			if there, answered := p.draw(ctx, wheelgauge.StoreAt{Address: g.Elsewhere}, w.Name, units, true); answered {
+			if there, answered := p.draw(ctx, wheelgauge.StoreEndpoint{Address: g.OtherStore}, w.Name, units, true); answered {
 				g = there
 			}
 		}
@@ -160,20 +160,20 @@
 		case g.Granted:
 			return nil
 		}
-		return capExceeded(time.Duration(g.AfterMS) * time.Millisecond)
+		return capExceeded(time.Duration(g.RetryAfterMS) * time.Millisecond)
 	}
 	return p.takeStandalone(w.Name, units)
 }
 
-// Return implements wheelgauge.CapLimiter.
-func (p *Purse) Return(w *wheelgauge.Workspace, units float64) {
+// Refund implements wheelgauge.CapLimiter.
+func (p *Client) Refund(w *wheelgauge.Workspace, units float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cacheOf(w.Name).add(units, p.options.Now())
 }
 
 // cacheOf returns the cache of a workspace. The lock must be held.
-func (p *Purse) cacheOf(workspace string) *unitCache {
+func (p *Client) cacheOf(workspace string) *unitCache {
 	if p.cached[workspace] == nil {
 		p.cached[workspace] = &unitCache{drawRate: meanrate.New(rateTimeConstant)}
 	}
@@ -181,7 +181,7 @@
 }
 
 // takeCached takes cached units, and starts a prefetch in time if the store is far.
-func (p *Purse) takeCached(workspace string, units float64) bool {
+func (p *Client) takeCached(workspace string, units float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.options.Now()
@@ -195,13 +195,13 @@
 	if c.farStore != "" && !c.prefetching && c.units < c.target()/2 && p.ctx.Err() == nil {
 		c.prefetching = true
 		p.prefetches.Add(1)
-		go p.prefetch(wheelgauge.StoreAt{Address: c.farStore}, workspace)
+		go p.prefetch(wheelgauge.StoreEndpoint{Address: c.farStore}, workspace)
 	}
 	return true
 }
 
 // prefetch draws units ahead of requests.
-func (p *Purse) prefetch(s wheelgauge.StoreAt, workspace string) {
+func (p *Client) prefetch(s wheelgauge.StoreEndpoint, workspace string) {
 	defer p.prefetches.Done()
 	p.draw(p.ctx, s, workspace, 0, false)
 	p.mu.Lock()
@@ -210,12 +210,12 @@
 }
 
 // reachable returns the stores to try; none if all of them were silent lately.
-func (p *Purse) reachable() []wheelgauge.StoreAt {
+func (p *Client) reachable() []wheelgauge.StoreEndpoint {
 	all := p.options.Stores()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.options.Now()
-	out := make([]wheelgauge.StoreAt, 0, maxStoresPerRequest)
+	out := make([]wheelgauge.StoreEndpoint, 0, maxStoresPerRequest)
 	for _, s := range all {
 		if len(out) < maxStoresPerRequest && !now.Before(p.silentUntil[s.Address]) {
 			out = append(out, s)
@@ -225,19 +225,19 @@
 }
 
 // draw draws units from one store; ok is false when the store does not answer.
-func (p *Purse) draw(parent context.Context, s wheelgauge.StoreAt, workspace string, units float64, moved bool) (g wheelgauge.CapGrant, ok bool) {
+func (p *Client) draw(parent context.Context, s wheelgauge.StoreEndpoint, workspace string, units float64, moved bool) (g wheelgauge.CapGrant, ok bool) {
 	timeout := farTimeout
-	if s.Near {
+	if s.SameRegion {
 		timeout = nearTimeout
 	}
 	ctx, cancel := context.WithTimeout(parent, timeout)
 	defer cancel()
 	sent := p.options.Now()
-	want := wheelgauge.CapWant{Workspace: workspace, Units: units}
-	if !s.Near && !moved {
-		want.Ahead = p.prefetchAmount(workspace)
+	want := wheelgauge.CapUnitsItem{Workspace: workspace, Units: units}
+	if !s.SameRegion && !moved {
+		want.Prefetch = p.prefetchAmount(workspace)
 	}
-	answer, err := p.options.Ask(ctx, s.Address, wheelgauge.CapAsk{Host: p.options.Host, Boot: p.options.Boot, Moved: moved, Wants: []wheelgauge.CapWant{want}})
+	answer, err := p.options.Draw(ctx, s.Address, wheelgauge.CapUnitsRequest{Host: p.options.Host, Boot: p.options.Boot, Redirected: moved, Items: []wheelgauge.CapUnitsItem{want}})
 	if err != nil || len(answer.Grants) != 1 {
 		// A request whose own deadline has passed says nothing about the store.
 		if parent.Err() == nil {
@@ -248,13 +248,13 @@
 	g = answer.Grants[0]
 	if !moved {
 		p.updateStandalone(workspace, g, sent)
-		p.addPrefetched(workspace, s, g.Ahead)
+		p.addPrefetched(workspace, s, g.Prefetched)
 	}
 	return g, true
 }
 
 // prefetchAmount returns how many units are missing for future requests.
-func (p *Purse) prefetchAmount(workspace string) float64 {
+func (p *Client) prefetchAmount(workspace string) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.cacheOf(workspace)
@@ -262,18 +262,18 @@
 }
 
 // addPrefetched adds units that a store granted for future requests.
-func (p *Purse) addPrefetched(workspace string, s wheelgauge.StoreAt, units float64) {
+func (p *Client) addPrefetched(workspace string, s wheelgauge.StoreEndpoint, units float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.cacheOf(workspace)
 	c.farStore = ""
-	if !s.Near {
+	if !s.SameRegion {
 		c.farStore = s.Address
 	}
 	c.add(units, p.options.Now())
 }
 
-func (p *Purse) markSilent(address string) {
+func (p *Client) markSilent(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.silentUntil[address] = p.options.Now().Add(silentStorePause)
@@ -281,16 +281,16 @@
 
 // updateStandalone applies a store's answer on what the host may send standalone. Units spent
 // while standalone earlier stay spent.
-func (p *Purse) updateStandalone(workspace string, g wheelgauge.CapGrant, sent time.Time) {
+func (p *Client) updateStandalone(workspace string, g wheelgauge.CapGrant, sent time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.standalone[workspace]
 	if b == nil {
-		b = &standaloneBucket{level: standaloneBurst * g.Alone, refilled: sent}
+		b = &standaloneBucket{level: standaloneBurst * g.StandaloneRate, refilled: sent}
 		p.standalone[workspace] = b
 	}
 	b.refill(p.options.Now())
-	b.rate, b.expires = g.Alone, sent.Add(time.Duration(g.AloneMS)*time.Millisecond)
+	b.rate, b.expires = g.StandaloneRate, sent.Add(time.Duration(g.StandaloneMS)*time.Millisecond)
 }
 
 // refill adds the units of the time since the last refill.
@@ -300,7 +300,7 @@
 }
 
 // takeStandalone takes units from the host's standalone rate.
-func (p *Purse) takeStandalone(workspace string, units float64) *wheelgauge.Error {
+func (p *Client) takeStandalone(workspace string, units float64) *wheelgauge.Error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.options.Now()
--- a/cappurse/client_test.go
+++ b/cappurse/client_test.go
@@ -31,19 +31,21 @@
 			given := 0.0
 			p := New(Options{
 				Host: "h", Boot: 1, Now: time.Now,
-				Stores: func() []wheelgauge.StoreAt { return []wheelgauge.StoreAt{{Address: "s", Near: tt.near}} },
-				Ask: func(_ context.Context, _ string, req wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
+				Stores: func() []wheelgauge.StoreEndpoint {
+					return []wheelgauge.StoreEndpoint{{Address: "s", SameRegion: tt.near}}
+				},
+				Draw: func(_ context.Context, _ string, req wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
 					time.Sleep(roundTrip)
 					mu.Lock()
 					defer mu.Unlock()
-					given += req.Wants[0].Units + req.Wants[0].Ahead
-					return wheelgauge.CapAnswer{Grants: []wheelgauge.CapGrant{{Granted: true, Ahead: req.Wants[0].Ahead}}}, nil
+					given += req.Items[0].Units + req.Items[0].Prefetch
+					return wheelgauge.CapUnitsResponse{Grants: []wheelgauge.CapGrant{{Granted: true, Prefetched: req.Items[0].Prefetch}}}, nil
 				},
 			})
 			waits, used := 0, 0.0
 			for range 200 {
 				start := time.Now()
-				if err := p.Take(context.Background(), testWorkspace, 3000); err != nil {
+				if err := p.Acquire(context.Background(), testWorkspace, 3000); err != nil {
 					t.Fatal(err)
 				}
 				used += 3000
@@ -67,42 +69,42 @@
 }
 
 func TestTake(t *testing.T) {
-	granted := wheelgauge.CapGrant{Granted: true, Alone: 1e6, AloneMS: 1000}
-	refusal := wheelgauge.CapGrant{AfterMS: 700, Alone: 1e6, AloneMS: 1000}
+	granted := wheelgauge.CapGrant{Granted: true, StandaloneRate: 1e6, StandaloneMS: 1000}
+	refusal := wheelgauge.CapGrant{RetryAfterMS: 700, StandaloneRate: 1e6, StandaloneMS: 1000}
 	tests := []struct {
 		name string
 		// grants by store; other stores do not answer.
 		grants map[string]wheelgauge.CapGrant
-		stores []wheelgauge.StoreAt
+		stores []wheelgauge.StoreEndpoint
 		status int
 		after  time.Duration
 		calls  int
 	}{
-		{"granted", map[string]wheelgauge.CapGrant{"a": granted}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 0, 0, 1},
-		{"refused", map[string]wheelgauge.CapGrant{"a": refusal}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 429, 700 * time.Millisecond, 1},
-		{"the first store does not answer", map[string]wheelgauge.CapGrant{"b": granted}, []wheelgauge.StoreAt{{Address: "a", Near: true}, {Address: "b"}}, 0, 0, 2},
-		{"another store has the units", map[string]wheelgauge.CapGrant{"a": {AfterMS: 700, Elsewhere: "b"}, "b": granted}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 0, 0, 2},
-		{"no other store has the units", map[string]wheelgauge.CapGrant{"a": {AfterMS: 700, Elsewhere: "b"}, "b": {AfterMS: 900}}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 429, 900 * time.Millisecond, 2},
-		{"the other store does not answer", map[string]wheelgauge.CapGrant{"a": {AfterMS: 700, Elsewhere: "b"}}, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 429, 700 * time.Millisecond, 2},
-		{"no store answers, and none ever did", nil, []wheelgauge.StoreAt{{Address: "a", Near: true}}, 503, noStoreRetryAfter, 1},
+		{"granted", map[string]wheelgauge.CapGrant{"a": granted}, []wheelgauge.StoreEndpoint{{Address: "a", SameRegion: true}}, 0, 0, 1},
+		{"refused", map[string]wheelgauge.CapGrant{"a": refusal}, []wheelgauge.StoreEndpoint{{Address: "a", SameRegion: true}}, 429, 700 * time.Millisecond, 1},
+		{"the first store does not answer", map[string]wheelgauge.CapGrant{"b": granted}, []wheelgauge.StoreEndpoint{{Address: "a", SameRegion: true}, {Address: "b"}}, 0, 0, 2},
+		{"another store has the units", map[string]wheelgauge.CapGrant{"a": {RetryAfterMS: 700, OtherStore: "b"}, "b": granted}, []wheelgauge.StoreEndpoint{{Address: "a", SameRegion: true}}, 0, 0, 2},
+		{"no other store has the units", map[string]wheelgauge.CapGrant{"a": {RetryAfterMS: 700, OtherStore: "b"}, "b": {RetryAfterMS: 900}}, []wheelgauge.StoreEndpoint{{Address: "a", SameRegion: true}}, 429, 900 * time.Millisecond, 2},
+		{"the other store does not answer", map[string]wheelgauge.CapGrant{"a": {RetryAfterMS: 700, OtherStore: "b"}}, []wheelgauge.StoreEndpoint{{Address: "a", SameRegion: true}}, 429, 700 * time.Millisecond, 2},
+		{"no store answers, and none ever did", nil, []wheelgauge.StoreEndpoint{{Address: "a", SameRegion: true}}, 503, noStoreRetryAfter, 1},
 		{"no store is known", nil, nil, 503, noStoreRetryAfter, 0},
 	}
 	for _, tt := range tests {
 		synctest.Test(t, func(t *testing.T) {
 			calls := 0
 			p := New(Options{
-				Host: "h", Boot: 1, Now: time.Now, Stores: func() []wheelgauge.StoreAt { return tt.stores },
-				Ask: func(ctx context.Context, address string, _ wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
+				Host: "h", Boot: 1, Now: time.Now, Stores: func() []wheelgauge.StoreEndpoint { return tt.stores },
+				Draw: func(ctx context.Context, address string, _ wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
 					calls++
 					if g, ok := tt.grants[address]; ok {
-						return wheelgauge.CapAnswer{Grants: []wheelgauge.CapGrant{g}}, nil
+						return wheelgauge.CapUnitsResponse{Grants: []wheelgauge.CapGrant{g}}, nil
 					}
 					<-ctx.Done()
-					return wheelgauge.CapAnswer{}, errors.New("unreachable")
+					return wheelgauge.CapUnitsResponse{}, errors.New("unreachable")
 				},
 			})
 			defer p.Close()
-			err := p.Take(context.Background(), testWorkspace, 100)
+			err := p.Acquire(context.Background(), testWorkspace, 100)
 			status, after := 0, time.Duration(0)
 			if err != nil {
 				status, after = err.Status(), err.RetryAfter()
@@ -133,17 +135,17 @@
 			calls := 0
 			p := New(Options{
 				Host: "h", Boot: 1, Now: time.Now,
-				Stores: func() []wheelgauge.StoreAt { return []wheelgauge.StoreAt{{Address: "s", Near: true}} },
-				Ask: func(ctx context.Context, _ string, _ wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
+				Stores: func() []wheelgauge.StoreEndpoint { return []wheelgauge.StoreEndpoint{{Address: "s", SameRegion: true}} },
+				Draw: func(ctx context.Context, _ string, _ wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
 					calls++
 					<-ctx.Done()
-					return wheelgauge.CapAnswer{}, ctx.Err()
+					return wheelgauge.CapUnitsResponse{}, ctx.Err()
 				},
 			})
 			defer p.Close()
 			for range 2 {
 				ctx, cancel := context.WithTimeout(t.Context(), tt.within)
-				p.Take(ctx, testWorkspace, 1)
+				p.Acquire(ctx, testWorkspace, 1)
 				cancel()
 			}
 			if calls != tt.calls {
@@ -165,16 +167,16 @@
 		synctest.Test(t, func(t *testing.T) {
 			calls := 0
 			p := New(Options{
-				Host: "h", Boot: 1, Now: time.Now, Stores: func() []wheelgauge.StoreAt { return []wheelgauge.StoreAt{{Address: "a", Near: true}} },
-				Ask: func(context.Context, string, wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
+				Host: "h", Boot: 1, Now: time.Now, Stores: func() []wheelgauge.StoreEndpoint { return []wheelgauge.StoreEndpoint{{Address: "a", SameRegion: true}} },
+				Draw: func(context.Context, string, wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
 					calls++
-					return wheelgauge.CapAnswer{Grants: []wheelgauge.CapGrant{{Granted: true}}}, nil
+					return wheelgauge.CapUnitsResponse{Grants: []wheelgauge.CapGrant{{Granted: true}}}, nil
 				},
 			})
 			defer p.Close()
-			p.Return(testWorkspace, 100)
+			p.Refund(testWorkspace, 100)
 			time.Sleep(tt.after)
-			if err := p.Take(context.Background(), testWorkspace, tt.units); err != nil || calls != tt.calls {
+			if err := p.Acquire(context.Background(), testWorkspace, tt.units); err != nil || calls != tt.calls {
 				t.Errorf("%s: error %v, %d draws", tt.name, err, calls)
 			}
 		})
@@ -186,23 +188,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		unreachable := false
 		p := New(Options{
-			Host: "h", Boot: 1, Now: time.Now, Stores: func() []wheelgauge.StoreAt { return []wheelgauge.StoreAt{{Address: "a", Near: true}} },
-			Ask: func(ctx context.Context, _ string, _ wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
+			Host: "h", Boot: 1, Now: time.Now, Stores: func() []wheelgauge.StoreEndpoint { return []wheelgauge.StoreEndpoint{{Address: "a", SameRegion: true}} },
+			Draw: func(ctx context.Context, _ string, _ wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
 				if unreachable {
 					<-ctx.Done()
-					return wheelgauge.CapAnswer{}, ctx.Err()
+					return wheelgauge.CapUnitsResponse{}, ctx.Err()
 				}
-				return wheelgauge.CapAnswer{Grants: []wheelgauge.CapGrant{{Granted: true, Alone: 10000, AloneMS: 5000}}}, nil
+				return wheelgauge.CapUnitsResponse{Grants: []wheelgauge.CapGrant{{Granted: true, StandaloneRate: 10000, StandaloneMS: 5000}}}, nil
 			},
 		})
 		defer p.Close()
-		if err := p.Take(context.Background(), testWorkspace, 100); err != nil {
+		if err := p.Acquire(context.Background(), testWorkspace, 100); err != nil {
 			t.Fatal(err)
 		}
 		unreachable = true
 		start, sent := time.Now(), 0.0
 		for time.Since(start) < 4*time.Second {
-			if p.Take(context.Background(), testWorkspace, 2000) == nil {
+			if p.Acquire(context.Background(), testWorkspace, 2000) == nil {
 				sent += 2000
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -213,7 +215,7 @@
 			t.Errorf("%.0f units sent in 4 s standalone at 10,000 a second, want 2000 to 88000", sent)
 		}
 		time.Sleep(2 * time.Second)
-		if err := p.Take(context.Background(), testWorkspace, 100); err == nil || err.Status() != http.StatusServiceUnavailable {
+		if err := p.Acquire(context.Background(), testWorkspace, 100); err == nil || err.Status() != http.StatusServiceUnavailable {
 			t.Errorf("error after the standalone time is %v, want status 503", err)
 		}
 	})
--- a/cappurse/schedule_test.go
+++ b/cappurse/schedule_test.go
@@ -57,7 +57,7 @@
 // store is a store of a schedule; allocator is nil while it is down.
 type store struct {
 	address, region string
-	allocator       *capbank.Bank
+	allocator       *capbank.Allocator
 	boots           uint64
 	frozen          bool
 }
@@ -75,7 +75,7 @@
 	workspaces []*workspace
 	// take decides in place of the hosts' clients, if it is set.
 	take     func(ctx context.Context, h int, w *workspace, units float64) *wheelgauge.Error
-	clients  []*Purse
+	clients  []*Client
 	arrivals map[string][]arrival
 	// cutRegions are the regions that are cut off from all others. downUntil is until when a
 	// host is down.
@@ -153,7 +153,7 @@
 }
 
 // reach returns a store's allocator if a call from a region gets through now.
-func (s *schedule) reach(region string, st *store) *capbank.Bank {
+func (s *schedule) reach(region string, st *store) *capbank.Allocator {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if st.frozen || !s.linked(region, st.region) {
@@ -172,20 +172,20 @@
 		if alloc == nil || frozen {
 			continue
 		}
-		sent, n := time.Now(), alloc.News(to.address)
+		sent, n := time.Now(), alloc.Report(to.address)
 		time.Sleep(linkLatency(from.region, to.region))
 		other := s.reach(from.region, to)
 		if other == nil {
 			time.Sleep(800 * time.Millisecond)
 			continue
 		}
-		lease := other.Lend(from.address, boot, n)
+		lease := other.GrantLease(from.address, boot, n)
 		time.Sleep(linkLatency(from.region, to.region))
 		s.mu.Lock()
 		lost := !s.linked(from.region, to.region) || from.allocator != alloc || from.frozen
 		s.mu.Unlock()
 		if !lost {
-			alloc.Borrow(to.address, sent, lease)
+			alloc.ApplyLease(to.address, sent, lease)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 			view[st.address] = time.Now()
 			for h := range s.hosts {
 				if s.regions[h%len(s.regions)] == region && !time.Now().Before(s.downUntil[h]) {
-					alloc.Seen(fmt.Sprint("host-", h), s.boot(h))
+					alloc.HostSeen(fmt.Sprint("host-", h), s.boot(h))
 				}
 			}
 			s.mu.Unlock()
@@ -224,15 +224,15 @@
 }
 
 // storesFor returns the stores that a host knows of, near ones first.
-func (s *schedule) storesFor(h int, region string) []wheelgauge.StoreAt {
+func (s *schedule) storesFor(h int, region string) []wheelgauge.StoreEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []wheelgauge.StoreAt
+	var out []wheelgauge.StoreEndpoint
 	for _, near := range []bool{true, false} {
 		for i := range s.stores {
 			st := s.stores[(i+h)%len(s.stores)]
 			if (st.region == region) == near && time.Since(s.storesSeen[region][st.address]) < 1400*time.Millisecond {
-				out = append(out, wheelgauge.StoreAt{Address: st.address, Near: near})
+				out = append(out, wheelgauge.StoreEndpoint{Address: st.address, SameRegion: near})
 			}
 		}
 	}
@@ -242,11 +242,11 @@
 var errUnreachable = errors.New("no answer")
 
 // newClient returns a new client of a host.
-func (s *schedule) newClient(h int, region string, boot uint64) *Purse {
+func (s *schedule) newClient(h int, region string, boot uint64) *Client {
 	return New(Options{
 		Host: fmt.Sprint("host-", h), Boot: boot, Now: time.Now,
-		Stores: func() []wheelgauge.StoreAt { return s.storesFor(h, region) },
-		Ask: func(ctx context.Context, address string, req wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
+		Stores: func() []wheelgauge.StoreEndpoint { return s.storesFor(h, region) },
+		Draw: func(ctx context.Context, address string, req wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
 			for _, st := range s.stores {
 				if st.address != address {
 					continue
@@ -255,26 +255,26 @@
 				alloc := s.reach(region, st)
 				if alloc == nil {
 					<-ctx.Done()
-					return wheelgauge.CapAnswer{}, errUnreachable
+					return wheelgauge.CapUnitsResponse{}, errUnreachable
 				}
 				answer := alloc.Draw(req)
 				time.Sleep(linkLatency(region, st.region))
 				return answer, ctx.Err()
 			}
-			return wheelgauge.CapAnswer{}, errUnreachable
+			return wheelgauge.CapUnitsResponse{}, errUnreachable
 		},
 	})
 }
 
-func (s *schedule) takeUnits(ctx context.Context, p *Purse, h int, w *workspace, spec *wheelgauge.Workspace, units float64) *wheelgauge.Error {
+func (s *schedule) takeUnits(ctx context.Context, p *Client, h int, w *workspace, spec *wheelgauge.Workspace, units float64) *wheelgauge.Error {
 	if s.take != nil {
 		return s.take(ctx, h, w, units)
 	}
-	return p.Take(ctx, spec, units)
+	return p.Acquire(ctx, spec, units)
 }
 
 // generateLoad sends the requests of one host's callers for one workspace.
-func (s *schedule) generateLoad(ctx context.Context, w *workspace, h int, client func() *Purse, group *sync.WaitGroup, weight func(at time.Duration) float64) {
+func (s *schedule) generateLoad(ctx context.Context, w *workspace, h int, client func() *Client, group *sync.WaitGroup, weight func(at time.Duration) float64) {
 	r := rand.New(rand.NewPCG(s.seed, uint64(h)<<8|uint64(len(w.spec.Name))))
 	for ctx.Err() == nil {
 		s.mu.Lock()
@@ -331,10 +331,10 @@
 	s.set(func() { s.started = time.Now() })
 	for h := range s.hosts {
 		region := s.regions[h%len(s.regions)]
-		var p *Purse
+		var p *Client
 		var boot uint64
 		// The lock is held.
-		client := func() *Purse {
+		client := func() *Client {
 			if b := s.boot(h); p == nil || b != boot {
 				p, boot = s.newClient(h, region, b), b
 				s.clients = append(s.clients, p)
--- a/cappurse/suspend_test.go
+++ b/cappurse/suspend_test.go
@@ -30,20 +30,20 @@
 			unreachable := false
 			p := New(Options{
 				Host: "h", Boot: 1, Now: clock.Now,
-				Stores: func() []wheelgauge.StoreAt { return []wheelgauge.StoreAt{{Address: "s"}} },
-				Ask: func(_ context.Context, _ string, req wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
+				Stores: func() []wheelgauge.StoreEndpoint { return []wheelgauge.StoreEndpoint{{Address: "s"}} },
+				Draw: func(_ context.Context, _ string, req wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
 					if unreachable {
-						return wheelgauge.CapAnswer{}, errUnreachable
+						return wheelgauge.CapUnitsResponse{}, errUnreachable
 					}
-					return wheelgauge.CapAnswer{Grants: []wheelgauge.CapGrant{{Granted: true, Ahead: req.Wants[0].Ahead, Alone: 1e6, AloneMS: 8000}}}, nil
+					return wheelgauge.CapUnitsResponse{Grants: []wheelgauge.CapGrant{{Granted: true, Prefetched: req.Items[0].Prefetch, StandaloneRate: 1e6, StandaloneMS: 8000}}}, nil
 				},
 			})
 			defer p.Close()
-			if err := p.Take(context.Background(), testWorkspace, units); err != nil {
+			if err := p.Acquire(context.Background(), testWorkspace, units); err != nil {
 				t.Fatal(err)
 			}
 			unreachable = true
-			clock.Pass(tt.suspended)
+			clock.Advance(tt.suspended)
 			if left := p.takeCached(testWorkspace.Name, units); left != tt.prefetched {
 				t.Errorf("prefetched units used: %v, want %v", left, tt.prefetched)
 			}
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -206,8 +206,8 @@
 // Resources returns the resources that the catalog was built from.
 func (c *Catalog) Resources() []wheelgauge.Resource { return c.resources }
 
-// Faults returns an error for each resource that could not be decoded.
-func (c *Catalog) Faults() []error { return c.errs }
+// DecodeErrors returns an error for each resource that could not be decoded.
+func (c *Catalog) DecodeErrors() []error { return c.errs }
 
 // PoolType returns the type of a pool, or "" if it is not configured.
 func (c *Catalog) PoolType(pool string) string { return c.pools[pool] }
@@ -248,16 +248,16 @@
 	return out
 }
 
-// Placed reports whether a model has placements, and returns the version that a
+// Placement reports whether a model has placements, and returns the version that a
 // server should have; ok is false if the server should not have the model.
-func (c *Catalog) Placed(model, server string) (placed bool, version string, ok bool) {
+func (c *Catalog) Placement(model, server string) (placed bool, version string, ok bool) {
 	versions, placed := c.placements[model]
 	version, ok = versions[server]
 	return placed, version, ok
 }
 
-// Models returns the models that have placements, sorted.
-func (c *Catalog) Models() []string { return slices.Sorted(maps.Keys(c.placements)) }
+// PlacedModels returns the models that have placements, sorted.
+func (c *Catalog) PlacedModels() []string { return slices.Sorted(maps.Keys(c.placements)) }
 
 // Engines returns all backend servers of engine pools, sorted by name.
 func (c *Catalog) Engines() []*Server {
@@ -270,8 +270,8 @@
 	return out
 }
 
-// RegionServers returns all backend servers of a region.
-func (c *Catalog) RegionServers(region string) []*Server {
+// ServersInRegion returns all backend servers of a region.
+func (c *Catalog) ServersInRegion(region string) []*Server {
 	var out []*Server
 	for p, servers := range c.byPoolRegion {
 		if p.region == region {
@@ -307,11 +307,11 @@
 // ClaimStore returns the address of the store with a region's claims, or "" if
 // there is none.
 func (c *Catalog) ClaimStore(region string) string {
-	h := c.hosts[c.regions[region].Claims]
+	h := c.hosts[c.regions[region].ClaimHost]
 	if h == nil {
 		return ""
 	}
-	return h.Store
+	return h.StoreAddress
 }
 
 // Allows reports whether a client's data may be processed in a region. Rules for
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -85,7 +85,7 @@
 			t.Errorf("%s: got %s, want %s", tt.name, tt.got, tt.want)
 		}
 	}
-	if c.RouteForModel("none") != nil || c.RouteForPath("none") != nil || len(c.Servers("engines", "karachi", "small")) != 2 || len(c.Faults()) != 1 {
+	if c.RouteForModel("none") != nil || c.RouteForPath("none") != nil || len(c.Servers("engines", "karachi", "small")) != 2 || len(c.DecodeErrors()) != 1 {
 		t.Error("expected no route for unknown names, two servers for a model without placements, and one fault")
 	}
 }
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -37,8 +37,8 @@
 	Dir string
 	// TTL is how long after its creation a key is accepted; 24 h when zero.
 	TTL time.Duration
-	// Skew is the largest clock difference that is tolerated; 2 min when zero.
-	Skew time.Duration
+	// MaxSkew is the largest clock difference that is tolerated; 2 min when zero.
+	MaxSkew time.Duration
 	// Now returns the time; time.Now when nil.
 	Now func() time.Time
 }
@@ -78,8 +78,8 @@
 	if options.TTL == 0 {
 		options.TTL = 24 * time.Hour
 	}
-	if options.Skew == 0 {
-		options.Skew = 2 * time.Minute
+	if options.MaxSkew == 0 {
+		options.MaxSkew = 2 * time.Minute
 	}
 	if options.Now == nil {
 		options.Now = time.Now
@@ -147,7 +147,7 @@
 // the required format.
 func KeyTime(key string) (time.Time, error) {
 	bad := wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest,
-		wheelgauge.HeaderIdempotency+" must be a UUID of version 7")
+		wheelgauge.HeaderIdempotencyKey+" must be a UUID of version 7")
 	if len(key) != uuidLength || key[8] != '-' || key[13] != '-' || key[14] != '7' {
 		return time.Time{}, bad
 	}
@@ -282,10 +282,10 @@
 		return c, nil, err
 	}
 	now := t.options.Now()
-	if made.After(now.Add(t.options.Skew)) {
+	if made.After(now.Add(t.options.MaxSkew)) {
 		return c, nil, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "the key's creation time is in the future")
 	}
-	if now.Sub(made) > t.options.TTL || !made.After(t.diskSince.Add(t.options.Skew)) && !t.isFirstDisk() {
+	if now.Sub(made) > t.options.TTL || !made.After(t.diskSince.Add(t.options.MaxSkew)) && !t.isFirstDisk() {
 		c.State = wheelgauge.ClaimLost
 		return c, nil, nil
 	}
@@ -329,7 +329,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.recordsSinceRewrite = 0
-	oldest := t.options.Now().Add(-t.options.TTL - t.options.Skew)
+	oldest := t.options.Now().Add(-t.options.TTL - t.options.MaxSkew)
 	first, err := json.Marshal(record{Since: t.diskSince})
 	if err != nil {
 		return fmt.Errorf("encode claims: %w", err)
@@ -352,9 +352,9 @@
 	return nil
 }
 
-// Found initializes dir as a region's first claim disk, which means that no earlier
+// Initialize initializes dir as a region's first claim disk, which means that no earlier
 // claims can have been lost.
-func Found(dir string) error {
+func Initialize(dir string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("create claims folder: %w", err)
 	}
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -72,7 +72,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			dir := t.TempDir()
-			if err := Found(dir); err != nil {
+			if err := Initialize(dir); err != nil {
 				t.Fatal(err)
 			}
 			c := &fakeClock{noon}
@@ -113,7 +113,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			dir := t.TempDir()
 			if tt.founded {
-				if err := Found(dir); err != nil {
+				if err := Initialize(dir); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -135,7 +135,7 @@
 // because of its age.
 func TestCompactedKeyIsNotGrantedAgain(t *testing.T) {
 	dir := t.TempDir()
-	if err := Found(dir); err != nil {
+	if err := Initialize(dir); err != nil {
 		t.Fatal(err)
 	}
 	c := &fakeClock{noon}
@@ -160,7 +160,7 @@
 // TestConcurrentClaimsHaveOneWinner requests the same key from many goroutines at once.
 func TestConcurrentClaimsHaveOneWinner(t *testing.T) {
 	dir := t.TempDir()
-	if err := Found(dir); err != nil {
+	if err := Initialize(dir); err != nil {
 		t.Fatal(err)
 	}
 	table := mustOpen(t, dir, &fakeClock{noon})
@@ -189,7 +189,7 @@
 
 func TestOtherRequestUnderTheSameKey(t *testing.T) {
 	dir := t.TempDir()
-	if err := Found(dir); err != nil {
+	if err := Initialize(dir); err != nil {
 		t.Fatal(err)
 	}
 	table := mustOpen(t, dir, &fakeClock{noon})
@@ -207,7 +207,7 @@
 // TestCorruptFileIsRefused checks that a claim file damaged before its end cannot be opened.
 func TestCorruptFileIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	if err := Found(dir); err != nil {
+	if err := Initialize(dir); err != nil {
 		t.Fatal(err)
 	}
 	table := mustOpen(t, dir, &fakeClock{noon})
@@ -234,7 +234,7 @@
 // BenchmarkTake takes and records claims from many goroutines at once; each is synced to disk.
 func BenchmarkTake(b *testing.B) {
 	dir := b.TempDir()
-	if err := Found(dir); err != nil {
+	if err := Initialize(dir); err != nil {
 		b.Fatal(err)
 	}
 	table, err := Open(context.Background(), Options{Dir: dir})
--- a/clock.go
+++ b/clock.go
@@ -9,8 +9,8 @@
 	Now() time.Time
 }
 
-// SteadyClock is Go's monotonic clock, which does not advance while the machine is suspended.
-type SteadyClock struct{}
+// MonotonicClock is Go's monotonic clock, which does not advance while the machine is suspended.
+type MonotonicClock struct{}
 
 // Now implements Clock.
-func (SteadyClock) Now() time.Time { return time.Now() }
+func (MonotonicClock) Now() time.Time { return time.Now() }
--- a/cmd/wheelgauge-gateway/options.go
+++ b/cmd/wheelgauge-gateway/options.go
@@ -62,7 +62,7 @@
 	if v.Text("tls", "certificate") != "" {
 		return nil
 	}
-	if peer := v.Text("listen", "peer"); !keypair.Loopback(peer) {
+	if peer := v.Text("listen", "peer"); !keypair.IsLoopback(peer) {
 		return fmt.Errorf("[listen] peer: %s is not loopback, expected [tls] certificate, key and authority", peer)
 	}
 	return checkOperator(v.Text("listen", "operator"))
@@ -70,7 +70,7 @@
 
 // checkOperator rejects an operator listener off loopback, as it does not check tokens.
 func checkOperator(address string) error {
-	if !keypair.Loopback(address) {
+	if !keypair.IsLoopback(address) {
 		return fmt.Errorf("[listen] operator: expected a loopback address, got %s", address)
 	}
 	return nil
--- a/cmd/wheelgauge-gateway/routes.go
+++ b/cmd/wheelgauge-gateway/routes.go
@@ -61,26 +61,26 @@
 
 func runRoutes(ctx context.Context, v *settings.Values, log logr.Logger) error {
 	program.LimitMemory(v.Int("limits", "memory_mb"))
-	d := dialect.Named(v.Text("dialect", "name"))
+	d := dialect.ByName(v.Text("dialect", "name"))
 	o := entrynode.Options{
 		Name: v.Text("host", "name"), Region: v.Text("host", "region"), Hall: v.Text("host", "hall"),
-		Caller: v.Text("listen", "caller"), Ready: v.Text("listen", "ready"), Peer: v.Text("listen", "peer"), Metrics: v.Text("listen", "metrics"),
-		Seeds:    program.SeedAddresses(v.List("stores", "seeds"), v.Int("stores", "port")),
-		Interval: v.Duration("members", "heartbeat"), FarInterval: v.Duration("members", "far_heartbeat"),
-		Grace: seconds(v.Float("drain", "grace_seconds")),
+		CallerAddress: v.Text("listen", "caller"), ReadyAddress: v.Text("listen", "ready"), PeerAddress: v.Text("listen", "peer"), MetricsAddress: v.Text("listen", "metrics"),
+		Seeds:             program.SeedAddresses(v.List("stores", "seeds"), v.Int("stores", "port")),
+		HeartbeatInterval: v.Duration("members", "heartbeat"), FarHeartbeatInterval: v.Duration("members", "far_heartbeat"),
+		GracePeriod: seconds(v.Float("drain", "grace_seconds")),
 		Budget: retrybudget.Options{
 			Ratio: v.Float("retry", "ratio"), Slack: v.Float("retry", "slack"), Window: seconds(v.Float("retry", "window_seconds")),
 		},
-		Memory:       int64(v.Int("limits", "memory_mb")) << 20,
+		MemoryLimit:  int64(v.Int("limits", "memory_mb")) << 20,
 		RolloutShare: v.Float("rollout", "share"), RolloutSlack: v.Float("rollout", "slack"),
-		Decode: d.Decode, Names: d.Headers, Log: log,
+		DecodeRoutes: d.Decode, Names: d.Headers, Log: log,
 	}
 	n, err := entrynode.Open(context.WithoutCancel(ctx), o)
 	if err != nil {
 		return fmt.Errorf("open gateway: %w", err)
 	}
 	<-ctx.Done()
-	closeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), o.Grace)
+	closeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), o.GracePeriod)
 	defer cancel()
 	err = n.Close(closeCtx)
 	log.Info("Gateway has stopped.")
--- a/cmd/wheelgauge-gateway/run.go
+++ b/cmd/wheelgauge-gateway/run.go
@@ -41,18 +41,18 @@
 	client := peerhttp.NewClient(peerhttp.NewDialer(v.Text("host", "source"), nil), "")
 	o := gateway.Options{
 		Host: v.Text("host", "name"), Region: v.Text("host", "region"), Hall: v.Text("host", "hall"),
-		Caller: v.Text("listen", "caller"), Peer: v.Text("listen", "peer"), Operator: v.Text("listen", "operator"),
-		Source: v.Text("host", "source"),
-		Stores: v.List("stores", "addresses"), Peers: v.List("peers", "addresses"), Dir: v.Text("data", "folder"),
-		HeaderBytes: v.Int("listen", "header_bytes"), BodyBytes: v.Int("listen", "body_bytes"),
-		Conns: v.Int("listen", "connections"), ReadTimeout: v.Duration("listen", "read_timeout"),
-		LongestWait: v.Duration("requests", "longest_wait"), DefaultLimit: v.Duration("requests", "deadline"),
+		CallerAddress: v.Text("listen", "caller"), PeerAddress: v.Text("listen", "peer"), OperatorAddress: v.Text("listen", "operator"),
+		SourceIP:       v.Text("host", "source"),
+		StoreAddresses: v.List("stores", "addresses"), PeerAddresses: v.List("peers", "addresses"), DataDir: v.Text("data", "folder"),
+		MaxHeaderBytes: v.Int("listen", "header_bytes"), MaxBodyBytes: v.Int("listen", "body_bytes"),
+		MaxConns: v.Int("listen", "connections"), ReadTimeout: v.Duration("listen", "read_timeout"),
+		MaxWait: v.Duration("requests", "longest_wait"), DefaultDeadline: v.Duration("requests", "deadline"),
 		AffinityBytes: v.Int("requests", "affinity_bytes"), DrainNotice: v.Duration("drain", "notice"),
-		EntryTTL: v.Duration("entry", "ttl"), Heartbeat: v.Duration("members", "heartbeat"),
-		WatchWait: v.Duration("stores", "wait"), StoreSilent: v.Duration("stores", "silent"),
+		EntryTTL: v.Duration("entry", "ttl"), HeartbeatInterval: v.Duration("members", "heartbeat"),
+		WatchWait: v.Duration("stores", "wait"), StoreTimeout: v.Duration("stores", "silent"),
 		Directory: directory.New(v.Text("platform", "directory"), client),
 		Decider: away.New(v.Text("routing", "away"), away.Weights{
-			Second: v.Float("routing", "second_value"), Share: v.Float("routing", "away_cost"), ColdPrefill: v.Duration("routing", "cold_prefill"),
+			SecondValue: v.Float("routing", "second_value"), ForwardCost: v.Float("routing", "away_cost"), ColdPrefill: v.Duration("routing", "cold_prefill"),
 		}),
 		Log: log,
 	}
@@ -85,9 +85,9 @@
 	if err != nil {
 		return fmt.Errorf("[tls]: %w", err)
 	}
-	o.PeerTLS, o.Secure = pair.Server(), pair.Client
+	o.PeerTLS, o.Secure = pair.ServerConfig(), pair.ClientConfig
 	if v.Bool("tls", "callers") {
-		o.CallerTLS = pair.Open()
+		o.CallerTLS = pair.PublicServerConfig()
 	}
 	return nil
 }
--- a/cmd/wheelgauge-load/run.go
+++ b/cmd/wheelgauge-load/run.go
@@ -36,8 +36,8 @@
 func scenarioFrom(v *settings.Values) (load.Scenario, error) {
 	s := load.Scenario{
 		Mix: v.Text("load", "mix"), Duration: v.Duration("load", "duration"), Rate: v.Float("load", "rate"),
-		Peak: v.Float("load", "peak"), Seed: uint64(v.Int("load", "seed")), Clients: v.Int("load", "clients"),
-		Flood: v.Float("load", "flood"), LengthFactor: v.Float("load", "scale"), LinkCost: v.Float("load", "link_cost"),
+		Peak: v.Float("load", "peak"), Seed: uint64(v.Int("load", "seed")), ClientsPerRegion: v.Int("load", "clients"),
+		FloodFactor: v.Float("load", "flood"), LengthFactor: v.Float("load", "scale"), LinkCost: v.Float("load", "link_cost"),
 	}
 	entries, prices := v.List("regions", "entries"), v.List("regions", "prices")
 	for i, name := range v.List("regions", "names") {
@@ -45,7 +45,7 @@
 		if err != nil {
 			return s, fmt.Errorf("[regions] prices: %w", err)
 		}
-		s.Regions = append(s.Regions, load.Region{Name: name, Entry: entries[i], Price: price})
+		s.Regions = append(s.Regions, load.Region{Name: name, BootstrapAddress: entries[i], PricePer1000Tokens: price})
 	}
 	return s, nil
 }
--- a/cmd/wheelgauge-store/options.go
+++ b/cmd/wheelgauge-store/options.go
@@ -45,7 +45,7 @@
 		return nil
 	}
 	for _, key := range []string{"peer", "operator"} {
-		if address := v.Text("listen", key); !keypair.Loopback(address) {
+		if address := v.Text("listen", key); !keypair.IsLoopback(address) {
 			return fmt.Errorf("[listen] %s: %s is not loopback, expected [tls] certificate, key and authority", key, address)
 		}
 	}
--- a/cmd/wheelgauge-store/routes.go
+++ b/cmd/wheelgauge-store/routes.go
@@ -79,19 +79,19 @@
 
 func runRoutes(ctx context.Context, v *settings.Values, log logr.Logger) error {
 	program.LimitMemory(v.Int("limits", "memory_mb"))
-	d := dialect.Named(v.Text("dialect", "name"))
+	d := dialect.ByName(v.Text("dialect", "name"))
 	regions, err := parseHalls(v)
 	if err != nil {
 		return err
 	}
 	o := confstore.Options{
-		Name: v.Text("host", "name"), Region: v.Text("host", "region"), Hall: v.Text("host", "hall"), Halls: regions,
-		Dir: v.Text("store", "folder"), First: v.Bool("store", "first"), Tick: v.Duration("store", "tick"),
-		Peer: v.Text("listen", "peer"), Metrics: v.Text("listen", "metrics"),
-		Seeds:     program.SeedAddresses(v.List("stores", "seeds"), v.Int("stores", "port")),
-		PollEvery: v.Duration("servers", "poll"), CapSlack: v.Float("caps", "slack"),
+		Name: v.Text("host", "name"), Region: v.Text("host", "region"), Hall: v.Text("host", "hall"), RegionByHall: regions,
+		Dir: v.Text("store", "folder"), Bootstrap: v.Bool("store", "first"), Tick: v.Duration("store", "tick"),
+		PeerAddress: v.Text("listen", "peer"), MetricsAddress: v.Text("listen", "metrics"),
+		Seeds:        program.SeedAddresses(v.List("stores", "seeds"), v.Int("stores", "port")),
+		PollInterval: v.Duration("servers", "poll"), CapSlack: v.Float("caps", "slack"),
 		CapWindow: time.Duration(v.Float("caps", "window_seconds") * float64(time.Second)), CapOverage: v.Float("caps", "overage"),
-		Decode: d.Decode, List: d.ServerList(v.Text("servers", "list")), Log: log,
+		DecodeRoutes: d.Decode, ServerList: d.ServerList(v.Text("servers", "list")), Log: log,
 	}
 	o.Listeners = listeners(v, d)
 	n, err := confstore.Open(context.WithoutCancel(ctx), o)
@@ -112,10 +112,10 @@
 func listeners(v *settings.Values, d dialect.Dialect) []confstore.Listener {
 	var out []confstore.Listener
 	if address := v.Text("listen", "control"); address != "" {
-		out = append(out, confstore.Listener{Address: address, Handler: d.Control, Options: httpserve.Options{BodyBytes: d.BodyBytes}})
+		out = append(out, confstore.Listener{Address: address, Handler: d.OperatorHandler, Options: httpserve.Options{MaxBodyBytes: d.MaxBodyBytes}})
 	}
 	if address := v.Text("listen", "entry"); address != "" {
-		out = append(out, confstore.Listener{Address: address, Handler: d.Entry})
+		out = append(out, confstore.Listener{Address: address, Handler: d.EntryHandler})
 	}
 	return out
 }
--- a/cmd/wheelgauge-store/run.go
+++ b/cmd/wheelgauge-store/run.go
@@ -40,11 +40,11 @@
 
 func storeOptions(v *settings.Values, log logr.Logger) (storenode.Options, error) {
 	o := storenode.Options{
-		Name: v.Text("store", "name"), Region: v.Text("store", "region"), Dir: v.Text("store", "folder"), Source: v.Text("store", "source"),
+		Name: v.Text("store", "name"), Region: v.Text("store", "region"), Dir: v.Text("store", "folder"), SourceIP: v.Text("store", "source"),
 		Peers: v.List("store", "peers"), Tick: v.Duration("store", "tick"), Heartbeat: v.Duration("store", "heartbeat"),
-		ClaimTTL: v.Duration("store", "claim_ttl"), Skew: v.Duration("store", "clock_skew"),
-		OrderInterval: v.Duration("orders", "interval"), LoadsAtOnce: v.Int("orders", "loads_at_once"), LoadLimit: v.Duration("orders", "load_limit"),
-		Peer: v.Text("listen", "peer"), Advertised: v.Text("listen", "advertised"), Operator: v.Text("listen", "operator"), Log: log,
+		ClaimTTL: v.Duration("store", "claim_ttl"), MaxClockSkew: v.Duration("store", "clock_skew"),
+		OrderInterval: v.Duration("orders", "interval"), MaxLoads: v.Int("orders", "loads_at_once"), LoadTimeout: v.Duration("orders", "load_limit"),
+		PeerAddress: v.Text("listen", "peer"), Advertised: v.Text("listen", "advertised"), OperatorAddress: v.Text("listen", "operator"), Log: log,
 	}
 	tokens, err := operators.Load(v.Text("store", "tokens"))
 	if err != nil {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return o, fmt.Errorf("[tls]: %w", err)
 	}
-	o.PeerTLS, o.Secure, o.OperatorTLS = pair.Server(), pair.Client, pair.Open()
+	o.PeerTLS, o.Secure, o.OperatorTLS = pair.ServerConfig(), pair.ClientConfig, pair.PublicServerConfig()
 	return o, nil
 }
 
@@ -78,7 +78,7 @@
 			if address == "" {
 				address = v.Text("listen", "peer")
 			}
-			return storenode.Found(v.Text("store", "folder"), v.Text("store", "name"), address, claimsOnly)
+			return storenode.Initialize(v.Text("store", "folder"), v.Text("store", "name"), address, claimsOnly)
 		},
 	}
 	c.Flags().StringVarP(&path, "config", "c", p.Name+".ini", "settings file")
--- a/cmd/wheelgaugectl/commands.go
+++ b/cmd/wheelgaugectl/commands.go
@@ -120,7 +120,7 @@
 			}
 			ctx, cancel := context.WithTimeout(c.Context(), limit)
 			defer cancel()
-			if err := client.WaitInForce(ctx, generation); err != nil {
+			if err := client.WaitApplied(ctx, generation); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(), "generation %d is applied at every host\n", generation)
@@ -145,7 +145,7 @@
 	for i, r := range list {
 		change := wheelgauge.Change{ID: fmt.Sprintf("%s-%d", id, i), Op: wheelgauge.OpPut, Kind: r.Kind, Name: r.Name, Spec: r.Spec}
 		if r.Generation > 0 && !force {
-			change.Expected = &r.Generation
+			change.ExpectedGeneration = &r.Generation
 		}
 		result, err := client.Change(c.Context(), change, dryRun)
 		if err != nil {
@@ -179,7 +179,7 @@
 	if err := json.Unmarshal(data, &list); err == nil {
 		return list, nil
 	}
-	var resp wheelgauge.ListAnswer
+	var resp wheelgauge.ListResponse
 	if err := json.Unmarshal(data, &resp); err == nil && len(resp.Resources) > 0 {
 		return resp.Resources, nil
 	}
@@ -201,7 +201,7 @@
 			}
 			change := wheelgauge.Change{Op: wheelgauge.OpDelete, Kind: wheelgauge.Kind(args[0]), Name: args[1]}
 			if expected > 0 {
-				change.Expected = &expected
+				change.ExpectedGeneration = &expected
 			}
 			result, err := client.Change(c.Context(), change, false)
 			if err != nil {
@@ -283,7 +283,7 @@
 	for _, r := range s.Stores {
 		rows = append(rows, []string{"store", r.Store, fmt.Sprint(r.Generation), ""})
 	}
-	for _, h := range s.Hosts {
+	for _, h := range s.HostGenerations {
 		rows = append(rows, []string{"host", h.Host, fmt.Sprint(h.Generation), fmt.Sprintf("%s, last report %d ms ago", h.Region, h.AgeMS)})
 	}
 	for _, p := range s.Pending {
@@ -323,7 +323,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := client.Change(c.Context(), wheelgauge.Change{Op: wheelgauge.OpPut, Kind: kind, Name: name, Spec: spec, Expected: &r.Generation}, false)
+	result, err := client.Change(c.Context(), wheelgauge.Change{Op: wheelgauge.OpPut, Kind: kind, Name: name, Spec: spec, ExpectedGeneration: &r.Generation}, false)
 	if err != nil {
 		return err
 	}
--- a/cmd/wheelgaugectl/options.go
+++ b/cmd/wheelgaugectl/options.go
@@ -69,7 +69,7 @@
 	return opsclient.New(stores, token, secure), nil
 }
 
-func (o *options) tlsConfig() (peerhttp.Secure, error) {
+func (o *options) tlsConfig() (peerhttp.TLSConfigFunc, error) {
 	if o.authority == "" {
 		return nil, nil
 	}
--- a/cmd/wheelgaugectl/rollout.go
+++ b/cmd/wheelgaugectl/rollout.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				return err
 			}
-			order := wheelgauge.RolloutOrder{Service: args[0], Version: args[1], DurationMS: duration.Milliseconds()}
+			order := wheelgauge.RolloutRequest{Service: args[0], Version: args[1], DurationMS: duration.Milliseconds()}
 			if err := client.StartRollout(c.Context(), order); err != nil {
 				return err
 			}
--- a/coldrate/shares.go
+++ b/coldrate/shares.go
@@ -35,8 +35,8 @@
 // New returns shares that read time from now.
 func New(now func() time.Time) *Shares { return &Shares{buckets: map[string]*bucket{}, now: now} }
 
-// Mine reports whether host is one of a server's holders.
-func (s *Shares) Mine(server, host string, peers []string) bool {
+// IsHolder reports whether host is one of a server's holders.
+func (s *Shares) IsHolder(server, host string, peers []string) bool {
 	if len(peers) == 0 {
 		return false // the number of hosts is not known yet
 	}
@@ -45,7 +45,7 @@
 
 // Take takes one request from the host's share of rate, in requests a second.
 func (s *Shares) Take(server, host string, peers []string, rate float64) bool {
-	if !s.Mine(server, host, peers) {
+	if !s.IsHolder(server, host, peers) {
 		return false
 	}
 	s.mu.Lock()
--- a/coldrate/views_test.go
+++ b/coldrate/views_test.go
@@ -134,7 +134,7 @@
 					}
 					v.step()
 				}
-				got, _ := judge.ColdRate().Worst(v.sent)
+				got, _ := judge.ColdRate().MaxInWindow(v.sent)
 				most = max(most, got)
 				if err := judge.ColdRate().Check(coldRate, v.sent); err != nil {
 					t.Errorf("%s, %d hosts, seed %d: %v", tt.name, hosts, seed, err)
--- a/configlog/crashes_test.go
+++ b/configlog/crashes_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestCrashes(t *testing.T) {
-	a, b := wheelgauge.Crash{Request: "p", Server: "a"}, wheelgauge.Crash{Request: "p", Server: "b"}
+	a, b := wheelgauge.Crash{Fingerprint: "p", Server: "a"}, wheelgauge.Crash{Fingerprint: "p", Server: "b"}
 	cleared := a
 	cleared.Cleared = true
 	steps := []struct {
--- a/configlog/machine.go
+++ b/configlog/machine.go
@@ -91,9 +91,9 @@
 	case OpRollout, OpRolloutStep, OpRolloutAge:
 		return m.changeRollout(c)
 	case OpCrashes:
-		return m.setCrashes(quarantine.Join(m.state.Crashes, c.Crashes))
+		return m.setCrashes(quarantine.MergePersisted(m.state.Crashes, c.Crashes))
 	case OpForget:
-		return m.setCrashes(quarantine.Forget(m.state.Crashes, c.Requests))
+		return m.setCrashes(quarantine.RemoveRequests(m.state.Crashes, c.Requests))
 	}
 	if applied {
 		m.state.Generation++
@@ -138,20 +138,20 @@
 }
 
 func (m *Machine) drain(hall string) bool {
-	if slices.Contains(m.state.Drained, hall) {
+	if slices.Contains(m.state.DrainedHalls, hall) {
 		return false
 	}
 	// Copy the slice: callers of State may still read the old one.
-	m.state.Drained = append(slices.Clone(m.state.Drained), hall)
+	m.state.DrainedHalls = append(slices.Clone(m.state.DrainedHalls), hall)
 	return true
 }
 
 func (m *Machine) resume(hall string) bool {
-	i := slices.Index(m.state.Drained, hall)
+	i := slices.Index(m.state.DrainedHalls, hall)
 	if i < 0 {
 		return false
 	}
-	m.state.Drained = slices.Delete(slices.Clone(m.state.Drained), i, i+1)
+	m.state.DrainedHalls = slices.Delete(slices.Clone(m.state.DrainedHalls), i, i+1)
 	return true
 }
 
--- a/configlog/rollouts.go
+++ b/configlog/rollouts.go
@@ -14,7 +14,7 @@
 
 // forService returns the rollout of a service, or the zero value if it has none.
 func (l rollouts) forService(service string) wheelgauge.Rollout {
-	r, _ := wheelgauge.RolloutOf(l.all, service)
+	r, _ := wheelgauge.FindRollout(l.all, service)
 	return r
 }
 
@@ -31,7 +31,7 @@
 	case same && last.State == wheelgauge.RolloutRolledBack && !retry:
 		return l, false
 	}
-	return l.replace(wheelgauge.Rollout{RolloutOrder: r.RolloutOrder, Number: number, State: wheelgauge.RolloutRunning}), true
+	return l.replace(wheelgauge.Rollout{RolloutRequest: r.RolloutRequest, Number: number, State: wheelgauge.RolloutRunning}), true
 }
 
 // advance changes the state of the running rollout with the same number; one that has ended
--- a/configlog/rollouts_test.go
+++ b/configlog/rollouts_test.go
@@ -21,7 +21,7 @@
 }
 
 func order(service, version string) *wheelgauge.Rollout {
-	return &wheelgauge.Rollout{RolloutOrder: wheelgauge.RolloutOrder{Service: service, Version: version, DurationMS: 1000}}
+	return &wheelgauge.Rollout{RolloutRequest: wheelgauge.RolloutRequest{Service: service, Version: version, DurationMS: 1000}}
 }
 
 // A service has one rollout at a time, and late commands do not change one that has ended.
--- a/confstore/caps.go
+++ b/confstore/caps.go
@@ -21,7 +21,7 @@
 
 // serveCaps handles entry hosts' requests for cap units; false means another path.
 func (n *Node) serveCaps(ctx *fasthttp.RequestCtx) bool {
-	return serve(ctx, cappurse.Path, func(request wheelgauge.CapAsk) (wheelgauge.CapAnswer, error) {
+	return serve(ctx, cappurse.Path, func(request wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
 		return n.caps.Draw(request), nil
 	})
 }
@@ -41,7 +41,7 @@
 
 // logRefusals logs the caps that refused requests since the last call.
 func (n *Node) logRefusals(context.Context) {
-	refusing := n.caps.Refusing()
+	refusing := n.caps.TakeRefusals()
 	for _, u := range refusing[:min(maxLoggedCaps, len(refusing))] {
 		n.o.Log.Info("Cap refuses.", "workspace", u.Workspace, "share", u.Share, "rate", u.Rate, "level", int64(u.Level),
 			"demand", int64(u.Demand), "granted", int64(u.Granted), "refused", int64(u.Refused), "requests", u.Refusals, "caps", len(refusing))
--- a/confstore/crashes.go
+++ b/confstore/crashes.go
@@ -26,15 +26,15 @@
 // quarantine survives a restart of all processes at once.
 func (n *Node) syncCrashes(ctx context.Context) {
 	persisted := n.machine.State().Crashes
-	n.crashes.Keep(persisted)
+	n.crashes.SetPersisted(persisted)
 	n.crashes.Prune()
-	known := n.crashes.ToKeep()
+	known := n.crashes.CrashesToPersist()
 	proposeCtx, cancel := context.WithTimeout(ctx, crashProposeTimeout)
 	defer cancel()
-	if _, changed := quarantine.Join(persisted, known); changed {
+	if _, changed := quarantine.MergePersisted(persisted, known); changed {
 		n.proposeCrashes(proposeCtx, configlog.Command{Op: configlog.OpCrashes, Crashes: known})
 	}
-	if expired := n.expiredQuarantines(persisted); len(expired) > 0 && n.replica.Leading() {
+	if expired := n.expiredQuarantines(persisted); len(expired) > 0 && n.replica.IsLeader() {
 		n.proposeCrashes(proposeCtx, configlog.Command{Op: configlog.OpForget, Requests: expired})
 	}
 }
@@ -46,7 +46,7 @@
 		n.o.Log.Info("Crashes could not be persisted; the next check retries.", "order", c.Op, "crashes", len(c.Crashes), "cause", err.Error())
 		return
 	}
-	n.o.Log.Info("Crashes are kept.", "order", c.Op, "crashes", len(c.Crashes), "requests", c.Requests, "taken", res.Applied, "held", n.crashes.Condemned())
+	n.o.Log.Info("Crashes are kept.", "order", c.Op, "crashes", len(c.Crashes), "requests", c.Requests, "taken", res.Applied, "held", n.crashes.Quarantined())
 }
 
 // expiredQuarantines returns the requests whose crashes have been persisted for longer than
@@ -56,13 +56,13 @@
 	since := map[wheelgauge.Fingerprint]time.Time{}
 	var expired []wheelgauge.Fingerprint
 	for _, c := range persisted {
-		first, known := n.quarantinedSince[c.Request]
+		first, known := n.quarantinedSince[c.Fingerprint]
 		if !known {
 			first = now
 		}
-		since[c.Request] = first
-		if now.Sub(first) > quarantineDuration && !slices.Contains(expired, c.Request) {
-			expired = append(expired, c.Request)
+		since[c.Fingerprint] = first
+		if now.Sub(first) > quarantineDuration && !slices.Contains(expired, c.Fingerprint) {
+			expired = append(expired, c.Fingerprint)
 		}
 	}
 	n.quarantinedSince = since
@@ -72,13 +72,13 @@
 // addCrashes adds the crashes of quarantine candidates if they changed, and again once this
 // store knows all that the replica group has persisted. The lowest bit of the version marks
 // that it does not know them yet.
-func (n *Node) addCrashes(a *wheelgauge.BeatAnswer, b wheelgauge.Beat) {
-	candidates, version := n.crashes.Serious()
-	a.CrashesAt = 2 * version
-	if a.Partial || !a.InTouch {
-		a.CrashesAt++
+func (n *Node) addCrashes(a *wheelgauge.FleetHeartbeatResponse, b wheelgauge.FleetHeartbeat) {
+	candidates, version := n.crashes.Candidates()
+	a.CrashesVersion = 2 * version
+	if a.Partial || !a.Connected {
+		a.CrashesVersion++
 	}
-	if b.Store != n.boot || b.CrashesAt != a.CrashesAt {
+	if b.StoreBoot != n.boot || b.CrashesVersion != a.CrashesVersion {
 		a.Crashes = candidates
 	}
 }
--- a/confstore/crashes_test.go
+++ b/confstore/crashes_test.go
@@ -12,35 +12,35 @@
 // The response to a primary heartbeat has all crashes if they changed, and again once the
 // store knows what the replica group has persisted.
 func TestHeartbeatSendsChangedCrashes(t *testing.T) {
-	three := []wheelgauge.Crash{{Request: "p", Server: "a"}, {Request: "p", Server: "b"}, {Request: "p", Server: "c"}}
-	n := &Node{o: Options{Clock: wheelgauge.SteadyClock{}}, boot: 7, crashes: quarantine.New(time.Now)}
-	respond := func(b wheelgauge.Beat, connected bool) wheelgauge.BeatAnswer {
-		a := wheelgauge.BeatAnswer{InTouch: connected}
+	three := []wheelgauge.Crash{{Fingerprint: "p", Server: "a"}, {Fingerprint: "p", Server: "b"}, {Fingerprint: "p", Server: "c"}}
+	n := &Node{o: Options{Clock: wheelgauge.MonotonicClock{}}, boot: 7, crashes: quarantine.New(time.Now)}
+	respond := func(b wheelgauge.FleetHeartbeat, connected bool) wheelgauge.FleetHeartbeatResponse {
+		a := wheelgauge.FleetHeartbeatResponse{Connected: connected}
 		n.addCrashes(&a, b)
 		return a
 	}
 	n.crashes.Merge(three[:2])
-	if a := respond(wheelgauge.Beat{}, true); len(a.Crashes) > 0 {
+	if a := respond(wheelgauge.FleetHeartbeat{}, true); len(a.Crashes) > 0 {
 		t.Errorf("got crashes %v for a request that crashed two servers, want none", a.Crashes)
 	}
 	n.crashes.Merge(three)
-	partial := respond(wheelgauge.Beat{}, false)
-	complete := respond(wheelgauge.Beat{Store: 7, CrashesAt: partial.CrashesAt}, true)
-	unchanged := respond(wheelgauge.Beat{Store: 7, CrashesAt: complete.CrashesAt}, true)
-	otherStore := respond(wheelgauge.Beat{Store: 8, CrashesAt: complete.CrashesAt}, true)
-	for _, a := range []wheelgauge.BeatAnswer{partial, complete, otherStore} {
+	partial := respond(wheelgauge.FleetHeartbeat{}, false)
+	complete := respond(wheelgauge.FleetHeartbeat{StoreBoot: 7, CrashesVersion: partial.CrashesVersion}, true)
+	unchanged := respond(wheelgauge.FleetHeartbeat{StoreBoot: 7, CrashesVersion: complete.CrashesVersion}, true)
+	otherStore := respond(wheelgauge.FleetHeartbeat{StoreBoot: 8, CrashesVersion: complete.CrashesVersion}, true)
+	for _, a := range []wheelgauge.FleetHeartbeatResponse{partial, complete, otherStore} {
 		if !slices.Equal(a.Crashes, three) {
 			t.Errorf("got crashes %v, want %v", a.Crashes, three)
 		}
 	}
-	if unchanged.CrashesAt != complete.CrashesAt || unchanged.Crashes != nil {
+	if unchanged.CrashesVersion != complete.CrashesVersion || unchanged.Crashes != nil {
 		t.Errorf("unchanged crashes are sent again: %v", unchanged)
 	}
 }
 
 func TestQuarantineExpires(t *testing.T) {
-	n := &Node{o: Options{Clock: wheelgauge.SteadyClock{}}}
-	persisted := []wheelgauge.Crash{{Request: "p", Server: "a"}, {Request: "p", Server: "b"}, {Request: "q", Server: "a"}}
+	n := &Node{o: Options{Clock: wheelgauge.MonotonicClock{}}}
+	persisted := []wheelgauge.Crash{{Fingerprint: "p", Server: "a"}, {Fingerprint: "p", Server: "b"}, {Fingerprint: "q", Server: "a"}}
 	if expired := n.expiredQuarantines(persisted); len(expired) > 0 {
 		t.Errorf("expired at once: %v", expired)
 	}
--- a/confstore/entry.go
+++ b/confstore/entry.go
@@ -34,7 +34,7 @@
 // routes may not run.
 func (n *Node) EntryAddresses(name, region string) ([]string, time.Duration, error) {
 	hosts, _ := n.hosts.Hosts()
-	count := entryset.Wanted(n.hosts.Busiest(region))
+	count := entryset.HostCount(n.hosts.PeakInFlight(region))
 	if own := chooseAddresses(hosts, count, func(h wheelgauge.FleetHost) bool { return h.Region == region && !h.Leaving }); len(own) > 0 {
 		return own, n.addressTTL(region), nil
 	}
@@ -48,7 +48,7 @@
 		func(h wheelgauge.FleetHost) bool { return !h.Leaving },
 	}
 	for _, match := range fallbacks {
-		if found := chooseAddresses(hosts, entryset.Most, match); len(found) > 0 {
+		if found := chooseAddresses(hosts, entryset.MaxHosts, match); len(found) > 0 {
 			return found, unstableTTL, nil
 		}
 	}
@@ -60,7 +60,7 @@
 	switch {
 	case region != n.o.Region:
 		return remoteTTL
-	case n.now().Sub(n.hosts.Lost(region)) < stableAfter:
+	case n.now().Sub(n.hosts.LastLoss(region)) < stableAfter:
 		return unstableTTL
 	}
 	return stableTTL
@@ -81,7 +81,7 @@
 	}
 	out := make([]string, 0, min(limit, len(matching)))
 	for _, h := range entryset.Choose(matching, limit) {
-		out = append(out, h.Caller)
+		out = append(out, h.CallerAddress)
 	}
 	return out
 }
@@ -94,7 +94,7 @@
 	if set := n.routeSet.Load(); set != nil && set.Version == s.Version {
 		return set
 	}
-	set, err := n.o.Decode(s.Body)
+	set, err := n.o.DecodeRoutes(s.Body)
 	if err != nil {
 		return nil
 	}
@@ -109,8 +109,8 @@
 		return nil
 	}
 	var out []string
-	for _, region := range n.o.Halls {
-		if !slices.Contains(out, region) && routetable.RunsIn(set, name, region) {
+	for _, region := range n.o.RegionByHall {
+		if !slices.Contains(out, region) && routetable.HostAllowedIn(set, name, region) {
 			out = append(out, region)
 		}
 	}
--- a/confstore/entry_test.go
+++ b/confstore/entry_test.go
@@ -17,13 +17,13 @@
 func newEntryNode(t *testing.T, started time.Time, hosts ...wheelgauge.FleetHost) *Node {
 	t.Helper()
 	n := &Node{
-		o:       Options{Clock: wheelgauge.SteadyClock{}, Decode: native.Decode, Halls: map[string]string{"n1": "north", "s1": "south", "w1": "west"}},
+		o:       Options{Clock: wheelgauge.MonotonicClock{}, DecodeRoutes: native.Decode, RegionByHall: map[string]string{"n1": "north", "s1": "south", "w1": "west"}},
 		started: started, machine: configlog.New(), hosts: hosttable.New(time.Now),
 	}
 	putHomes(t, n, 1, "north")
 	for _, h := range hosts {
 		h.Ready = true
-		n.hosts.Take(wheelgauge.Beat{Host: h}, time.Hour)
+		n.hosts.RecordHeartbeat(wheelgauge.FleetHeartbeat{Host: h}, time.Hour)
 	}
 	return n
 }
@@ -31,7 +31,7 @@
 // putHomes applies a configuration with one route that has these home regions.
 func putHomes(t *testing.T, n *Node, version uint64, homes ...string) {
 	t.Helper()
-	body, err := json.Marshal(wheelgauge.RouteSet{Version: version, Routes: []wheelgauge.PathRoute{{Host: "h", Prefix: "/", Homes: homes}}})
+	body, err := json.Marshal(wheelgauge.RouteSet{Version: version, Routes: []wheelgauge.PathRoute{{Host: "h", Prefix: "/", HomeRegions: homes}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 
 func TestEntryAddresses(t *testing.T) {
 	host := func(name, region string, leaving bool) wheelgauge.FleetHost {
-		return wheelgauge.FleetHost{Name: name, Region: region, Caller: name, Leaving: leaving}
+		return wheelgauge.FleetHost{Name: name, Region: region, CallerAddress: name, Leaving: leaving}
 	}
 	longAgo := time.Now().Add(-time.Hour)
 	tests := []struct {
@@ -80,7 +80,7 @@
 	for _, hall := range []string{"s1", "s2"} {
 		for i := range 50 {
 			name := fmt.Sprintf("%s-%d", hall, i)
-			hosts = append(hosts, wheelgauge.FleetHost{Name: name, Region: "south", Hall: hall, Caller: name})
+			hosts = append(hosts, wheelgauge.FleetHost{Name: name, Region: "south", Hall: hall, CallerAddress: name})
 		}
 	}
 	got, _, err := newEntryNode(t, time.Now().Add(-time.Hour), hosts...).EntryAddresses("h", "south")
@@ -128,7 +128,7 @@
 func TestHomeRegionsFollowTheVersion(t *testing.T) {
 	n := newEntryNode(t, time.Now().Add(-time.Hour))
 	decoded := 0
-	n.o.Decode = func(body []byte) (*wheelgauge.RouteSet, error) {
+	n.o.DecodeRoutes = func(body []byte) (*wheelgauge.RouteSet, error) {
 		decoded++
 		return native.Decode(body)
 	}
--- a/confstore/heartbeat_bench_test.go
+++ b/confstore/heartbeat_bench_test.go
@@ -13,37 +13,37 @@
 )
 
 // newLoadedNode returns a store with hosts and busy servers of three regions, and the heartbeat of its first host.
-func newLoadedNode(hosts, servers int) (*Node, wheelgauge.Beat) {
+func newLoadedNode(hosts, servers int) (*Node, wheelgauge.FleetHeartbeat) {
 	regions := []string{"north", "south", "west"}
-	n := &Node{o: Options{Clock: wheelgauge.SteadyClock{}, Halls: map[string]string{}}, machine: configlog.New(), hosts: hosttable.New(time.Now), started: time.Now().Add(-time.Hour)}
+	n := &Node{o: Options{Clock: wheelgauge.MonotonicClock{}, RegionByHall: map[string]string{}}, machine: configlog.New(), hosts: hosttable.New(time.Now), started: time.Now().Add(-time.Hour)}
 	n.servers = serverlist.New(0, time.Now)
 	lists := map[string][]wheelgauge.Server{}
-	var uses []wheelgauge.ServerUse
+	var uses []wheelgauge.ServerUsage
 	for i := range servers {
 		region := regions[i%3]
-		n.o.Halls[region+"-hall"] = region
+		n.o.RegionByHall[region+"-hall"] = region
 		s := wheelgauge.Server{Instance: fmt.Sprintf("i-%010d", i), Service: "lm", Address: "10.1.64.30:8128", Hall: region + "-hall", Region: region, Slots: 128}
 		lists[region] = append(lists[region], s)
 		if region == "north" {
-			uses = append(uses, wheelgauge.ServerUse{Instance: s.Instance, Running: 12, Tokens: 4500})
+			uses = append(uses, wheelgauge.ServerUsage{Instance: s.Instance, Running: 12, PrefillTokens: 4500})
 		}
 	}
 	for region, list := range lists {
 		n.servers.Read(region, list, time.Now())
 	}
-	var first wheelgauge.Beat
+	var first wheelgauge.FleetHeartbeat
 	for i := range hosts {
-		b := wheelgauge.Beat{
+		b := wheelgauge.FleetHeartbeat{
 			Host: wheelgauge.FleetHost{
 				Name: fmt.Sprintf("frontend-north-hall-%d", i), Region: regions[i%3], Hall: regions[i%3] + "-hall",
-				Caller: "10.1.0.17:8144", Peer: "10.1.0.17:7660", Boot: 1 << 60, Ready: true,
+				CallerAddress: "10.1.0.17:8144", PeerAddress: "10.1.0.17:7660", Boot: 1 << 60, Ready: true,
 			},
-			Primary: true, IntervalMS: 500, Store: 1 << 60, Hosts: 20, Servers: 20,
-			Totals: []wheelgauge.ServiceUse{{Service: "lm", Running: 40, Tokens: 9000}},
+			Primary: true, IntervalMS: 500, StoreBoot: 1 << 60, HostsVersion: 20, ServersVersion: 20,
+			ServiceTotals: []wheelgauge.ServiceUsage{{Service: "lm", Running: 40, PrefillTokens: 9000}},
 		}
 		// A host has requests at only some of the region's servers.
-		b.Uses = uses[:min(len(uses), 12)]
-		n.hosts.Take(b, time.Hour)
+		b.ServerUsage = uses[:min(len(uses), 12)]
+		n.hosts.RecordHeartbeat(b, time.Hour)
 		if i == 0 {
 			first = b
 		}
@@ -60,7 +60,7 @@
 			n, beat := newLoadedNode(s.hosts, s.servers)
 			_, hostsVersion := n.hosts.Hosts()
 			_, serversVersion := n.servers.All()
-			beat.Store, beat.Hosts, beat.Servers = n.boot, 2*hostsVersion, serversVersion
+			beat.StoreBoot, beat.HostsVersion, beat.ServersVersion = n.boot, 2*hostsVersion, serversVersion
 			request, err := json.Marshal(beat)
 			if err != nil {
 				b.Fatal(err)
--- a/confstore/node.go
+++ b/confstore/node.go
@@ -64,28 +64,28 @@
 	Name   string
 	Region string
 	Hall   string
-	// Halls gives the region of each hall.
-	Halls map[string]string
-	Dir   string
-	// Peer is the address of the listener for other stores and hosts, Metrics that of the metrics listener.
-	Peer    string
-	Metrics string
+	// RegionByHall gives the region of each hall.
+	RegionByHall map[string]string
+	Dir          string
+	// PeerAddress is the address of the listener for other stores and hosts, MetricsAddress that of the metrics listener.
+	PeerAddress    string
+	MetricsAddress string
 	// Seeds are peer addresses of stores; this store may be among them.
 	Seeds []string
-	// First is set at the first start of the whole system: the seeds found the replica group.
-	First     bool
-	Tick      time.Duration
-	PollEvery time.Duration
+	// Bootstrap is set at the first start of the whole system: the seeds found the replica group.
+	Bootstrap    bool
+	Tick         time.Duration
+	PollInterval time.Duration
 	// CapWindow, CapOverage and CapSlack bound the use of caps; see capbank.Options.
 	CapWindow  time.Duration
 	CapOverage float64
 	CapSlack   float64
 	// Clock measures ages and leases. If nil, a clock is used that counts suspended time.
-	Clock     wheelgauge.Clock
-	Decode    wheelgauge.RouteDecoder
-	List      wheelgauge.ServerList
-	Listeners []Listener
-	Log       logr.Logger
+	Clock        wheelgauge.Clock
+	DecodeRoutes wheelgauge.RouteDecoder
+	ServerList   wheelgauge.ServerList
+	Listeners    []Listener
+	Log          logr.Logger
 }
 
 // Node is a running store.
@@ -107,13 +107,13 @@
 
 	servers *serverlist.Table
 	peers   peerStores
-	caps    *capbank.Bank
+	caps    *capbank.Allocator
 	crashes *quarantine.Table
 	// limits are the rate limits reported by servers; permits issues permits within them.
 	limits  *serverlimit.Table
 	permits *permitissuer.Issuer
 	// rolloutController decides the next step of each rollout; rolloutClock tracks elapsed times.
-	rolloutController *director.Director
+	rolloutController *director.Controller
 	rolloutClock      rolloutClock
 	// quarantinedSince is when this store first knew of each quarantined request; only
 	// syncCrashes uses it.
@@ -123,7 +123,7 @@
 	capsVersion uint64
 	// invalidEntries counts, by region, the entries of the server list that described no
 	// valid server at its last reading; only pollLists uses it.
-	invalidEntries map[string]wheelgauge.ForeignEntries
+	invalidEntries map[string]wheelgauge.InvalidEntries
 	// updateCalls are the running calls that send updates to other stores; none starts once
 	// the tasks have ended.
 	updateCalls sync.WaitGroup
@@ -133,41 +133,41 @@
 func Open(ctx context.Context, o Options) (*Node, error) {
 	ctx, stop := context.WithCancel(ctx)
 	if o.Clock == nil {
-		o.Clock = bootclock.OrSteady(o.Log)
+		o.Clock = bootclock.NewOrMonotonic(o.Log)
 	}
 	now := o.Clock.Now
 	n := &Node{
 		o: o, boot: uint64(time.Now().UnixNano()), started: now(), machine: configlog.New(), hosts: hosttable.New(now),
 		client: peerhttp.NewClient(nil, ""), meter: meter.New(), stop: stop,
-		invalidEntries: map[string]wheelgauge.ForeignEntries{},
+		invalidEntries: map[string]wheelgauge.InvalidEntries{},
 	}
-	n.client.Watch(n.meter.Call)
+	n.client.OnCall(n.meter.CountCall)
 	n.feed = statefeed.New(n.fleetState)
-	n.rolloutController = director.New(func() wheelgauge.VersionJudge { return sequential.New() }, now)
+	n.rolloutController = director.New(func() wheelgauge.VersionEvaluator { return sequential.New() }, now)
 	n.servers = serverlist.New(n.boot, now)
 	n.crashes = quarantine.New(now)
 	n.limits = serverlimit.New(now)
 	n.permits = permitissuer.New(n.limits, now)
-	n.caps = capbank.New(capbank.Options{Self: o.Peer, Boot: n.boot, Window: o.CapWindow, Overage: o.CapOverage, Slack: o.CapSlack, Now: now})
+	n.caps = capbank.New(capbank.Options{Self: o.PeerAddress, Boot: n.boot, Window: o.CapWindow, Overage: o.CapOverage, Slack: o.CapSlack, Now: now})
 	if err := n.open(ctx); err != nil {
 		stop()
 		return nil, err
 	}
 	n.runTask(func() error {
 		n.pollLists(ctx) // hosts that start together with this store wait for the first list
-		return every.Interval(ctx, o.PollEvery, n.pollLists)
+		return every.Run(ctx, o.PollInterval, n.pollLists)
 	})
-	n.runTask(func() error { return every.Interval(ctx, updateInterval, n.sendUpdates) })
-	n.runTask(func() error { return every.Interval(ctx, capsUpdateInterval, n.updateCaps) })
-	n.runTask(func() error { return every.Interval(ctx, refusalLogInterval, n.logRefusals) })
-	n.runTask(func() error { return every.Interval(ctx, crashSyncInterval, n.syncCrashes) })
-	n.runTask(func() error { return every.Interval(ctx, rolloutInterval, n.advanceRollouts) })
-	n.runTask(func() error { return every.Interval(ctx, limitPruneInterval, n.pruneLimits) })
+	n.runTask(func() error { return every.Run(ctx, updateInterval, n.sendUpdates) })
+	n.runTask(func() error { return every.Run(ctx, capsUpdateInterval, n.updateCaps) })
+	n.runTask(func() error { return every.Run(ctx, refusalLogInterval, n.logRefusals) })
+	n.runTask(func() error { return every.Run(ctx, crashSyncInterval, n.syncCrashes) })
+	n.runTask(func() error { return every.Run(ctx, rolloutInterval, n.advanceRollouts) })
+	n.runTask(func() error { return every.Run(ctx, limitPruneInterval, n.pruneLimits) })
 	watch := wake.New(o.Clock, o.Log)
 	n.runTask(func() error {
-		return every.Interval(ctx, suspendCheckInterval, func(context.Context) { watch.Look(suspendCheckInterval) })
+		return every.Run(ctx, suspendCheckInterval, func(context.Context) { watch.Check(suspendCheckInterval) })
 	})
-	o.Log.Info("Store serves.", "name", o.Name, "peer", o.Peer, "seeds", o.Seeds, "first", o.First)
+	o.Log.Info("Store serves.", "name", o.Name, "peer", o.PeerAddress, "seeds", o.Seeds, "first", o.Bootstrap)
 	return n, nil
 }
 
@@ -183,17 +183,17 @@
 func (n *Node) open(ctx context.Context) error {
 	o := n.o
 	ro := replica.Options{
-		Dir: filepath.Join(o.Dir, folderReplica), Name: o.Peer, Address: o.Peer, Peers: o.Seeds, Voters: voters,
+		Dir: filepath.Join(o.Dir, folderReplica), Name: o.PeerAddress, Address: o.PeerAddress, Peers: o.Seeds, Voters: voters,
 		Tick: o.Tick, Client: n.client, Log: o.Log.WithName("replica"),
 	}
-	if o.First {
-		ro.Founders = o.Seeds
+	if o.Bootstrap {
+		ro.InitialVoters = o.Seeds
 	}
 	var err error
 	if n.replica, err = replica.Open(context.WithoutCancel(ctx), ro, n.machine); err != nil {
 		return fmt.Errorf("open replica: %w", err)
 	}
-	if err := n.listen(o.Peer, n.servePeer, httpserve.Options{}); err != nil {
+	if err := n.listen(o.PeerAddress, n.servePeer, httpserve.Options{}); err != nil {
 		return err
 	}
 	for _, l := range o.Listeners {
@@ -201,10 +201,10 @@
 			return err
 		}
 	}
-	if o.Metrics == "" {
+	if o.MetricsAddress == "" {
 		return nil
 	}
-	return n.listen(o.Metrics, n.serveMetrics, httpserve.Options{})
+	return n.listen(o.MetricsAddress, n.serveMetrics, httpserve.Options{})
 }
 
 func (n *Node) listen(address string, handler fasthttp.RequestHandler, o httpserve.Options) error {
@@ -222,14 +222,14 @@
 		peerhttp.NotFound(ctx)
 		return
 	}
-	n.meter.Call(servedPrefix+string(ctx.Path()), len(ctx.Response.Body()), received)
+	n.meter.CountCall(servedPrefix+string(ctx.Path()), len(ctx.Response.Body()), received)
 }
 
 func (n *Node) serveMetrics(ctx *fasthttp.RequestCtx) {
 	n.meter.Gauge("generation", int64(n.machine.State().Generation))
-	n.meter.Gauge("log.bytes", n.replica.Status().Bytes)
+	n.meter.Gauge("log.bytes", n.replica.Status().LogBytes)
 	refusesWrites := int64(0)
-	if n.replica.Refuses() {
+	if n.replica.DiskUnwritable() {
 		refusesWrites = 1
 	}
 	n.meter.Gauge("disk.refuses", refusesWrites)
@@ -257,6 +257,6 @@
 	}
 	errs = append(errs, err, n.replica.Close())
 	n.client.CloseIdle()
-	n.o.Log.Info("Bytes by kind of call.", "bytes", n.meter.Bytes())
+	n.o.Log.Info("Bytes by kind of call.", "bytes", n.meter.BytesByKind())
 	return errors.Join(errs...)
 }
--- a/confstore/operations.go
+++ b/confstore/operations.go
@@ -18,7 +18,7 @@
 
 // PutRoutes implements wheelgauge.Operations.
 func (n *Node) PutRoutes(ctx context.Context, body []byte) (uint64, error) {
-	set, err := n.o.Decode(body)
+	set, err := n.o.DecodeRoutes(body)
 	if err == nil {
 		err = routetable.Check(set)
 	}
@@ -38,7 +38,7 @@
 
 // DrainHall implements wheelgauge.Operations.
 func (n *Node) DrainHall(ctx context.Context, hall string, drained bool) error {
-	if _, ok := n.o.Halls[hall]; !ok {
+	if _, ok := n.o.RegionByHall[hall]; !ok {
 		return wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound, "no hall of this name: "+hall)
 	}
 	op := configlog.OpResume
--- a/confstore/peerstores.go
+++ b/confstore/peerstores.go
@@ -63,7 +63,7 @@
 }
 
 // endCall marks the end of a call and records which server lists the store has now.
-func (m *peerStores) endCall(address string, sentAt time.Time, parts []wheelgauge.ServerPart, missing []string, err error) {
+func (m *peerStores) endCall(address string, sentAt time.Time, parts []wheelgauge.RegionServerList, missing []string, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.get(address)
--- a/confstore/permits.go
+++ b/confstore/permits.go
@@ -12,12 +12,12 @@
 // servePermits handles entry hosts' requests for permits to send to a rate-limited server;
 // false means another path.
 func (n *Node) servePermits(ctx *fasthttp.RequestCtx) bool {
-	return serve(ctx, permitclient.Path, func(request wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error) {
+	return serve(ctx, permitclient.Path, func(request wheelgauge.PermitRequest) (wheelgauge.PermitResponse, error) {
 		return n.requestPermit(request), nil
 	})
 }
 
-func (n *Node) requestPermit(request wheelgauge.PermitAsk) wheelgauge.PermitAnswer {
+func (n *Node) requestPermit(request wheelgauge.PermitRequest) wheelgauge.PermitResponse {
 	a := n.permits.Answer(request)
 	if a.Granted {
 		n.meter.Count("permits.granted")
@@ -33,10 +33,10 @@
 }
 
 // addLimits adds the limits that changed since the version that the host has.
-func (n *Node) addLimits(a *wheelgauge.BeatAnswer, b wheelgauge.Beat) {
-	since := b.LimitsAt
-	if b.Store != n.boot {
+func (n *Node) addLimits(a *wheelgauge.FleetHeartbeatResponse, b wheelgauge.FleetHeartbeat) {
+	since := b.LimitsVersion
+	if b.StoreBoot != n.boot {
 		since = 0 // the version counts from another start of a store
 	}
-	a.Limits, a.LimitsAt = n.limits.Since(since)
+	a.Limits, a.LimitsVersion = n.limits.Since(since)
 }
--- a/confstore/rollouts.go
+++ b/confstore/rollouts.go
@@ -73,7 +73,7 @@
 }
 
 // StartRollout implements wheelgauge.Operations.
-func (n *Node) StartRollout(ctx context.Context, order wheelgauge.RolloutOrder) error {
+func (n *Node) StartRollout(ctx context.Context, order wheelgauge.RolloutRequest) error {
 	err := n.startRollout(ctx, order)
 	cause := ""
 	if err != nil {
@@ -83,7 +83,7 @@
 	return err
 }
 
-func (n *Node) startRollout(ctx context.Context, order wheelgauge.RolloutOrder) error {
+func (n *Node) startRollout(ctx context.Context, order wheelgauge.RolloutRequest) error {
 	if err := checkRollout(order); err != nil {
 		return wheelgauge.NewError(wheelgauge.ReasonInvalid, wheelgauge.OutcomeNotRun, http.StatusBadRequest, err.Error())
 	}
@@ -96,23 +96,23 @@
 	if err := n.requireService(order.Service); err != nil {
 		return err
 	}
-	last, known := wheelgauge.RolloutOf(n.rollouts(), order.Service)
+	last, known := wheelgauge.FindRollout(n.rollouts(), order.Service)
 	retry := known && !last.Running() && last.ElapsedMS > resendWindow.Milliseconds()
-	res, err := n.proposeChange(ctx, configlog.Command{Op: configlog.OpRollout, Rollout: &wheelgauge.Rollout{RolloutOrder: order}, Retry: retry})
+	res, err := n.proposeChange(ctx, configlog.Command{Op: configlog.OpRollout, Rollout: &wheelgauge.Rollout{RolloutRequest: order}, Retry: retry})
 	if err != nil {
 		return err
 	}
 	switch {
 	case res.Applied || !res.Rollout.Running():
 		return nil // started, or the same rollout has already ended
-	case res.Rollout.RolloutOrder == order:
-		return wheelgauge.NewError(wheelgauge.ReasonUnderWay, wheelgauge.OutcomeNotRun, http.StatusConflict, "this rollout is already in progress")
+	case res.Rollout.RolloutRequest == order:
+		return wheelgauge.NewError(wheelgauge.ReasonInProgress, wheelgauge.OutcomeNotRun, http.StatusConflict, "this rollout is already in progress")
 	}
 	return wheelgauge.NewError(wheelgauge.ReasonInvalid, wheelgauge.OutcomeNotRun, http.StatusUnprocessableEntity,
 		"the service is already being rolled out to version "+res.Rollout.Version)
 }
 
-func checkRollout(o wheelgauge.RolloutOrder) error {
+func checkRollout(o wheelgauge.RolloutRequest) error {
 	switch {
 	case o.Service == "":
 		return errors.New("service: missing")
@@ -143,7 +143,7 @@
 	if err := n.replica.ReadBarrier(ctx); err != nil {
 		return wheelgauge.Rollout{}, fmt.Errorf("read rollout: %w", err)
 	}
-	r, ok := wheelgauge.RolloutOf(n.rollouts(), service)
+	r, ok := wheelgauge.FindRollout(n.rollouts(), service)
 	if !ok {
 		return r, wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound, "no rollout of service "+service)
 	}
@@ -180,11 +180,11 @@
 			n.advanceRollout(ctx, r)
 		}
 	}
-	n.rolloutController.Keep(running)
+	n.rolloutController.Retain(running)
 }
 
 func (n *Node) advanceRollout(ctx context.Context, r wheelgauge.Rollout) {
-	if !n.replica.Leading() || n.now().Sub(n.started) < warmUpPeriod {
+	if !n.replica.IsLeader() || n.now().Sub(n.started) < warmUpPeriod {
 		return // not all hosts may have sent a heartbeat yet
 	}
 	d := n.rolloutController.Decide(r, n.rolloutView(r))
@@ -208,14 +208,14 @@
 		return
 	}
 	n.meter.Count("rollouts." + string(d.Step))
-	n.o.Log.Info("Rollout goes on.", "service", r.Service, "target", r.Version, "number", r.Number, "step", d.Step, "cause", d.Cause, "score", d.Score, "proof", d.Proof, "detects", d.Detects,
-		"answers", d.Answers, "waiting", d.Waiting, "left_ms", r.Left().Milliseconds(), "taken", res.Applied)
+	n.o.Log.Info("Rollout goes on.", "service", r.Service, "target", r.Version, "number", r.Number, "step", d.Step, "cause", d.Cause, "score", d.Score, "proof", d.Proof, "detects", d.MinDetectableRate,
+		"answers", d.Answers, "waiting", d.IncompleteHosts, "left_ms", r.Left().Milliseconds(), "taken", res.Applied)
 }
 
 // saveElapsed commits the elapsed time of a rollout, so that a restart of all stores does not
 // start its time limit anew.
 func (n *Node) saveElapsed(ctx context.Context, r wheelgauge.Rollout) {
-	saved, _ := wheelgauge.RolloutOf(n.machine.State().Rollouts, r.Service)
+	saved, _ := wheelgauge.FindRollout(n.machine.State().Rollouts, r.Service)
 	if r.ElapsedMS-saved.ElapsedMS < ageSaveInterval.Milliseconds() {
 		return
 	}
@@ -227,16 +227,16 @@
 }
 
 // rolloutView returns what this store knows about the hosts and servers of a rollout.
-func (n *Node) rolloutView(r wheelgauge.Rollout) director.View {
-	v := director.View{Left: r.Left(), Live: map[string]uint64{}}
+func (n *Node) rolloutView(r wheelgauge.Rollout) director.FleetView {
+	v := director.FleetView{Remaining: r.Left(), LiveHosts: map[string]uint64{}}
 	hosts, _ := n.hosts.Hosts()
 	for _, h := range hosts {
-		v.Live[h.Name] = h.Boot
+		v.LiveHosts[h.Name] = h.Boot
 	}
 	list, _ := n.servers.All()
 	for _, s := range list {
 		if s.Service == r.Service && s.Version == r.Version && !s.Leaving {
-			v.Servers++
+			v.TargetServers++
 		}
 	}
 	return v
@@ -245,7 +245,7 @@
 // versionInUse reports whether the rollout of a server's service lets its version take
 // requests, so that regions are compared by the servers that they can use.
 func versionInUse(rollouts []wheelgauge.Rollout, s wheelgauge.Server) bool {
-	r, known := wheelgauge.RolloutOf(rollouts, s.Service)
+	r, known := wheelgauge.FindRollout(rollouts, s.Service)
 	completed := r.State == wheelgauge.RolloutCompleted
-	return !known || completed && r.Left() < -wheelgauge.RetiredAfter || (s.Version == r.Version) == completed
+	return !known || completed && r.Left() < -wheelgauge.OldVersionGracePeriod || (s.Version == r.Version) == completed
 }
--- a/confstore/servers.go
+++ b/confstore/servers.go
@@ -17,7 +17,7 @@
 // store reads each region's list and sends it to the others: when every store read every
 // list, five stores made 28 calls a second for 210 servers.
 func (n *Node) pollLists(ctx context.Context) {
-	pollCtx, cancel := context.WithTimeout(ctx, 2*n.o.PollEvery)
+	pollCtx, cancel := context.WithTimeout(ctx, 2*n.o.PollInterval)
 	defer cancel()
 	for _, region := range n.regions() {
 		if n.isReader(region) {
@@ -29,7 +29,7 @@
 // regions returns all regions that have halls.
 func (n *Node) regions() []string {
 	var out []string
-	for _, region := range n.o.Halls {
+	for _, region := range n.o.RegionByHall {
 		if !slices.Contains(out, region) {
 			out = append(out, region)
 		}
@@ -42,24 +42,24 @@
 // store of that region with the lowest address, or of all stores if the region has
 // none. Any store reads a list that it has not received for a while.
 func (n *Node) isReader(region string) bool {
-	maxAge := time.Duration(staleIntervals * float64(n.o.PollEvery))
+	maxAge := time.Duration(staleIntervals * float64(n.o.PollInterval))
 	if age, ok := n.servers.Age(region); !ok || age > maxAge {
 		return true
 	}
-	return n.peers.reader(n.o.Peer, n.o.Region, region, n.now().Add(-maxAge)) == n.o.Peer
+	return n.peers.reader(n.o.PeerAddress, n.o.Region, region, n.now().Add(-maxAge)) == n.o.PeerAddress
 }
 
 // readList reads the list of a region. If that fails, the last list stays in use.
 func (n *Node) readList(ctx context.Context, region string) {
 	var halls []string
-	for hall, hallRegion := range n.o.Halls {
+	for hall, hallRegion := range n.o.RegionByHall {
 		if hallRegion == region {
 			halls = append(halls, hall)
 		}
 	}
 	slices.Sort(halls)
 	readAt := n.now()
-	list, invalid, err := n.o.List.Servers(ctx, halls)
+	list, invalid, err := n.o.ServerList.Servers(ctx, halls)
 	if err != nil {
 		n.meter.Count("list.failed")
 		n.o.Log.Info("Server list could not be read; the last one stays in use.", "region", region, "cause", err.Error())
@@ -67,7 +67,7 @@
 	}
 	n.recordInvalidEntries(region, invalid)
 	// The provider of the list may ignore the halls asked for.
-	list = slices.DeleteFunc(list, func(s wheelgauge.Server) bool { return n.o.Halls[s.Hall] != region })
+	list = slices.DeleteFunc(list, func(s wheelgauge.Server) bool { return n.o.RegionByHall[s.Hall] != region })
 	for i := range list {
 		list[i].Region = region
 	}
@@ -77,15 +77,15 @@
 // addServers adds the server list if it changed, unless the host already has a newer
 // one. Servers of the host's region take its requests; those of other regions may have
 // its prompts cached. The age is that of the list of the host's region.
-func (n *Node) addServers(a *wheelgauge.BeatAnswer, b wheelgauge.Beat, sameStore bool) {
+func (n *Node) addServers(a *wheelgauge.FleetHeartbeatResponse, b wheelgauge.FleetHeartbeat, sameStore bool) {
 	list, version := n.servers.All()
-	current := sameStore && b.Servers == version
+	current := sameStore && b.ServersVersion == version
 	since, ok := n.servers.Age(b.Host.Region)
 	age := since.Milliseconds()
 	if !ok || !current && b.ListAgeMS > 0 && age > b.ListAgeMS {
 		return
 	}
-	a.ServersAt, a.ServersAgeMS = version, age
+	a.ServersVersion, a.ServersAgeMS = version, age
 	if !current {
 		a.Servers = list
 	}
@@ -93,34 +93,34 @@
 
 // regionUses returns the load and the capacity of each region: what hosts have in flight
 // there, and the servers in use.
-func (n *Node) regionUses() []wheelgauge.RegionUse {
-	sums := n.hosts.Regions()
+func (n *Node) regionUses() []wheelgauge.RegionUsage {
+	sums := n.hosts.RegionUsage()
 	state := n.fleetState()
 	list, _ := n.servers.All()
 	limited := n.limits.Limited()
 	for _, s := range list {
-		region := n.o.Halls[s.Hall]
-		if s.Leaving || slices.Contains(state.Drained, s.Hall) || !versionInUse(state.Rollouts, s) {
+		region := n.o.RegionByHall[s.Hall]
+		if s.Leaving || slices.Contains(state.DrainedHalls, s.Hall) || !versionInUse(state.Rollouts, s) {
 			continue
 		}
 		if sums[region] == nil {
-			sums[region] = map[string]wheelgauge.ServiceUse{}
+			sums[region] = map[string]wheelgauge.ServiceUsage{}
 		}
 		u := sums[region][s.Service]
 		u.Service = s.Service
-		if limited[s.Life()] {
+		if limited[s.InstanceKey()] {
 			// A rate-limited server has little capacity for other regions even when idle.
-			u.Limited++
+			u.LimitedServers++
 		} else {
 			u.Servers, u.Slots = u.Servers+1, u.Slots+s.Slots
 		}
 		sums[region][s.Service] = u
 	}
-	out := make([]wheelgauge.RegionUse, 0, len(sums))
+	out := make([]wheelgauge.RegionUsage, 0, len(sums))
 	for region, uses := range sums {
-		r := wheelgauge.RegionUse{Region: region}
+		r := wheelgauge.RegionUsage{Region: region}
 		for _, u := range uses {
-			r.Uses = append(r.Uses, u)
+			r.Services = append(r.Services, u)
 		}
 		out = append(out, r)
 	}
@@ -129,7 +129,7 @@
 
 // recordInvalidEntries sets the metrics of invalid list entries, by kind of fault, and logs
 // the counts if they differ from those of the last reading.
-func (n *Node) recordInvalidEntries(region string, invalid wheelgauge.ForeignEntries) {
+func (n *Node) recordInvalidEntries(region string, invalid wheelgauge.InvalidEntries) {
 	for fault, count := range invalid {
 		n.meter.Gauge("list.foreign."+region+"."+string(fault), int64(count))
 	}
--- a/confstore/servers_test.go
+++ b/confstore/servers_test.go
@@ -35,14 +35,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			n := &Node{o: Options{Clock: wheelgauge.SteadyClock{}}, boot: 7, servers: serverlist.New(7, time.Now)}
+			n := &Node{o: Options{Clock: wheelgauge.MonotonicClock{}}, boot: 7, servers: serverlist.New(7, time.Now)}
 			for i := range 3 {
 				n.servers.Read("r", []wheelgauge.Server{{Instance: fmt.Sprint("i", i)}}, time.Now().Add(-age))
 			}
-			var a wheelgauge.BeatAnswer
-			n.addServers(&a, wheelgauge.Beat{Host: wheelgauge.FleetHost{Region: "r"}, Primary: true, Store: 7, Servers: tt.held, ListAgeMS: tt.age}, true)
-			if (a.Servers != nil) != tt.listed || a.ServersAt != tt.at {
-				t.Errorf("got %v of version %d, want a list: %t, of version %d", a.Servers, a.ServersAt, tt.listed, tt.at)
+			var a wheelgauge.FleetHeartbeatResponse
+			n.addServers(&a, wheelgauge.FleetHeartbeat{Host: wheelgauge.FleetHost{Region: "r"}, Primary: true, StoreBoot: 7, ServersVersion: tt.held, ListAgeMS: tt.age}, true)
+			if (a.Servers != nil) != tt.listed || a.ServersVersion != tt.at {
+				t.Errorf("got %v of version %d, want a list: %t, of version %d", a.Servers, a.ServersVersion, tt.listed, tt.at)
 			}
 		})
 	}
@@ -54,7 +54,7 @@
 	reads map[string]int
 }
 
-func (l *countingList) Servers(_ context.Context, halls []string) ([]wheelgauge.Server, wheelgauge.ForeignEntries, error) {
+func (l *countingList) Servers(_ context.Context, halls []string) ([]wheelgauge.Server, wheelgauge.InvalidEntries, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []wheelgauge.Server
@@ -75,9 +75,9 @@
 func startStore(t *testing.T, address, region string, seeds []string, l wheelgauge.ServerList) *Node {
 	t.Helper()
 	n, err := Open(context.Background(), Options{
-		Name: address, Region: region, Halls: map[string]string{"n1": "north", "n2": "north", "s1": "south", "w1": "west"},
-		Dir: t.TempDir(), Peer: address, Seeds: seeds, First: true, Tick: 20 * time.Millisecond, PollEvery: 500 * time.Millisecond,
-		Decode: native.Decode, List: l, Log: logr.Discard(),
+		Name: address, Region: region, RegionByHall: map[string]string{"n1": "north", "n2": "north", "s1": "south", "w1": "west"},
+		Dir: t.TempDir(), PeerAddress: address, Seeds: seeds, Bootstrap: true, Tick: 20 * time.Millisecond, PollInterval: 500 * time.Millisecond,
+		DecodeRoutes: native.Decode, ServerList: l, Log: logr.Discard(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -164,10 +164,10 @@
 // A store that is cut off from the others reads everything itself.
 func TestStaleListIsPolledByAnyStore(t *testing.T) {
 	n := &Node{
-		o: Options{Clock: wheelgauge.SteadyClock{}, Peer: "b", Region: "north", PollEvery: time.Second}, servers: serverlist.New(1, time.Now), hosts: hosttable.New(time.Now),
+		o: Options{Clock: wheelgauge.MonotonicClock{}, PeerAddress: "b", Region: "north", PollInterval: time.Second}, servers: serverlist.New(1, time.Now), hosts: hosttable.New(time.Now),
 		caps: capbank.New(capbank.Options{Self: "b", Boot: 1, Now: time.Now}),
 	}
-	n.applyUpdate(wheelgauge.StoreNews{Store: 2, Address: "a", Region: "south"})
+	n.applyUpdate(wheelgauge.StoreUpdate{StoreBoot: 2, Address: "a", Region: "south"})
 	tests := []struct {
 		region string
 		age    time.Duration
--- a/confstore/state_test.go
+++ b/confstore/state_test.go
@@ -17,8 +17,8 @@
 // If quarantined requests came only with the next heartbeat response of its primary store, up
 // to 0.1 s after the state, the host would answer 502 and two more servers would crash.
 func TestFirstStatePartCarriesCrashes(t *testing.T) {
-	three := []wheelgauge.Crash{{Request: "p", Server: "a"}, {Request: "p", Server: "b"}, {Request: "p", Server: "c"}}
-	n := &Node{o: Options{Clock: wheelgauge.SteadyClock{}}, machine: configlog.New(), crashes: quarantine.New(time.Now)}
+	three := []wheelgauge.Crash{{Fingerprint: "p", Server: "a"}, {Fingerprint: "p", Server: "b"}, {Fingerprint: "p", Server: "c"}}
+	n := &Node{o: Options{Clock: wheelgauge.MonotonicClock{}}, machine: configlog.New(), crashes: quarantine.New(time.Now)}
 	n.feed = statefeed.New(n.machine.State)
 	for _, c := range []configlog.Command{
 		{Op: configlog.OpPut, Version: 1, Body: json.RawMessage(`{}`)}, {Op: configlog.OpCrashes, Crashes: three},
@@ -34,8 +34,8 @@
 		request wheelgauge.StateRequest
 		want    bool
 	}{
-		{"a host that holds nothing", wheelgauge.StateRequest{Most: 1 << 10}, true},
-		{"a host that holds a state", wheelgauge.StateRequest{Generation: 1, Version: 1, Most: 1 << 10}, false},
+		{"a host that holds nothing", wheelgauge.StateRequest{MaxBytes: 1 << 10}, true},
+		{"a host that holds a state", wheelgauge.StateRequest{Generation: 1, Version: 1, MaxBytes: 1 << 10}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/confstore/suspend_test.go
+++ b/confstore/suspend_test.go
@@ -20,8 +20,8 @@
 	clock := &fakeclock.Clock{}
 	address := "127.0.86.1:7803"
 	n, err := Open(context.Background(), Options{
-		Name: "s", Region: "north", Hall: "n", Halls: map[string]string{"n": "north"}, Dir: t.TempDir(), Peer: address,
-		Seeds: []string{address}, First: true, Tick: 20 * time.Millisecond, PollEvery: time.Hour, Decode: native.Decode, List: &countingList{reads: map[string]int{}}, Log: logr.Discard(), Clock: clock,
+		Name: "s", Region: "north", Hall: "n", RegionByHall: map[string]string{"n": "north"}, Dir: t.TempDir(), PeerAddress: address,
+		Seeds: []string{address}, Bootstrap: true, Tick: 20 * time.Millisecond, PollInterval: time.Hour, DecodeRoutes: native.Decode, ServerList: &countingList{reads: map[string]int{}}, Log: logr.Discard(), Clock: clock,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -32,9 +32,9 @@
 		}
 	})
 	eventually(t, "the list is read", func() bool { _, ok := n.servers.Age("north"); return ok })
-	n.hosts.Take(wheelgauge.Beat{Host: wheelgauge.FleetHost{Name: "g", Region: "north"}}, time.Second)
+	n.hosts.RecordHeartbeat(wheelgauge.FleetHeartbeat{Host: wheelgauge.FleetHost{Name: "g", Region: "north"}}, time.Second)
 	n.peers.recordUpdate("other", "north", n.now())
-	n.crashes.Merge([]wheelgauge.Crash{{Request: "p", Server: "a"}, {Request: "p", Server: "b"}, {Request: "p", Server: "c"}})
+	n.crashes.Merge([]wheelgauge.Crash{{Fingerprint: "p", Server: "a"}, {Fingerprint: "p", Server: "b"}, {Fingerprint: "p", Server: "c"}})
 	if hosts, _ := n.hosts.Hosts(); len(hosts) != 1 {
 		t.Fatalf("got %d hosts, want 1", len(hosts))
 	}
--- a/confstore/updates.go
+++ b/confstore/updates.go
@@ -27,7 +27,7 @@
 // sendUpdates sends an update to each other store.
 func (n *Node) sendUpdates(ctx context.Context) {
 	for _, address := range n.replica.MemberAddresses() {
-		if address == n.o.Peer {
+		if address == n.o.PeerAddress {
 			continue
 		}
 		known, ok := n.peers.beginCall(address)
@@ -47,72 +47,72 @@
 
 // buildUpdate returns the update for a store. Of the server lists that this store reads, it
 // includes those that were read since the last update to that store.
-func (n *Node) buildUpdate(address string, known peerStore) wheelgauge.StoreNews {
-	update := wheelgauge.StoreNews{Store: n.boot, Address: n.o.Peer, Region: n.o.Region}
+func (n *Node) buildUpdate(address string, known peerStore) wheelgauge.StoreUpdate {
+	update := wheelgauge.StoreUpdate{StoreBoot: n.boot, Address: n.o.PeerAddress, Region: n.o.Region}
 	for _, region := range n.regions() {
-		part, readAt, ok := n.servers.Part(region, known.acked[region])
+		part, readAt, ok := n.servers.Export(region, known.acked[region])
 		if ok && readAt.After(known.sentAt[region]) {
-			update.Parts = append(update.Parts, part)
+			update.ServerLists = append(update.ServerLists, part)
 		}
 	}
-	loads, uses := n.hosts.Own(n.o.Region)
+	loads, uses := n.hosts.LocalLoad(n.o.Region)
 	update.Loads = loads
 	if known.region == n.o.Region {
-		update.Uses = uses
+		update.ServerUsage = uses
 	}
-	update.Caps = n.caps.News(address)
+	update.Caps = n.caps.Report(address)
 	return update
 }
 
 // sendUpdate sends an update, and then the full lists that the other store reports as missing.
-func (n *Node) sendUpdate(ctx context.Context, address string, update wheelgauge.StoreNews) {
+func (n *Node) sendUpdate(ctx context.Context, address string, update wheelgauge.StoreUpdate) {
 	sentAt := n.now()
 	missing, err := n.postUpdate(ctx, address, update)
 	if err == nil && len(missing) > 0 {
-		update.Parts = n.fullLists(missing)
+		update.ServerLists = n.fullLists(missing)
 		missing, err = n.postUpdate(ctx, address, update)
 	}
 	if err != nil && !errors.Is(err, context.Canceled) {
 		n.meter.Count("news.failed")
 	}
-	n.peers.endCall(address, sentAt, update.Parts, missing, err)
+	n.peers.endCall(address, sentAt, update.ServerLists, missing, err)
 }
 
 // fullLists returns the server lists of regions, even where they are unchanged.
-func (n *Node) fullLists(regions []string) []wheelgauge.ServerPart {
-	var out []wheelgauge.ServerPart
+func (n *Node) fullLists(regions []string) []wheelgauge.RegionServerList {
+	var out []wheelgauge.RegionServerList
 	for _, region := range regions {
-		if part, _, ok := n.servers.Part(region, 0); ok {
+		if part, _, ok := n.servers.Export(region, 0); ok {
 			out = append(out, part)
 		}
 	}
 	return out
 }
 
-func (n *Node) postUpdate(ctx context.Context, address string, update wheelgauge.StoreNews) ([]string, error) {
-	var response wheelgauge.StoreNewsAnswer
+func (n *Node) postUpdate(ctx context.Context, address string, update wheelgauge.StoreUpdate) ([]string, error) {
+	var response wheelgauge.StoreUpdateResponse
 	sentAt := n.now()
 	err := n.client.Call(ctx, http.MethodPost, address, UpdatePath, update, &response)
-	if err == nil && response.Caps.Giver != 0 {
-		n.caps.Borrow(address, sentAt, response.Caps)
+	if err == nil && response.CapLease.Lessor != 0 {
+		n.caps.ApplyLease(address, sentAt, response.CapLease)
 	}
-	return response.Missing, err
+	return response.MissingRegions, err
 }
 
 // serveUpdate handles the update of another store; false means another path.
 func (n *Node) serveUpdate(ctx *fasthttp.RequestCtx) bool {
-	return serve(ctx, UpdatePath, func(update wheelgauge.StoreNews) (wheelgauge.StoreNewsAnswer, error) {
+	return serve(ctx, UpdatePath, func(update wheelgauge.StoreUpdate) (wheelgauge.StoreUpdateResponse, error) {
 		return n.applyUpdate(update), nil
 	})
 }
 
-func (n *Node) applyUpdate(update wheelgauge.StoreNews) wheelgauge.StoreNewsAnswer {
+func (n *Node) applyUpdate(update wheelgauge.StoreUpdate) wheelgauge.StoreUpdateResponse {
 	n.peers.recordUpdate(update.Address, update.Region, n.now())
-	n.hosts.Relay(update)
-	response := wheelgauge.StoreNewsAnswer{Caps: n.caps.Lend(update.Address, update.Store, update.Caps)}
-	for _, part := range update.Parts {
-		if !n.servers.Take(update.Store, part) && !slices.Contains(response.Missing, part.Region) {
-			response.Missing = append(response.Missing, part.Region)
+	n.hosts.RecordStore(update)
+	response := wheelgauge.StoreUpdateResponse{CapLease: n.caps.GrantLease(update.Address, update.StoreBoot, update.Caps)}
+	for _, part := range update.ServerLists {
+		if !n.servers.Receive(update.StoreBoot, part) && !slices.Contains(response.MissingRegions, part.Region) {
+			response.MissingRegions = append(response.MissingRegions, part.Region)
 		}
 	}
 	return response
--- a/confwatch/watcher.go
+++ b/confwatch/watcher.go
@@ -53,18 +53,18 @@
 	Host   string
 	Region string
 	// Peer addresses of the stores, the region's own first.
-	Stores []string
+	StoreAddresses []string
 	// Peer addresses of gateways of the region, whose configuration is queried at start.
-	Peers []string
+	PeerAddresses []string
 	// Directory of the cached configuration; empty on hosts without a disk.
-	Dir string
+	DataDir string
 	// How long a store may hold a watch without events, and how much later the watch times out.
-	Wait   time.Duration
-	Silent time.Duration
-	Client *peerhttp.Client
-	Log    logr.Logger
+	WatchWait    time.Duration
+	StoreTimeout time.Duration
+	Client       *peerhttp.Client
+	Log          logr.Logger
 	// Called when the watcher leaves a store; for metrics.
-	OnMove func()
+	OnStoreChange func()
 }
 
 // Watcher holds the current configuration and follows its changes.
@@ -148,16 +148,16 @@
 
 // sources returns the stores and peers that respond, the newest generation first.
 func (w *Watcher) sources(ctx context.Context) []source {
-	peers := slices.Clone(w.options.Peers)
+	peers := slices.Clone(w.options.PeerAddresses)
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	addresses := slices.Concat(w.options.Stores, peers[:min(len(peers), maxStartupPeers)])
+	addresses := slices.Concat(w.options.StoreAddresses, peers[:min(len(peers), maxStartupPeers)])
 	limit, cancel := context.WithTimeout(ctx, startupTimeout)
 	defer cancel()
 	out := make([]source, len(addresses))
 	var group sync.WaitGroup
 	for i, address := range addresses {
 		group.Go(func() {
-			var a wheelgauge.WatchAnswer
+			var a wheelgauge.WatchResponse
 			if err := w.options.Client.Call(limit, http.MethodGet, address, PathGeneration, nil, &a); err == nil {
 				out[i] = source{address, a.Generation}
 			}
@@ -169,25 +169,25 @@
 	return out
 }
 
-func (w *Watcher) list(ctx context.Context, address string) *wheelgauge.ListAnswer {
+func (w *Watcher) list(ctx context.Context, address string) *wheelgauge.ListResponse {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	var a wheelgauge.ListAnswer
+	var a wheelgauge.ListResponse
 	if err := w.options.Client.Call(ctx, http.MethodGet, address, PathList, nil, &a); err != nil {
 		return nil
 	}
 	return &a
 }
 
-func (w *Watcher) readCache() *wheelgauge.ListAnswer {
-	if w.options.Dir == "" {
+func (w *Watcher) readCache() *wheelgauge.ListResponse {
+	if w.options.DataDir == "" {
 		return nil
 	}
-	data, err := os.ReadFile(filepath.Join(w.options.Dir, cacheFile))
+	data, err := os.ReadFile(filepath.Join(w.options.DataDir, cacheFile))
 	if err != nil {
 		return nil
 	}
-	var a wheelgauge.ListAnswer
+	var a wheelgauge.ListResponse
 	if err := json.Unmarshal(data, &a); err != nil {
 		w.options.Log.Error(err, "Cached configuration cannot be decoded.")
 		return nil
@@ -207,18 +207,18 @@
 	if w.storeIndex != 0 && time.Since(w.firstStoreTime) > firstStoreRetry {
 		w.storeIndex, w.firstStoreTime = 0, time.Now()
 	}
-	return w.options.Stores[w.storeIndex%len(w.options.Stores)]
+	return w.options.StoreAddresses[w.storeIndex%len(w.options.StoreAddresses)]
 }
 
 func (w *Watcher) poll(ctx context.Context) error {
-	limit, cancel := context.WithTimeout(ctx, w.options.Wait+w.options.Silent)
+	limit, cancel := context.WithTimeout(ctx, w.options.WatchWait+w.options.StoreTimeout)
 	defer cancel()
 	address, from := w.chooseStore(), w.generation()
 	query := url.Values{
-		"from": {strconv.FormatUint(from, 10)}, "wait_ms": {strconv.FormatInt(w.options.Wait.Milliseconds(), 10)},
+		"from": {strconv.FormatUint(from, 10)}, "wait_ms": {strconv.FormatInt(w.options.WatchWait.Milliseconds(), 10)},
 		"host": {w.options.Host}, "region": {w.options.Region},
 	}
-	var a wheelgauge.WatchAnswer
+	var a wheelgauge.WatchResponse
 	err := w.options.Client.Call(limit, http.MethodGet, address, PathWatch+"?"+query.Encode(), nil, &a)
 	if fault, ok := errors.AsType[*wheelgauge.Error](err); ok && fault.Reason() == wheelgauge.ReasonTooOld {
 		return w.relist(limit, address)
@@ -230,7 +230,7 @@
 }
 
 func (w *Watcher) relist(ctx context.Context, address string) error {
-	var a wheelgauge.ListAnswer
+	var a wheelgauge.ListResponse
 	if err := w.options.Client.Call(ctx, http.MethodGet, address, PathList, nil, &a); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
@@ -239,7 +239,7 @@
 	return nil
 }
 
-func (w *Watcher) handleResponse(a wheelgauge.WatchAnswer, from uint64) error {
+func (w *Watcher) handleResponse(a wheelgauge.WatchResponse, from uint64) error {
 	if a.Generation < from {
 		w.staleResponses++
 		if w.staleResponses >= maxStaleResponses {
@@ -250,7 +250,7 @@
 	}
 	w.staleResponses = 0
 	w.applyEvents(a.Events, from)
-	if !a.InTouch {
+	if !a.Connected {
 		return errDisconnected
 	}
 	w.lastProgressMS.Store(time.Now().UnixMilli())
@@ -283,7 +283,7 @@
 }
 
 // replace applies a complete list, unless it is older than the current configuration.
-func (w *Watcher) replace(a wheelgauge.ListAnswer) {
+func (w *Watcher) replace(a wheelgauge.ListResponse) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if a.Generation < w.generation() {
@@ -302,28 +302,28 @@
 		list = append(list, r)
 	}
 	c := catalog.Build(generation, list)
-	for _, fault := range c.Faults() {
+	for _, fault := range c.DecodeErrors() {
 		w.options.Log.Error(fault, "Resource cannot be decoded.")
 	}
 	w.current.Store(c)
 	w.options.Log.Info("Configuration is applied.", "generation", generation, "resources", len(list))
-	if err := w.writeCache(wheelgauge.ListAnswer{Generation: generation, Resources: list}); err != nil {
+	if err := w.writeCache(wheelgauge.ListResponse{Generation: generation, Resources: list}); err != nil {
 		w.options.Log.Error(err, "Configuration cannot be cached on disk.")
 	}
 }
 
-func (w *Watcher) writeCache(a wheelgauge.ListAnswer) error {
-	if w.options.Dir == "" {
+func (w *Watcher) writeCache(a wheelgauge.ListResponse) error {
+	if w.options.DataDir == "" {
 		return nil
 	}
 	data, err := json.Marshal(a)
 	if err != nil {
 		return fmt.Errorf("encode configuration: %w", err)
 	}
-	if err := os.MkdirAll(w.options.Dir, 0o700); err != nil {
+	if err := os.MkdirAll(w.options.DataDir, 0o700); err != nil {
 		return fmt.Errorf("create data folder: %w", err)
 	}
-	path := filepath.Join(w.options.Dir, cacheFile)
+	path := filepath.Join(w.options.DataDir, cacheFile)
 	if err := writeSynced(path+".new", data); err != nil {
 		return err
 	}
@@ -344,24 +344,24 @@
 
 // switchStore changes to the next store after the current one failed, timed out or lagged.
 func (w *Watcher) switchStore(cause error) {
-	from := w.options.Stores[w.storeIndex%len(w.options.Stores)]
+	from := w.options.StoreAddresses[w.storeIndex%len(w.options.StoreAddresses)]
 	if w.storeIndex == 0 {
 		w.firstStoreTime = time.Now()
 	}
-	w.storeIndex = (w.storeIndex + 1) % len(w.options.Stores)
-	if len(w.options.Stores) > 1 {
-		w.options.Log.Info("Watch moves to another store.", "from", from, "to", w.options.Stores[w.storeIndex], "cause", cause.Error())
+	w.storeIndex = (w.storeIndex + 1) % len(w.options.StoreAddresses)
+	if len(w.options.StoreAddresses) > 1 {
+		w.options.Log.Info("Watch moves to another store.", "from", from, "to", w.options.StoreAddresses[w.storeIndex], "cause", cause.Error())
 	}
-	if w.options.OnMove != nil {
-		w.options.OnMove()
+	if w.options.OnStoreChange != nil {
+		w.options.OnStoreChange()
 	}
 }
 
 // List returns the current configuration, for gateways that start.
-func (w *Watcher) List() wheelgauge.ListAnswer {
+func (w *Watcher) List() wheelgauge.ListResponse {
 	c := w.current.Load()
 	if c == nil {
-		return wheelgauge.ListAnswer{}
+		return wheelgauge.ListResponse{}
 	}
-	return wheelgauge.ListAnswer{Generation: c.Generation(), Resources: c.Resources()}
+	return wheelgauge.ListResponse{Generation: c.Generation(), Resources: c.Resources()}
 }
--- a/contract.go
+++ b/contract.go
@@ -10,49 +10,49 @@
 type Identity struct {
 	Client string `json:"client"`
 	Class  string `json:"class"`
-	// Home is the region that stores the client's claims.
-	Home string `json:"home,omitempty"`
+	// HomeRegion is the region that stores the client's claims.
+	HomeRegion string `json:"home,omitempty"`
 }
 
-// Directory looks up clients by credential.
-type Directory interface {
+// ClientDirectory looks up clients by credential.
+type ClientDirectory interface {
 	// Lookup returns an *Error with ReasonUnauthorized for an unknown credential.
 	Lookup(ctx context.Context, credential string) (Identity, error)
 }
 
-// HostHint is an entry of the platform's host list, which may be out of date.
-type HostHint struct {
+// HostListEntry is an entry of the platform's host list, which may be out of date.
+type HostListEntry struct {
 	Host    string `json:"host"`
 	Leaving bool   `json:"leaving"`
 }
 
 // HostList reads the platform's list of live and leaving hosts.
 type HostList interface {
-	Hosts(ctx context.Context) ([]HostHint, error)
+	Hosts(ctx context.Context) ([]HostListEntry, error)
 }
 
 // Call is one request to be sent to a backend server.
 type Call struct {
-	ID          string
-	Method      string
-	Path        string
-	ContentType string
-	Body        []byte
-	Priority    int
-	Key         string
-	Deadline    time.Time
-	// Skip is the number of tokens already relayed to the caller when a stream is resumed.
-	Skip int
-	// Extra holds additional headers, for the peer listener only.
-	Extra [][2]string
-	// Heard, if not nil, is called with the status and headers of the response as soon as
+	ID             string
+	Method         string
+	Path           string
+	ContentType    string
+	Body           []byte
+	Priority       int
+	IdempotencyKey string
+	Deadline       time.Time
+	// SkipTokens is the number of tokens already relayed to the caller when a stream is resumed.
+	SkipTokens int
+	// ExtraHeaders holds additional headers, for the peer listener only.
+	ExtraHeaders [][2]string
+	// OnResponse, if not nil, is called with the status and headers of the response as soon as
 	// they are read, also for a response that is turned into an error. A result of values is
 	// valid until the next call of values.
-	Heard func(status int, values func(name string) [][]byte)
+	OnResponse func(status int, values func(name string) [][]byte)
 }
 
-// Answer is a backend server's response whose body has not been read yet.
-type Answer struct {
+// Response is a backend server's response whose body has not been read yet.
+type Response struct {
 	Status      int
 	ContentType string
 	// Header must not be called once Body is closed.
@@ -67,7 +67,7 @@
 type BackendServer interface {
 	// Send dispatches a call once. Its *Error has OutcomeNotRun only when no
 	// byte of the call can have been sent, or when the server itself reports it.
-	Send(ctx context.Context, address string, call *Call) (*Answer, error)
+	Send(ctx context.Context, address string, call *Call) (*Response, error)
 	// Cancel cancels a call whose caller no longer waits. It is idempotent.
 	Cancel(ctx context.Context, address, id string) error
 	// Load requests the server's own load report, which lags behind its actual load.
@@ -90,9 +90,9 @@
 	Version string `json:"version"`
 }
 
-// OrderTaker is a backend server that accepts orders. An order to load a model returns
+// ModelEngine is a backend server that accepts orders. An order to load a model returns
 // once it is accepted; the model is ready when the load report lists it.
-type OrderTaker interface {
+type ModelEngine interface {
 	BackendServer
 	Order(ctx context.Context, address string, o Order) error
 }
--- a/crash.go
+++ b/crash.go
@@ -7,10 +7,10 @@
 // Crash records that a backend server terminated while a request was in flight on it. The
 // request may have caused the crash, or it may have run beside the one that did.
 type Crash struct {
-	Request Fingerprint `json:"q"`
-	// Size is the length of the request body in bytes. Requests of another size can be told
+	Fingerprint Fingerprint `json:"q"`
+	// BodyBytes is the length of the request body in bytes. Requests of another size can be told
 	// apart without computing their fingerprints.
-	Size int `json:"z,omitempty"`
+	BodyBytes int `json:"z,omitempty"`
 	// Server identifies one start of the server.
 	Server string `json:"i"`
 	// Cleared is set once the request ran on a server that did not crash, which shows that
--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -24,27 +24,27 @@
 	Decode     wheelgauge.RouteDecoder
 	ServerList func(address string) wheelgauge.ServerList
 	// Handlers for operators, and for callers that ask which hosts to use.
-	Control func(o wheelgauge.Operations) fasthttp.RequestHandler
-	Entry   func(o wheelgauge.Operations) fasthttp.RequestHandler
-	// BodyBytes bounds the body of an operator's request.
-	BodyBytes int
+	OperatorHandler func(o wheelgauge.Operations) fasthttp.RequestHandler
+	EntryHandler    func(o wheelgauge.Operations) fasthttp.RequestHandler
+	// MaxBodyBytes bounds the body of an operator's request.
+	MaxBodyBytes int
 }
 
 // Names lists the dialects.
 func Names() []string { return []string{Native, Platform} }
 
-// Named returns a dialect by name. Any name other than Platform selects the native one.
-func Named(name string) Dialect {
+// ByName returns a dialect by name. Any name other than Platform selects the native one.
+func ByName(name string) Dialect {
 	if name == Platform {
 		return Dialect{
-			Headers: platform.Headers(), Decode: platform.Decode, Control: platform.OperatorHandler, Entry: platform.EntryHandler,
-			ServerList: func(address string) wheelgauge.ServerList { return platform.NewServerList(address) },
-			BodyBytes:  platform.MaxBodyBytes,
+			Headers: platform.Headers(), Decode: platform.Decode, OperatorHandler: platform.OperatorHandler, EntryHandler: platform.EntryHandler,
+			ServerList:   func(address string) wheelgauge.ServerList { return platform.NewServerList(address) },
+			MaxBodyBytes: platform.MaxBodyBytes,
 		}
 	}
 	return Dialect{
-		Headers: native.Headers(), Decode: native.Decode, Control: native.Control, Entry: native.EntryHandler,
-		ServerList: func(address string) wheelgauge.ServerList { return native.NewServerList(address) },
-		BodyBytes:  native.MaxBodyBytes,
+		Headers: native.Headers(), Decode: native.Decode, OperatorHandler: native.OperatorHandler, EntryHandler: native.EntryHandler,
+		ServerList:   func(address string) wheelgauge.ServerList { return native.NewServerList(address) },
+		MaxBodyBytes: native.MaxBodyBytes,
 	}
 }
--- a/entrylist/entrylist.go
+++ b/entrylist/entrylist.go
@@ -26,11 +26,11 @@
 
 // List ranks hosts for a client: first those of its home region, if that is allowed, else
 // of the region near, then those of the other allowed regions by link delay.
-func List(c *catalog.Catalog, id wheelgauge.Identity, near string, usable Usable) []wheelgauge.Entry {
-	var out []wheelgauge.Entry
+func List(c *catalog.Catalog, id wheelgauge.Identity, near string, usable Usable) []wheelgauge.EntryHost {
+	var out []wheelgauge.EntryHost
 	for _, region := range regionOrder(c, id, near) {
 		for _, h := range rankHosts(c, id, region, usable) {
-			out = append(out, wheelgauge.Entry{Host: h.Name, Region: region, Address: h.Caller})
+			out = append(out, wheelgauge.EntryHost{Host: h.Name, Region: region, Address: h.CallerAddress})
 		}
 	}
 	return out
@@ -39,10 +39,10 @@
 func regionOrder(c *catalog.Catalog, id wheelgauge.Identity, near string) []string {
 	regions := c.AllowedRegions(id)
 	first := near
-	if slices.Contains(regions, id.Home) {
-		first = id.Home
+	if slices.Contains(regions, id.HomeRegion) {
+		first = id.HomeRegion
 	}
-	links := c.Region(first).Links
+	links := c.Region(first).LinkDelaysMS
 	slices.SortStableFunc(regions, func(a, b string) int {
 		switch {
 		case a == first:
@@ -76,8 +76,8 @@
 	return hosts[:min(hostsPerRegion, len(hosts))]
 }
 
-// Share returns the fraction of a client's limit that applies on one host.
-func Share(c *catalog.Catalog, id wheelgauge.Identity, region, host string, usable Usable) float64 {
+// LimitShare returns the fraction of a client's limit that applies on one host.
+func LimitShare(c *catalog.Catalog, id wheelgauge.Identity, region, host string, usable Usable) float64 {
 	ranked := rankHosts(c, id, region, usable)
 	i := slices.IndexFunc(ranked, func(h *catalog.Host) bool { return h.Name == host })
 	if i < 0 {
--- a/entrylist/entrylist_test.go
+++ b/entrylist/entrylist_test.go
@@ -44,9 +44,9 @@
 		rules   []string
 		regions []string
 	}{
-		{"home first", wheelgauge.Identity{Client: "c", Home: "lahore"}, all, nil, []string{"lahore", "lahore", "lahore", "karachi", "karachi", "karachi"}},
+		{"home first", wheelgauge.Identity{Client: "c", HomeRegion: "lahore"}, all, nil, []string{"lahore", "lahore", "lahore", "karachi", "karachi", "karachi"}},
 		{"near first without a home", wheelgauge.Identity{Client: "c"}, all, nil, []string{"karachi", "karachi", "karachi", "lahore", "lahore", "lahore"}},
-		{"only where allowed", wheelgauge.Identity{Client: "c", Home: "karachi"}, all, []string{`{"client":"c","regions":["lahore"]}`}, []string{"lahore", "lahore", "lahore"}},
+		{"only where allowed", wheelgauge.Identity{Client: "c", HomeRegion: "karachi"}, all, []string{`{"client":"c","regions":["lahore"]}`}, []string{"lahore", "lahore", "lahore"}},
 		{"dead hosts are left out", wheelgauge.Identity{Client: "c"}, only("karachi-1", "lahore-0"), nil, []string{"karachi", "lahore"}},
 		{"no host is left", wheelgauge.Identity{Client: "c"}, only(), nil, nil},
 	}
@@ -102,7 +102,7 @@
 		c := build(hosts)
 		sum := 0.0
 		for i := range hosts {
-			sum += Share(c, wheelgauge.Identity{Client: "c"}, "karachi", fmt.Sprint("karachi-", i), all)
+			sum += LimitShare(c, wheelgauge.Identity{Client: "c"}, "karachi", fmt.Sprint("karachi-", i), all)
 		}
 		if sum < 0.99 || sum > 1.3 {
 			t.Errorf("%d hosts together give a client %.2f of its limit", hosts, sum)
--- a/entrynode/conns_test.go
+++ b/entrynode/conns_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, tt := range tests {
 		callers, peers := connLimit(tt.memoryMB<<20, maxCallerConns), connLimit(tt.memoryMB<<20, maxPeerConns)
-		if connMemory := int64(callers+peers)*wheelgauge.SlowConnBytes + otherMemory; tt.memoryMB > 0 && connMemory > tt.memoryMB<<20 {
+		if connMemory := int64(callers+peers)*wheelgauge.MaxSlowConnBytes + otherMemory; tt.memoryMB > 0 && connMemory > tt.memoryMB<<20 {
 			t.Errorf("%d MB: %d and %d connections may use %d MB", tt.memoryMB, callers, peers, connMemory>>20)
 		}
 		if callers != tt.callers || peers != tt.peers {
--- a/entrynode/fleet_test.go
+++ b/entrynode/fleet_test.go
@@ -185,7 +185,7 @@
 }
 
 // Servers implements wheelgauge.ServerList with the running engines.
-func (e *engines) Servers(_ context.Context, halls []string) ([]wheelgauge.Server, wheelgauge.ForeignEntries, error) {
+func (e *engines) Servers(_ context.Context, halls []string) ([]wheelgauge.Server, wheelgauge.InvalidEntries, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(halls) > 0 && !slices.Contains(halls, e.hall) {
@@ -217,8 +217,8 @@
 func (f *fleet) openStore(t *testing.T, n int, first bool) {
 	t.Helper()
 	s, err := confstore.Open(context.Background(), confstore.Options{
-		Name: fmt.Sprint("store-", n), Region: regionOf[f.halls[n]], Hall: f.halls[n], Halls: regionOf, Dir: f.dirs[n], Peer: f.storeAddresses()[n],
-		Seeds: f.storeAddresses(), First: first, Tick: 20 * time.Millisecond, PollEvery: 50 * time.Millisecond, Decode: native.Decode, List: f.engines, Clock: &f.storeClocks[n], Log: logr.Discard(),
+		Name: fmt.Sprint("store-", n), Region: regionOf[f.halls[n]], Hall: f.halls[n], RegionByHall: regionOf, Dir: f.dirs[n], PeerAddress: f.storeAddresses()[n],
+		Seeds: f.storeAddresses(), Bootstrap: first, Tick: 20 * time.Millisecond, PollInterval: 50 * time.Millisecond, DecodeRoutes: native.Decode, ServerList: f.engines, Clock: &f.storeClocks[n], Log: logr.Discard(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -229,9 +229,9 @@
 func (f *fleet) openHost(t *testing.T, n int) {
 	t.Helper()
 	h, err := Open(context.Background(), Options{
-		Name: fmt.Sprint("g-", n), Region: regionOf[f.halls[n]], Hall: f.halls[n], Caller: f.callerAddress(n), Peer: fmt.Sprintf("127.0.84.%d:7802", 11+n), Seeds: f.storeAddresses(),
-		Interval: 100 * time.Millisecond, FarInterval: 200 * time.Millisecond, Grace: time.Second,
-		Budget: retrybudget.Options{Ratio: 0.2, Slack: 200, Window: testTimeout}, RolloutShare: rolloutShare, RolloutSlack: rolloutSlack, Decode: native.Decode, Names: native.Headers(), Clock: &f.hostClocks[n], Log: logr.Discard(),
+		Name: fmt.Sprint("g-", n), Region: regionOf[f.halls[n]], Hall: f.halls[n], CallerAddress: f.callerAddress(n), PeerAddress: fmt.Sprintf("127.0.84.%d:7802", 11+n), Seeds: f.storeAddresses(),
+		HeartbeatInterval: 100 * time.Millisecond, FarHeartbeatInterval: 200 * time.Millisecond, GracePeriod: time.Second,
+		Budget: retrybudget.Options{Ratio: 0.2, Slack: 200, Window: testTimeout}, RolloutShare: rolloutShare, RolloutSlack: rolloutSlack, DecodeRoutes: native.Decode, Names: native.Headers(), Clock: &f.hostClocks[n], Log: logr.Discard(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -288,13 +288,13 @@
 func crashRoutes(t *testing.T) []byte {
 	t.Helper()
 	body, err := json.Marshal(wheelgauge.RouteSet{
-		Version: 1, Services: []wheelgauge.Service{{Name: "s", Conns: 600}},
+		Version: 1, Services: []wheelgauge.Service{{Name: "s", MaxConns: 600}},
 		Routes: []wheelgauge.PathRoute{{
-			Name: "a", Host: "h", Prefix: "/a/", Kind: wheelgauge.RouteRepeatable, Timeout: testTimeout, Objective: testTimeout, Attempts: 2,
-			Shares: []wheelgauge.Share{{Service: "s", Weight: 1}},
+			Name: "a", Host: "h", Prefix: "/a/", Kind: wheelgauge.RouteRepeatable, Timeout: testTimeout, LatencyObjective: testTimeout, MaxAttempts: 2,
+			Shares: []wheelgauge.TrafficShare{{Service: "s", Weight: 1}},
 		}, {
-			Name: "b", Host: "h", Prefix: "/b/", Kind: wheelgauge.RouteRepeatable, Timeout: testTimeout, Objective: testTimeout, Attempts: 2,
-			Shares: []wheelgauge.Share{{Service: "s", Weight: 1}},
+			Name: "b", Host: "h", Prefix: "/b/", Kind: wheelgauge.RouteRepeatable, Timeout: testTimeout, LatencyObjective: testTimeout, MaxAttempts: 2,
+			Shares: []wheelgauge.TrafficShare{{Service: "s", Weight: 1}},
 		}},
 	})
 	if err != nil {
