--- a/entrynode/node.go
+++ b/entrynode/node.go
@@ -78,21 +78,21 @@
 	Region string
 	Hall   string
 	// Listen addresses; those for readiness and metrics may be empty.
-	Caller  string
-	Ready   string
-	Peer    string
-	Metrics string
-	Seeds   []string
+	CallerAddress  string
+	ReadyAddress   string
+	PeerAddress    string
+	MetricsAddress string
+	Seeds          []string
 	// Intervals of heartbeats to the region's stores and to those of other regions.
-	Interval    time.Duration
-	FarInterval time.Duration
-	Grace       time.Duration
+	HeartbeatInterval    time.Duration
+	FarHeartbeatInterval time.Duration
+	GracePeriod          time.Duration
 	// How long before the end of the grace period the last requests are accepted;
 	// lastRequestMargin if zero.
 	LastRequestMargin time.Duration
 	Budget            retrybudget.Options
-	// Memory limit of the process in bytes; 0 means none.
-	Memory int64
+	// MemoryLimit limit of the process in bytes; 0 means none.
+	MemoryLimit int64
 	// Before a rollout's time limit, all hosts together may send this share of the service's
 	// requests to the target version, plus a fixed number of requests.
 	RolloutShare float64
@@ -100,10 +100,10 @@
 	// Client calls stores; nil creates one.
 	Client *peerhttp.Client
 	// Clock for ages, leases and deadlines; nil means one that counts suspended time.
-	Clock  wheelgauge.Clock
-	Decode wheelgauge.RouteDecoder
-	Names  wheelgauge.HeaderNames
-	Log    logr.Logger
+	Clock        wheelgauge.Clock
+	DecodeRoutes wheelgauge.RouteDecoder
+	Names        wheelgauge.HeaderNames
+	Log          logr.Logger
 }
 
 // Node is a running gateway.
@@ -114,13 +114,13 @@
 	servers *serverset.Table
 	peers   *peerset.Table
 	budget  *retrybudget.Budget
-	caps    *cappurse.Purse
+	caps    *cappurse.Client
 	// quarantine rejects requests that crash servers.
 	quarantine *quarantine.Table
 	// limits are the rate limits that servers have reported.
 	limits       *serverlimit.Table
 	permits      *permitclient.Client
-	versions     *ledger.Ledger
+	versions     *ledger.Selector
 	tally        *tally.Tally
 	meter        *meter.Meter
 	heartbeats   atomic.Pointer[beat.Client]
@@ -144,22 +144,22 @@
 	ctx, stop := context.WithCancel(ctx)
 	n := &Node{options: o, boot: uint64(time.Now().UnixNano()), meter: meter.New(), cancel: stop, pruneDone: make(chan error, 1), warmDone: make(chan error, 1), client: o.Client}
 	if n.client == nil {
-		n.client = peerhttp.NewClient(peerhttp.NewDialer("", nil).Wrap(n.countBytes), "")
-		n.client.Watch(n.meter.Call)
+		n.client = peerhttp.NewClient(peerhttp.NewDialer("", nil).WrapConns(n.countBytes), "")
+		n.client.OnCall(n.meter.CountCall)
 	}
 	if n.options.Clock == nil {
-		n.options.Clock = bootclock.OrSteady(o.Log)
+		n.options.Clock = bootclock.NewOrMonotonic(o.Log)
 	}
 	clock := n.options.Clock
 	n.servers = serverset.New(serverset.Place{Host: o.Name, Hall: o.Hall}, n.service, clock.Now)
-	n.peers = peerset.New(o.Region, o.FarInterval+crossRegionResponseTime, clock.Now)
+	n.peers = peerset.New(o.Region, o.FarHeartbeatInterval+crossRegionResponseTime, clock.Now)
 	n.budget = retrybudget.New(o.Budget, clock.Now)
-	n.caps = cappurse.New(cappurse.Options{Host: o.Name, Boot: n.boot, Stores: n.stores, Ask: n.requestCaps, Now: clock.Now})
+	n.caps = cappurse.New(cappurse.Options{Host: o.Name, Boot: n.boot, Stores: n.stores, Draw: n.requestCaps, Now: clock.Now})
 	n.quarantine = quarantine.New(clock.Now)
 	n.limits = serverlimit.New(clock.Now)
 	n.servers.SetLimits(n.limits.Rate)
 	n.permits = permitclient.New(permitclient.Options{
-		Host: o.Name, Limits: n.limits, Stores: n.regionStores, Sharers: n.servers.Sharers, Ask: n.requestPermit, Now: clock.Now,
+		Host: o.Name, Limits: n.limits, Stores: n.regionStores, Sharers: n.servers.LowRateHosts, Request: n.requestPermit, Now: clock.Now,
 	})
 	n.versions = ledger.New(ledger.Options{Host: o.Name, Share: o.RolloutShare, Slack: o.RolloutSlack, Now: clock.Now})
 	n.tally = tally.New()
@@ -173,23 +173,23 @@
 		return nil, err
 	}
 	n.heartbeats.Store(beat.Start(beat.Options{
-		Self: n.self, Report: n.servers.Uses, Crashes: n.quarantine, Limits: n.limits, Rollouts: rolloutReports{n.versions, n.tally}, Seeds: o.Seeds, Interval: o.Interval, FarInterval: o.FarInterval,
-		Clock: clock, Client: n.client, News: n, Log: o.Log.WithName("beat"),
+		Self: n.self, Usage: n.servers.Uses, Crashes: n.quarantine, Limits: n.limits, Rollouts: rolloutReports{n.versions, n.tally}, Seeds: o.Seeds, Interval: o.HeartbeatInterval, FarInterval: o.FarHeartbeatInterval,
+		Clock: clock, Client: n.client, Receiver: n, Log: o.Log.WithName("beat"),
 	}))
-	go func() { n.pruneDone <- every.Interval(ctx, pruneInterval, n.prune) }()
+	go func() { n.pruneDone <- every.Run(ctx, pruneInterval, n.prune) }()
 	watcher := wake.New(clock, o.Log)
 	go func() {
-		n.warmDone <- every.Interval(ctx, warmInterval, func(ctx context.Context) {
+		n.warmDone <- every.Run(ctx, warmInterval, func(ctx context.Context) {
 			n.checkSuspension(watcher)
-			n.peers.Warm(ctx)
+			n.peers.OpenIdle(ctx)
 		})
 	}()
-	o.Log.Info("Gateway serves.", "name", o.Name, "callers", o.Caller, "peer", o.Peer, "seeds", o.Seeds)
+	o.Log.Info("Gateway serves.", "name", o.Name, "callers", o.CallerAddress, "peer", o.PeerAddress, "seeds", o.Seeds)
 	return n, nil
 }
 
 // stores returns the stores that may be called; none before the heartbeat client has started.
-func (n *Node) stores() []wheelgauge.StoreAt {
+func (n *Node) stores() []wheelgauge.StoreEndpoint {
 	if beats := n.heartbeats.Load(); beats != nil {
 		return beats.Stores()
 	}
@@ -197,7 +197,7 @@
 }
 
 // requestCaps requests units of workspaces' caps from a store.
-func (n *Node) requestCaps(ctx context.Context, address string, req wheelgauge.CapAsk) (resp wheelgauge.CapAnswer, err error) {
+func (n *Node) requestCaps(ctx context.Context, address string, req wheelgauge.CapUnitsRequest) (resp wheelgauge.CapUnitsResponse, err error) {
 	err = n.client.Call(ctx, http.MethodPost, address, cappurse.Path, req, &resp)
 	return resp, err
 }
@@ -211,7 +211,7 @@
 }
 
 // requestPermit requests from a store the permit to send a request to a server with a limit.
-func (n *Node) requestPermit(ctx context.Context, address string, req wheelgauge.PermitAsk) (resp wheelgauge.PermitAnswer, err error) {
+func (n *Node) requestPermit(ctx context.Context, address string, req wheelgauge.PermitRequest) (resp wheelgauge.PermitResponse, err error) {
 	err = n.client.Call(ctx, http.MethodPost, address, permitclient.Path, req, &resp)
 	return resp, err
 }
@@ -223,15 +223,15 @@
 
 func (n *Node) listen() error {
 	var err error
-	n.callerServer, err = callerhttp.Listen(n.options.Caller, callerhttp.Options{Limits: n.gate.Limits, Serve: n.gate.Serve, Conns: connLimit(n.options.Memory, maxCallerConns)})
+	n.callerServer, err = callerhttp.Listen(n.options.CallerAddress, callerhttp.Options{Limits: n.gate.Limits, Serve: n.gate.Serve, MaxConns: connLimit(n.options.MemoryLimit, maxCallerConns)})
 	if err != nil {
 		return fmt.Errorf("start gateway: %w", err)
 	}
-	n.peerServer, err = callerhttp.Listen(n.options.Peer, callerhttp.Options{Limits: n.peerLimits, Serve: n.gate.ServePeer, Conns: connLimit(n.options.Memory, maxPeerConns)})
+	n.peerServer, err = callerhttp.Listen(n.options.PeerAddress, callerhttp.Options{Limits: n.peerLimits, Serve: n.gate.ServePeer, MaxConns: connLimit(n.options.MemoryLimit, maxPeerConns)})
 	if err != nil {
 		return fmt.Errorf("start gateway: %w", err)
 	}
-	for address, handler := range map[string]fasthttp.RequestHandler{n.options.Ready: n.serveReady, n.options.Metrics: n.serveMetrics} {
+	for address, handler := range map[string]fasthttp.RequestHandler{n.options.ReadyAddress: n.serveReady, n.options.MetricsAddress: n.serveMetrics} {
 		if address == "" {
 			continue
 		}
@@ -250,20 +250,20 @@
 		return limit
 	}
 	share := float64(limit) / (maxCallerConns + maxPeerConns)
-	return min(limit, int(connMemoryShare*share*float64(memory)/wheelgauge.SlowConnBytes))
+	return min(limit, int(connMemoryShare*share*float64(memory)/wheelgauge.MaxSlowConnBytes))
 }
 
 // peerLimits allows forwarded requests larger headers than callers may send, as gateways
 // add some, and a longer idle time.
-func (n *Node) peerLimits() wheelgauge.Limits {
+func (n *Node) peerLimits() wheelgauge.CallerLimits {
 	l := n.gate.Limits()
-	l.HeaderBytes *= 2
+	l.MaxHeaderBytes *= 2
 	l.IdleTimeout = time.Minute
 	return l
 }
 
 func (n *Node) service(name string) *wheelgauge.Service {
-	if t := n.gate.Table(); t != nil {
+	if t := n.gate.RouteTable(); t != nil {
 		return t.Service(name)
 	}
 	return nil
@@ -271,15 +271,15 @@
 
 func (n *Node) self() wheelgauge.FleetHost {
 	return wheelgauge.FleetHost{
-		Name: n.options.Name, Region: n.options.Region, Hall: n.options.Hall, Caller: n.options.Caller, Peer: n.options.Peer,
+		Name: n.options.Name, Region: n.options.Region, Hall: n.options.Hall, CallerAddress: n.options.CallerAddress, PeerAddress: n.options.PeerAddress,
 		Boot: n.boot, Leaving: n.leaving.Load(), Ready: n.gate.Ready(),
 	}
 }
 
 // checkSuspension ends requests whose deadline passed while the host was suspended.
-func (n *Node) checkSuspension(w *wake.Watch) {
-	if _, suspended := w.Look(warmInterval); suspended > 0 {
-		n.options.Log.Info("Requests are ended whose time went by.", "ended", n.gate.Wake())
+func (n *Node) checkSuspension(w *wake.Watcher) {
+	if _, suspended := w.Check(warmInterval); suspended > 0 {
+		n.options.Log.Info("Requests are ended whose time went by.", "ended", n.gate.EndExpired())
 	}
 }
 
@@ -288,7 +288,7 @@
 	n.peers.Prune()
 	n.quarantine.Prune()
 	n.limits.Prune()
-	n.tally.Keep(n.versions.Runs())
+	n.tally.Retain(n.versions.RunningRollouts())
 }
 
 func (n *Node) serveReady(ctx *fasthttp.RequestCtx) {
@@ -301,7 +301,7 @@
 
 func (n *Node) serveMetrics(ctx *fasthttp.RequestCtx) {
 	n.meter.Gauge("connections.dialed", int64(n.servers.Dialed()))
-	n.meter.Gauge("requests.serving", int64(n.callerServer.Serving()))
+	n.meter.Gauge("requests.serving", int64(n.callerServer.InFlight()))
 	ctx.SetContentType("application/json")
 	n.meter.WriteJSON(ctx)
 }
@@ -310,14 +310,14 @@
 // callers that have its address, finishes requests in flight, and stops. Requests that
 // cannot be finished within the grace period are rejected, so that another host may serve them.
 func (n *Node) Close(ctx context.Context) error {
-	n.options.Log.Info("Gateway drains.", "serving", n.callerServer.Serving())
+	n.options.Log.Info("Gateway drains.", "serving", n.callerServer.InFlight())
 	now := n.options.Clock.Now()
-	lastRequest, end := now.Add(n.options.Grace-cmp.Or(n.options.LastRequestMargin, lastRequestMargin)), now.Add(n.options.Grace-closeMargin)
-	n.gate.LeaveBy(lastRequest)
+	lastRequest, end := now.Add(n.options.GracePeriod-cmp.Or(n.options.LastRequestMargin, lastRequestMargin)), now.Add(n.options.GracePeriod-closeMargin)
+	n.gate.ShutDownBy(lastRequest)
 	n.leaving.Store(true)
 	n.callerServer.Drain()
 	n.peerServer.Drain()
-	n.heartbeats.Load().Now()
+	n.heartbeats.Load().SendNow()
 	n.awaitDrain(ctx, lastRequest)
 	// Clients of readiness and metrics retry.
 	short, cancelShort := context.WithTimeout(ctx, listenerCloseTimeout)
@@ -333,7 +333,7 @@
 	n.servers.Close()
 	n.peers.Close()
 	n.client.CloseIdle()
-	n.options.Log.Info("Bytes by kind of call.", "bytes", n.meter.Bytes())
+	n.options.Log.Info("Bytes by kind of call.", "bytes", n.meter.BytesByKind())
 	return errors.Join(errs...)
 }
 
@@ -344,7 +344,7 @@
 	limited, expire := context.WithCancel(ctx)
 	done := make(chan error, 1)
 	go func() {
-		done <- every.Interval(limited, drainCheckInterval, func(context.Context) {
+		done <- every.Run(limited, drainCheckInterval, func(context.Context) {
 			if !n.options.Clock.Now().Before(end) {
 				expire()
 			}
@@ -363,7 +363,7 @@
 	ticker := time.NewTicker(drainCheckInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil && n.options.Clock.Now().Before(lastRequest) {
-		if n.options.Clock.Now().Sub(start) > staleEntryTime && n.callerServer.Serving()+n.peerServer.Serving() == 0 {
+		if n.options.Clock.Now().Sub(start) > staleEntryTime && n.callerServer.InFlight()+n.peerServer.InFlight() == 0 {
 			return
 		}
 		<-ticker.C
--- a/entrynode/node_test.go
+++ b/entrynode/node_test.go
@@ -144,22 +144,22 @@
 func openStandalone(t *testing.T, server string, grace time.Duration, clock wheelgauge.Clock) *Node {
 	t.Helper()
 	n, err := Open(context.Background(), Options{
-		Name: "g", Region: "r", Hall: "h", Caller: "127.0.82.1:7801", Peer: "127.0.82.1:7802", Seeds: []string{"127.0.82.1:7803"},
-		Interval: time.Second, FarInterval: time.Second, Grace: grace, LastRequestMargin: grace - 50*time.Millisecond, Clock: clock,
+		Name: "g", Region: "r", Hall: "h", CallerAddress: "127.0.82.1:7801", PeerAddress: "127.0.82.1:7802", Seeds: []string{"127.0.82.1:7803"},
+		HeartbeatInterval: time.Second, FarHeartbeatInterval: time.Second, GracePeriod: grace, LastRequestMargin: grace - 50*time.Millisecond, Clock: clock,
 		Budget: retrybudget.Options{Ratio: 0.2, Slack: 50, Window: testTimeout}, Names: native.Headers(), Log: logr.Discard(),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	service := wheelgauge.Service{Name: "s", Conns: 10}
+	service := wheelgauge.Service{Name: "s", MaxConns: 10}
 	n.gate.SetTable(routetable.New(&wheelgauge.RouteSet{
 		Version: 1, Services: []wheelgauge.Service{service},
 		Routes: []wheelgauge.PathRoute{{
-			Name: "a", Host: "h", Prefix: "/a/", Kind: wheelgauge.RouteOnce, Timeout: 2 * grace, Attempts: 1,
-			Shares: []wheelgauge.Share{{Service: "s", Weight: 1}},
+			Name: "a", Host: "h", Prefix: "/a/", Kind: wheelgauge.RouteOnce, Timeout: 2 * grace, MaxAttempts: 1,
+			Shares: []wheelgauge.TrafficShare{{Service: "s", Weight: 1}},
 		}},
 	}))
 	n.servers.Update([]wheelgauge.Server{{Instance: "i", Service: "s", Address: server, Hall: "h", Slots: 4}}, time.Now())
-	n.gate.SetListed()
+	n.gate.SetServersKnown()
 	return n
 }
--- a/entrynode/rollout_operator_test.go
+++ b/entrynode/rollout_operator_test.go
@@ -23,7 +23,7 @@
 	if _, err := c.Rollout(ctx, "s"); wheelgauge.AsError(err).Status() != http.StatusNotFound {
 		t.Errorf("without a rollout: got error %v, want status 404", err)
 	}
-	req := wheelgauge.RolloutOrder{Service: "s", Version: "v2", DurationMS: time.Minute.Milliseconds()}
+	req := wheelgauge.RolloutRequest{Service: "s", Version: "v2", DurationMS: time.Minute.Milliseconds()}
 	for range 2 {
 		if err := c.StartRollout(ctx, req); err != nil {
 			t.Fatal(err)
@@ -34,7 +34,7 @@
 	if err := c.StartRollout(ctx, other); wheelgauge.AsError(err).Status() != http.StatusUnprocessableEntity {
 		t.Errorf("another version during the rollout: got error %v, want status 422", err)
 	}
-	if r, err := c.Rollout(ctx, "s"); err != nil || r.RolloutOrder != req || !r.Running() || r.Left() > time.Minute {
+	if r, err := c.Rollout(ctx, "s"); err != nil || r.RolloutRequest != req || !r.Running() || r.Left() > time.Minute {
 		t.Errorf("got %+v, error %v, want the running rollout", r, err)
 	}
 	if err := c.AbortRollout(ctx, "s"); err != nil {
@@ -48,7 +48,7 @@
 // serveOperatorAPI serves the native operator API at an address.
 func serveOperatorAPI(t *testing.T, s *confstore.Node, address string) {
 	t.Helper()
-	l, err := httpserve.Listen(address, native.Control(s), httpserve.Options{})
+	l, err := httpserve.Listen(address, native.OperatorHandler(s), httpserve.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/entrynode/rollout_recovery_test.go
+++ b/entrynode/rollout_recovery_test.go
@@ -12,7 +12,7 @@
 // An acknowledged rollout continues after all stores stop at once and one loses its disk.
 func TestRolloutSurvivesStoreRestarts(t *testing.T) {
 	f := openFleet(t)
-	req := wheelgauge.RolloutOrder{Service: "s", Version: "v2", DurationMS: time.Hour.Milliseconds()}
+	req := wheelgauge.RolloutRequest{Service: "s", Version: "v2", DurationMS: time.Hour.Milliseconds()}
 	waitFor(t, "the rollout is accepted", func() bool { return f.stores[0].StartRollout(context.Background(), req) == nil })
 	var before wheelgauge.Rollout
 	waitFor(t, "the rollout has run for 4 s", func() bool {
@@ -31,7 +31,7 @@
 		after = f.rollout(t)
 		return after.Number != 0
 	})
-	if after.Number != before.Number || after.RolloutOrder != req || !after.Running() {
+	if after.Number != before.Number || after.RolloutRequest != req || !after.Running() {
 		t.Errorf("rollout before the restart %+v, after it %+v, want the same one, running", before, after)
 	}
 	if lost := before.ElapsedMS - after.ElapsedMS; lost > 4000 {
@@ -43,13 +43,13 @@
 // again without it.
 func TestRolloutOfRemovedService(t *testing.T) {
 	f := openFleet(t)
-	req := wheelgauge.RolloutOrder{Service: "s", Version: "v2", DurationMS: 1500}
+	req := wheelgauge.RolloutRequest{Service: "s", Version: "v2", DurationMS: 1500}
 	waitFor(t, "the rollout is accepted", func() bool { return f.stores[0].StartRollout(context.Background(), req) == nil })
 	body, err := json.Marshal(wheelgauge.RouteSet{
-		Version: 2, Services: []wheelgauge.Service{{Name: "x", Conns: 100}},
+		Version: 2, Services: []wheelgauge.Service{{Name: "x", MaxConns: 100}},
 		Routes: []wheelgauge.PathRoute{{
-			Name: "b", Host: "h", Prefix: "/b/", Kind: wheelgauge.RouteOnce, Timeout: testTimeout, Attempts: 1,
-			Shares: []wheelgauge.Share{{Service: "x", Weight: 1}},
+			Name: "b", Host: "h", Prefix: "/b/", Kind: wheelgauge.RouteOnce, Timeout: testTimeout, MaxAttempts: 1,
+			Shares: []wheelgauge.TrafficShare{{Service: "x", Weight: 1}},
 		}},
 	})
 	if err != nil {
--- a/entrynode/rollout_test.go
+++ b/entrynode/rollout_test.go
@@ -113,7 +113,7 @@
 			f := openFleet(t)
 			c := f.startCallers(6 * fleetSize)
 			defer c.stop()
-			req := wheelgauge.RolloutOrder{Service: "s", Version: "v2", DurationMS: rolloutTimeLimit.Milliseconds()}
+			req := wheelgauge.RolloutRequest{Service: "s", Version: "v2", DurationMS: rolloutTimeLimit.Milliseconds()}
 			start := time.Now()
 			waitFor(t, "the rollout is accepted", func() bool { return f.stores[0].StartRollout(context.Background(), req) == nil })
 			f.engines.deploy(t, "v2", 4, tt.failing)
@@ -163,17 +163,17 @@
 // change nothing, as are invalid ones.
 func TestRolloutRequests(t *testing.T) {
 	f := openFleet(t)
-	req := wheelgauge.RolloutOrder{Service: "s", Version: "v2", DurationMS: time.Hour.Milliseconds()}
+	req := wheelgauge.RolloutRequest{Service: "s", Version: "v2", DurationMS: time.Hour.Milliseconds()}
 	other := req
 	other.Version = "v3"
 	tests := []struct {
 		name   string
-		req    wheelgauge.RolloutOrder
+		req    wheelgauge.RolloutRequest
 		status int // 0 if accepted
 	}{
-		{"unknown service", wheelgauge.RolloutOrder{Service: "x", Version: "v2", DurationMS: 1000}, http.StatusNotFound},
-		{"no version", wheelgauge.RolloutOrder{Service: "s", DurationMS: 1000}, http.StatusBadRequest},
-		{"no time", wheelgauge.RolloutOrder{Service: "s", Version: "v2"}, http.StatusBadRequest},
+		{"unknown service", wheelgauge.RolloutRequest{Service: "x", Version: "v2", DurationMS: 1000}, http.StatusNotFound},
+		{"no version", wheelgauge.RolloutRequest{Service: "s", DurationMS: 1000}, http.StatusBadRequest},
+		{"no time", wheelgauge.RolloutRequest{Service: "s", Version: "v2"}, http.StatusBadRequest},
 		{"taken", req, 0},
 		{"repeated", req, http.StatusConflict},
 		{"another version", other, http.StatusUnprocessableEntity},
@@ -188,7 +188,7 @@
 			t.Errorf("%s: got error %v, want status %d", tt.name, err, tt.status)
 		}
 	}
-	if r := f.rollout(t); r.RolloutOrder != req || !r.Running() {
+	if r := f.rollout(t); r.RolloutRequest != req || !r.Running() {
 		t.Errorf("got rollout %+v, want the accepted one, running", r)
 	}
 	if err := f.stores[0].AbortRollout(context.Background(), "s"); err != nil {
@@ -224,7 +224,7 @@
 			c := f.startCallersWith(callerOptions{count: 3 * fleetSize, bodyPrefix: "caller", paths: []string{"/a/plain", "/a/plain", "/a/plain", "/a/plain", "/b/plain"}})
 			defer c.stop()
 			start := time.Now()
-			req := wheelgauge.RolloutOrder{Service: "s", Version: "v2", DurationMS: limit.Milliseconds()}
+			req := wheelgauge.RolloutRequest{Service: "s", Version: "v2", DurationMS: limit.Milliseconds()}
 			waitFor(t, "the rollout is accepted", func() bool { return f.stores[0].StartRollout(context.Background(), req) == nil })
 			f.engines.deploy(t, "v2", 8, 0)
 			var r wheelgauge.Rollout
--- a/entrynode/rollouts.go
+++ b/entrynode/rollouts.go
@@ -8,7 +8,7 @@
 
 // rolloutReports is the source of the rollout reports that heartbeats carry.
 type rolloutReports struct {
-	versions *ledger.Ledger
+	versions *ledger.Selector
 	tally    *tally.Tally
 }
 
@@ -16,7 +16,7 @@
 func (r rolloutReports) Reports() []wheelgauge.RolloutReport {
 	out := r.versions.Reports()
 	for i := range out {
-		out[i].Counts = r.tally.Counts(out[i].Service, out[i].Number)
+		out[i].Stats = r.tally.Counts(out[i].Service, out[i].Number)
 	}
 	return out
 }
--- a/entrynode/slow_link_test.go
+++ b/entrynode/slow_link_test.go
@@ -50,7 +50,7 @@
 	list []wheelgauge.Server
 }
 
-func (s *serverList) Servers(context.Context, []string) ([]wheelgauge.Server, wheelgauge.ForeignEntries, error) {
+func (s *serverList) Servers(context.Context, []string) ([]wheelgauge.Server, wheelgauge.InvalidEntries, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.list), nil, nil
@@ -66,12 +66,12 @@
 func encodeRoutes(t *testing.T, version uint64, count int) []byte {
 	t.Helper()
 	r := rand.New(rand.NewPCG(1, 2))
-	set := wheelgauge.RouteSet{Version: version, Services: []wheelgauge.Service{{Name: "s", Conns: 100}}}
+	set := wheelgauge.RouteSet{Version: version, Services: []wheelgauge.Service{{Name: "s", MaxConns: 100}}}
 	for n := range count {
 		set.Routes = append(set.Routes, wheelgauge.PathRoute{
 			Name: fmt.Sprintf("route-%d", n), Host: fmt.Sprintf("%016x.example", r.Uint64()), Prefix: fmt.Sprintf("/%016x/%016x/", r.Uint64(), r.Uint64()),
-			Kind: wheelgauge.RouteOnce, Timeout: time.Second, Objective: time.Second, Attempts: 1,
-			Shares: []wheelgauge.Share{{Service: "s", Weight: 1}}, Homes: []string{"north", "south"},
+			Kind: wheelgauge.RouteOnce, Timeout: time.Second, LatencyObjective: time.Second, MaxAttempts: 1,
+			Shares: []wheelgauge.TrafficShare{{Service: "s", Weight: 1}}, HomeRegions: []string{"north", "south"},
 		})
 	}
 	body, err := json.Marshal(set)
@@ -107,8 +107,8 @@
 	var out []*confstore.Node
 	for n, address := range addresses {
 		s, err := confstore.Open(context.Background(), confstore.Options{
-			Name: fmt.Sprint("store-", n), Region: "north", Hall: "n", Halls: map[string]string{"n": "north"}, Dir: t.TempDir(), Peer: address,
-			Seeds: addresses, First: true, Tick: 20 * time.Millisecond, PollEvery: 100 * time.Millisecond, Decode: native.Decode, List: list, Log: logr.Discard(),
+			Name: fmt.Sprint("store-", n), Region: "north", Hall: "n", RegionByHall: map[string]string{"n": "north"}, Dir: t.TempDir(), PeerAddress: address,
+			Seeds: addresses, Bootstrap: true, Tick: 20 * time.Millisecond, PollInterval: 100 * time.Millisecond, DecodeRoutes: native.Decode, ServerList: list, Log: logr.Discard(),
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -144,9 +144,9 @@
 	stores := openStores(t, list, addresses)
 	slow := &link{rate: linkRate}
 	n, err := Open(context.Background(), Options{
-		Name: "g", Region: "north", Hall: "n", Caller: "127.0.83.4:7801", Peer: "127.0.83.4:7802", Seeds: addresses,
-		Interval: 150 * time.Millisecond, FarInterval: 500 * time.Millisecond, Grace: time.Second, Budget: retrybudget.Options{Ratio: 0.2, Slack: 50, Window: testTimeout},
-		Client: peerhttp.NewClient(peerhttp.NewDialer("", nil).Wrap(slow.wrap), ""), Decode: native.Decode, Names: native.Headers(), Log: logr.Discard(),
+		Name: "g", Region: "north", Hall: "n", CallerAddress: "127.0.83.4:7801", PeerAddress: "127.0.83.4:7802", Seeds: addresses,
+		HeartbeatInterval: 150 * time.Millisecond, FarHeartbeatInterval: 500 * time.Millisecond, GracePeriod: time.Second, Budget: retrybudget.Options{Ratio: 0.2, Slack: 50, Window: testTimeout},
+		Client: peerhttp.NewClient(peerhttp.NewDialer("", nil).WrapConns(slow.wrap), ""), DecodeRoutes: native.Decode, Names: native.Headers(), Log: logr.Discard(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -164,7 +164,7 @@
 		})
 	}
 	applied := func(version uint64) func() bool {
-		return func() bool { return n.gate.Table() != nil && n.gate.Table().Version() == version }
+		return func() bool { return n.gate.RouteTable() != nil && n.gate.RouteTable().Version() == version }
 	}
 	put(1, 10)
 	waitFor(t, "the host serves", func() bool { return applied(1)() && n.gate.Ready() && assignable(n, list, leavingServer) })
--- a/entrynode/updates.go
+++ b/entrynode/updates.go
@@ -14,9 +14,9 @@
 	if s.Generation <= n.generation {
 		return
 	}
-	n.quarantine.KeepBesides(s.Crashes) // before the first request is routed by this state
-	if len(s.Body) > 0 && (n.gate.Table() == nil || s.Version > n.gate.Table().Version()) {
-		set, err := n.options.Decode(s.Body)
+	n.quarantine.AddPersisted(s.Crashes) // before the first request is routed by this state
+	if len(s.Body) > 0 && (n.gate.RouteTable() == nil || s.Version > n.gate.RouteTable().Version()) {
+		set, err := n.options.DecodeRoutes(s.Body)
 		if err != nil {
 			// Stores validate configurations, so only another release can fail to decode one.
 			n.options.Log.Error(err, "Configuration cannot be decoded; keeping the previous one.", "version", s.Version)
@@ -25,15 +25,15 @@
 		n.gate.SetTable(routetable.New(set))
 	}
 	n.generation = s.Generation
-	n.versions.Set(s.Rollouts)
-	n.servers.SetDrained(s.Drained)
-	n.options.Log.Info("State is in force.", "generation", s.Generation, "version", s.Version, "drained", s.Drained, "rollouts", s.Rollouts)
+	n.versions.SetRollouts(s.Rollouts)
+	n.servers.SetDrained(s.DrainedHalls)
+	n.options.Log.Info("State is in force.", "generation", s.Generation, "version", s.Version, "drained", s.DrainedHalls, "rollouts", s.Rollouts)
 }
 
-// SameState records that no store is known to hold a newer state.
-func (n *Node) SameState() {
-	n.gate.Confirm()
-	n.versions.Confirm()
+// StateCurrent records that no store is known to hold a newer state.
+func (n *Node) StateCurrent() {
+	n.gate.ConfirmConfig()
+	n.versions.ConfirmState()
 	n.servers.ConfirmState()
 }
 
@@ -59,7 +59,7 @@
 			all = append(all, h.Name)
 		}
 	}
-	for _, h := range entryset.Always(own) {
+	for _, h := range entryset.Minimum(own) {
 		announced = append(announced, h.Name)
 	}
 	if len(announced) == 0 {
@@ -79,44 +79,46 @@
 		others = append(others, s)
 	}
 	n.servers.Update(own, requestedAt)
-	n.servers.SetHolders(others)
-	n.gate.SetListed()
+	n.servers.SetRemoteServers(others)
+	n.gate.SetServersKnown()
 	n.options.Log.Info("Servers change.", "servers", len(own), "age_ms", n.options.Clock.Now().Sub(requestedAt).Milliseconds())
 }
 
-// SameServers records that the list was unchanged when requested at the given time.
-func (n *Node) SameServers(requestedAt time.Time) { n.servers.Confirm(requestedAt) }
+// ServersUnchanged records that the list was unchanged when requested at the given time.
+func (n *Node) ServersUnchanged(requestedAt time.Time) { n.servers.ConfirmList(requestedAt) }
 
-// Uses updates what the region's other hosts have in flight at each server.
-func (n *Node) Uses(usage []wheelgauge.ServerUse) { n.servers.SetUses(usage) }
+// ServerUsage updates what the region's other hosts have in flight at each server.
+func (n *Node) ServerUsage(usage []wheelgauge.ServerUsage) { n.servers.SetUses(usage) }
 
-// Regions updates the usage by region. Partial totals are ignored once complete ones
+// RegionUsage updates the usage by region. Partial totals are ignored once complete ones
 // have arrived.
-func (n *Node) Regions(regions []wheelgauge.RegionUse, partial bool) {
+func (n *Node) RegionUsage(regions []wheelgauge.RegionUsage, partial bool) {
 	if partial && n.completeTotals {
 		return // older complete totals are more accurate than partial ones
 	}
 	n.completeTotals = n.completeTotals || !partial
-	n.peers.SetUses(regions)
-	n.servers.SetBusy(n.peers.Busiest())
+	n.peers.SetLoads(regions)
+	n.servers.SetBusiestRegion(n.peers.BusiestRegion())
 }
 
 // Crashes updates the crashes by which requests are quarantined. A partial list comes from a
 // store that has not received the replicated crashes yet, so it removes none.
 func (n *Node) Crashes(crashes []wheelgauge.Crash, partial bool) {
-	before := n.quarantine.Condemned()
+	before := n.quarantine.Quarantined()
 	if partial {
-		n.quarantine.KeepBesides(crashes)
+		n.quarantine.AddPersisted(crashes)
 	} else {
-		n.quarantine.Keep(crashes)
+		n.quarantine.SetPersisted(crashes)
 	}
-	if quarantined := n.quarantine.Condemned(); !slices.Equal(quarantined, before) {
+	if quarantined := n.quarantine.Quarantined(); !slices.Equal(quarantined, before) {
 		n.options.Log.Info("Requests are held back.", "held", quarantined, "crashes", len(crashes), "partial", partial)
 	}
 }
 
-// Reached records the round-trip time to a region.
-func (n *Node) Reached(region string, roundTrip time.Duration) { n.peers.Reached(region, roundTrip) }
+// RoundTrip records the round-trip time to a region.
+func (n *Node) RoundTrip(region string, roundTrip time.Duration) {
+	n.peers.ObserveRoundTrip(region, roundTrip)
+}
 
 // mergeHosts adds the hosts known before to a partial list.
 func (n *Node) mergeHosts(hosts []wheelgauge.FleetHost, partial bool) []wheelgauge.FleetHost {
--- a/entryset/choose.go
+++ b/entryset/choose.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// Most is the maximum number of hosts announced: callers read no more of an answer.
-	Most = 64
-	// Least is the minimum number of hosts announced, where there are so many: with 16 in
+	// MaxHosts is the maximum number of hosts announced: callers read no more of an answer.
+	MaxHosts = 64
+	// MinHosts is the minimum number of hosts announced, where there are so many: with 16 in
 	// each of two halls the loss of one host affects 3 in 100 requests.
-	Least = 32
+	MinHosts = 32
 	// requestsPerHost is the intended number of requests in flight per announced host. With
 	// fewer, a host has fewer reusable connections to each server and observes less by
 	// itself; 40 with prompts of 12 KB are 0.3 MB/s, a quarter of a link of 10 Mbit/s.
 	requestsPerHost = 40
 )
 
-// Wanted returns how many hosts of a region are announced while it has inFlight requests. The
+// HostCount returns how many hosts of a region are announced while it has inFlight requests. The
 // number depends on the load, not on the number of hosts.
-func Wanted(inFlight int) int {
-	return min(Most, max(Least, (inFlight+requestsPerHost-1)/requestsPerHost))
+func HostCount(inFlight int) int {
+	return min(MaxHosts, max(MinHosts, (inFlight+requestsPerHost-1)/requestsPerHost))
 }
 
 // Choose returns at most limit of the hosts, in a fixed order. Halls are represented as
@@ -45,11 +45,11 @@
 	return out
 }
 
-// Always returns those of a region's hosts that are announced even at the lowest load: the
+// Minimum returns those of a region's hosts that are announced even at the lowest load: the
 // first Least of those that are ready and not leaving.
-func Always(region []wheelgauge.FleetHost) []wheelgauge.FleetHost {
+func Minimum(region []wheelgauge.FleetHost) []wheelgauge.FleetHost {
 	fits := slices.DeleteFunc(slices.Clone(region), func(h wheelgauge.FleetHost) bool { return !h.Ready || h.Leaving })
-	return Choose(fits, Least)
+	return Choose(fits, MinHosts)
 }
 
 // byHall groups hosts by hall, with the halls sorted by name.
--- a/entryset/choose_test.go
+++ b/entryset/choose_test.go
@@ -48,7 +48,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got := perHall(Choose(fleet(tt.halls), Most))
+			got := perHall(Choose(fleet(tt.halls), MaxHosts))
 			if fmt.Sprint(got) != fmt.Sprint(tt.want) && len(got)+len(tt.want) > 0 {
 				t.Errorf("got hosts per hall %v, want %v", got, tt.want)
 			}
@@ -59,11 +59,11 @@
 // A removed host is replaced by at most one, and all others stay.
 func TestFewHostsChange(t *testing.T) {
 	all := fleet(map[string]int{"a": 51, "b": 53})
-	before := names(Choose(all, Most))
+	before := names(Choose(all, MaxHosts))
 	for i, removed := range all {
 		without := append(append([]wheelgauge.FleetHost(nil), all[:i]...), all[i+1:]...)
 		moved := 0
-		for name := range names(Choose(without, Most)) {
+		for name := range names(Choose(without, MaxHosts)) {
 			if !before[name] {
 				moved++
 			}
@@ -77,16 +77,16 @@
 // The number of announced hosts follows the load, not the number of hosts.
 func TestWanted(t *testing.T) {
 	tests := []struct{ inFlight, want int }{
-		{0, Least}, {Least * requestsPerHost, Least}, {Least*requestsPerHost + 1, Least + 1}, {48 * requestsPerHost, 48}, {1 << 20, Most},
+		{0, MinHosts}, {MinHosts * requestsPerHost, MinHosts}, {MinHosts*requestsPerHost + 1, MinHosts + 1}, {48 * requestsPerHost, 48}, {1 << 20, MaxHosts},
 	}
 	for _, tt := range tests {
-		if got := Wanted(tt.inFlight); got != tt.want {
+		if got := HostCount(tt.inFlight); got != tt.want {
 			t.Errorf("%d in flight: %d hosts, want %d", tt.inFlight, got, tt.want)
 		}
 	}
 	all := fleet(map[string]int{"a": 51, "b": 53})
-	more := names(Choose(all, Least+1))
-	for name := range names(Choose(all, Least)) {
+	more := names(Choose(all, MinHosts+1))
+	for name := range names(Choose(all, MinHosts)) {
 		if !more[name] {
 			t.Errorf("%s is no longer chosen when one more host is wanted", name)
 		}
--- a/error.go
+++ b/error.go
@@ -32,12 +32,12 @@
 	ReasonClaimHeld       Reason = "claim-held"
 	ReasonClaimStore      Reason = "claim-store"
 	ReasonConflict        Reason = "conflict"
-	// ReasonUnderWay: the same order was accepted before and is in progress.
-	ReasonUnderWay Reason = "under-way"
-	ReasonInvalid  Reason = "invalid"
-	ReasonTooOld   Reason = "too-old"
-	ReasonNoLeader Reason = "no-leader"
-	ReasonInternal Reason = "internal"
+	// ReasonInProgress: the same order was accepted before and is in progress.
+	ReasonInProgress Reason = "under-way"
+	ReasonInvalid    Reason = "invalid"
+	ReasonTooOld     Reason = "too-old"
+	ReasonNoLeader   Reason = "no-leader"
+	ReasonInternal   Reason = "internal"
 )
 
 // Error is the error response of every program, sent as JSON.
@@ -48,19 +48,19 @@
 	retryAfter time.Duration
 	requestID  string
 	detail     string
-	entries    []Entry
+	entries    []EntryHost
 	sends      int
 }
 
 // errorMessage is the wire form of Error.
 type errorMessage struct {
-	Reason       Reason  `json:"reason"`
-	Outcome      Outcome `json:"outcome"`
-	Status       int     `json:"status"`
-	RetryAfterMS int64   `json:"retry_after_ms,omitempty"`
-	RequestID    string  `json:"request_id,omitempty"`
-	Detail       string  `json:"detail"`
-	Entries      []Entry `json:"entries,omitempty"`
+	Reason       Reason      `json:"reason"`
+	Outcome      Outcome     `json:"outcome"`
+	Status       int         `json:"status"`
+	RetryAfterMS int64       `json:"retry_after_ms,omitempty"`
+	RequestID    string      `json:"request_id,omitempty"`
+	Detail       string      `json:"detail"`
+	Entries      []EntryHost `json:"entries,omitempty"`
 }
 
 // NewError returns an Error with an HTTP status.
@@ -92,7 +92,7 @@
 }
 
 // WithEntries returns a copy that lists hosts that the caller may use instead.
-func (e *Error) WithEntries(entries []Entry) *Error {
+func (e *Error) WithEntries(entries []EntryHost) *Error {
 	c := *e
 	c.entries = entries
 	return &c
@@ -129,7 +129,7 @@
 func (e *Error) Detail() string { return e.detail }
 
 // Entries returns hosts that the caller may use instead.
-func (e *Error) Entries() []Entry { return e.entries }
+func (e *Error) Entries() []EntryHost { return e.entries }
 
 // Sends returns how many servers the request was sent to; zero if not reported.
 func (e *Error) Sends() int { return e.sends }
--- a/eventstream/splitter.go
+++ b/eventstream/splitter.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Rest returns the bytes after the last complete event and clears them.
-func (s *Splitter) Rest() []byte {
+// TakePending returns the bytes after the last complete event and clears them.
+func (s *Splitter) TakePending() []byte {
 	rest := s.pending
 	s.pending = nil
 	return rest
--- a/eventstream/splitter_test.go
+++ b/eventstream/splitter_test.go
@@ -35,7 +35,7 @@
 			if whole.String() != tt.whole || s.LastID() != tt.last || s.Events() != tt.events {
 				t.Errorf("unexpected events: got %q, last ID %q, %d events", whole.String(), s.LastID(), s.Events())
 			}
-			if rest := string(s.Rest()); rest != tt.rest {
+			if rest := string(s.TakePending()); rest != tt.rest {
 				t.Errorf("got rest %q, want %q", rest, tt.rest)
 			}
 		})
--- a/every/every.go
+++ b/every/every.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Interval calls f once per interval until ctx ends; the first call is after one interval.
-func Interval(ctx context.Context, interval time.Duration, f func(ctx context.Context)) error {
+// Run calls f once per interval until ctx ends; the first call is after one interval.
+func Run(ctx context.Context, interval time.Duration, f func(ctx context.Context)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/fake/directory/directory.go
+++ b/fake/directory/directory.go
@@ -69,15 +69,15 @@
 func (d *Directory) handle(ctx *fasthttp.RequestCtx) {
 	q, err := peerhttp.Decode[lookupRequest](ctx)
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	d.mu.RLock()
 	id, ok := d.clients[q.Credential]
 	d.mu.RUnlock()
 	if !ok {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound, "no such client"))
+		peerhttp.WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound, "no such client"))
 		return
 	}
-	peerhttp.Answer(ctx, id)
+	peerhttp.WriteJSON(ctx, id)
 }
--- a/fake/engine/handler.go
+++ b/fake/engine/handler.go
@@ -66,9 +66,9 @@
 	case "/v1/chat/completions", "/v1/completions":
 		e.handleCompletion(ctx)
 	case "/v1/cancel":
-		peerhttp.Answer(ctx, map[string]bool{"cancelled": e.cancelSequence(string(ctx.QueryArgs().Peek("id")))})
+		peerhttp.WriteJSON(ctx, map[string]bool{"cancelled": e.cancelSequence(string(ctx.QueryArgs().Peek("id")))})
 	case "/v1/load":
-		peerhttp.Answer(ctx, e.report())
+		peerhttp.WriteJSON(ctx, e.report())
 	case "/v1/cache-events":
 		e.handleCacheEvents(ctx)
 	case "/v1/orders":
@@ -82,13 +82,13 @@
 	case "/v1/say-leaving":
 		e.AnnounceLeaving()
 	case "/v1/asked":
-		peerhttp.Answer(ctx, e.Received())
+		peerhttp.WriteJSON(ctx, e.Received())
 	case "/v1/slow":
 		e.SetSlowdown(ctx.QueryArgs().GetUintOrZero("factor"))
 	case "/v1/arrivals":
-		peerhttp.Answer(ctx, e.Arrivals())
+		peerhttp.WriteJSON(ctx, e.Arrivals())
 	case "/v1/stats":
-		peerhttp.Answer(ctx, e.Stats())
+		peerhttp.WriteJSON(ctx, e.Stats())
 	default:
 		peerhttp.NotFound(ctx)
 	}
@@ -97,7 +97,7 @@
 func (e *Engine) handleCompletion(ctx *fasthttp.RequestCtx) {
 	c, err := peerhttp.Decode[completionRequest](ctx)
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	e.recordArrival()
@@ -116,7 +116,7 @@
 	}
 	s := e.submit(id, c.Model, c.text(), priority, skip, n)
 	if s == nil {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonOverloaded, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "engine queue is full"))
+		peerhttp.WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonOverloaded, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "engine queue is full"))
 		return
 	}
 	chat := string(ctx.Path()) == "/v1/chat/completions"
@@ -145,7 +145,7 @@
 		a.Object = "chat.completion"
 		a.Choices = []choice{{Message: &message{"assistant", text}, Finish: "length"}}
 	}
-	peerhttp.Answer(ctx, a)
+	peerhttp.WriteJSON(ctx, a)
 }
 
 // respondStream streams the tokens. The response header is sent with the first token.
@@ -203,7 +203,7 @@
 			out = append(out, ev)
 		}
 	}
-	peerhttp.Answer(ctx, out)
+	peerhttp.WriteJSON(ctx, out)
 }
 
 // receivedOrder is an order that the engine accepted, with its time, for tests.
@@ -216,19 +216,19 @@
 	if ctx.IsGet() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		peerhttp.Answer(ctx, e.orders)
+		peerhttp.WriteJSON(ctx, e.orders)
 		return
 	}
 	o, err := peerhttp.Decode[wheelgauge.Order](ctx)
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	if !e.executeOrder(o) {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonConflict, wheelgauge.OutcomeNotRun, http.StatusConflict, "order has an older fencing token than a previous one"))
+		peerhttp.WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonConflict, wheelgauge.OutcomeNotRun, http.StatusConflict, "order has an older fencing token than a previous one"))
 		return
 	}
-	peerhttp.Answer(ctx, struct{}{})
+	peerhttp.WriteJSON(ctx, struct{}{})
 }
 
 // executeOrder executes an order, unless its fencing token is too old. A model is loaded in
@@ -285,12 +285,12 @@
 			}
 			out.Blocks = append(out.Blocks, b)
 		}
-		peerhttp.Answer(ctx, out)
+		peerhttp.WriteJSON(ctx, out)
 		return
 	}
 	in, err := peerhttp.Decode[kvMessage](ctx)
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	for _, b := range in.Blocks {
@@ -298,5 +298,5 @@
 			e.cache.blocks[b] = e.cache.lru.PushFront(b)
 		}
 	}
-	peerhttp.Answer(ctx, struct{}{})
+	peerhttp.WriteJSON(ctx, struct{}{})
 }
--- a/fake/engine/pushback.go
+++ b/fake/engine/pushback.go
@@ -10,8 +10,8 @@
 	"wheelgauge/peerhttp"
 )
 
-// Asked is a request that the engine received, with the pushback in its response.
-type Asked struct {
+// ReceivedRequest is a request that the engine received, with the pushback in its response.
+type ReceivedRequest struct {
 	ID   string `json:"id"`
 	AtMS int64  `json:"at_ms"`
 	// RetryAfter is the Retry-After header of a request rejected for a backoff.
@@ -25,7 +25,7 @@
 	backoffUntil time.Time
 	retryAfter   string
 	leaving      bool
-	log          []Asked
+	log          []ReceivedRequest
 }
 
 // BackOff makes the engine reject requests for a duration, with a Retry-After header.
@@ -43,10 +43,10 @@
 }
 
 // Received returns all received requests with the pushback in their responses.
-func (e *Engine) Received() []Asked {
+func (e *Engine) Received() []ReceivedRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Asked{}, e.pushback.log...)
+	return append([]ReceivedRequest{}, e.pushback.log...)
 }
 
 // applyPushback sets the pushback headers of the response. It reports whether it has rejected
@@ -55,13 +55,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	received := Asked{ID: id, AtMS: now.UnixMilli(), Leaving: e.pushback.leaving}
+	received := ReceivedRequest{ID: id, AtMS: now.UnixMilli(), Leaving: e.pushback.leaving}
 	if e.pushback.leaving {
 		ctx.Response.Header.Set(wheelgauge.HeaderLeaving, "1")
 	}
 	if now.Before(e.pushback.backoffUntil) {
 		received.RetryAfter = e.pushback.retryAfter
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonOverloaded, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "engine asks for a backoff"))
+		peerhttp.WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonOverloaded, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "engine asks for a backoff"))
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, e.pushback.retryAfter)
 	}
 	e.pushback.log = append(e.pushback.log, received)
--- a/fake/hostlist/hostlist.go
+++ b/fake/hostlist/hostlist.go
@@ -17,7 +17,7 @@
 )
 
 type change struct {
-	entry wheelgauge.HostHint
+	entry wheelgauge.HostListEntry
 	at    time.Time
 }
 
@@ -50,7 +50,7 @@
 func (l *List) Set(host string, leaving bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.changes = append(l.changes, change{wheelgauge.HostHint{Host: host, Leaving: leaving}, time.Now()})
+	l.changes = append(l.changes, change{wheelgauge.HostListEntry{Host: host, Leaving: leaving}, time.Now()})
 }
 
 func (l *List) handle(ctx *fasthttp.RequestCtx) {
@@ -58,19 +58,19 @@
 		l.Set(strings.TrimPrefix(string(ctx.Path()), "/hosts/"), ctx.QueryArgs().GetBool("leaving"))
 		return
 	}
-	peerhttp.Answer(ctx, l.hosts())
+	peerhttp.WriteJSON(ctx, l.hosts())
 }
 
-func (l *List) hosts() []wheelgauge.HostHint {
+func (l *List) hosts() []wheelgauge.HostListEntry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	latest := map[string]wheelgauge.HostHint{}
+	latest := map[string]wheelgauge.HostListEntry{}
 	for _, c := range l.changes {
 		if time.Since(c.at) >= l.lag {
 			latest[c.entry.Host] = c.entry
 		}
 	}
-	out := make([]wheelgauge.HostHint, 0, len(latest))
+	out := make([]wheelgauge.HostListEntry, 0, len(latest))
 	for _, h := range latest {
 		out = append(out, h)
 	}
--- a/fake/judge/backoff.go
+++ b/fake/judge/backoff.go
@@ -20,9 +20,9 @@
 	return Backoff{grace: 500 * time.Millisecond, maxAfterGrace: 2, reuseWithin: 2 * time.Second}
 }
 
-// Again returns how soon after a backoff a server must be used again, if no other server can
+// ReuseWithin returns how soon after a backoff a server must be used again, if no other server can
 // take its place.
-func (b Backoff) Again() time.Duration { return b.reuseWithin }
+func (b Backoff) ReuseWithin() time.Duration { return b.reuseWithin }
 
 // Check returns an error if too many of the arrivals from a host fall into a backoff that the
 // server asked for at the time asked.
--- a/fake/judge/bound.go
+++ b/fake/judge/bound.go
@@ -29,9 +29,9 @@
 // rate in requests per second.
 func (b Bound) Allowed(rate float64) float64 { return b.rateFactor*rate*b.window.Seconds() + b.slack }
 
-// Each calls f for each arrival, in order of time, with the window that ends at it: the
+// EachWindow calls f for each arrival, in order of time, with the window that ends at it: the
 // times of the first and the last arrival in the window, and their number.
-func (b Bound) Each(arrivals []time.Time, f func(from, to time.Time, got int)) {
+func (b Bound) EachWindow(arrivals []time.Time, f func(from, to time.Time, got int)) {
 	at := slices.SortedFunc(slices.Values(arrivals), time.Time.Compare)
 	first := 0
 	for i := range at {
@@ -42,10 +42,10 @@
 	}
 }
 
-// Worst returns the largest number of arrivals within one window, and the start of the first
+// MaxInWindow returns the largest number of arrivals within one window, and the start of the first
 // such window.
-func (b Bound) Worst(arrivals []time.Time) (count int, start time.Time) {
-	b.Each(arrivals, func(from, _ time.Time, got int) {
+func (b Bound) MaxInWindow(arrivals []time.Time) (count int, start time.Time) {
+	b.EachWindow(arrivals, func(from, _ time.Time, got int) {
 		if got > count {
 			count, start = got, from
 		}
@@ -56,7 +56,7 @@
 // Check returns an error if a window has more arrivals than a server with the given rate may
 // receive.
 func (b Bound) Check(rate float64, arrivals []time.Time) error {
-	got, start := b.Worst(arrivals)
+	got, start := b.MaxInWindow(arrivals)
 	if allowed := b.Allowed(rate); float64(got) > allowed {
 		return fmt.Errorf("%d requests within %s from %s, allowed %.0f at %g a second", got, b.window, start.Format("15:04:05.000"), allowed, rate)
 	}
--- a/fake/judge/bound_test.go
+++ b/fake/judge/bound_test.go
@@ -39,7 +39,7 @@
 		{"cold and one more", ColdRate(), 2, evenlySpaced(100*time.Millisecond, 7), 7, true},
 	}
 	for _, tt := range tests {
-		if got, _ := tt.bound.Worst(tt.arrivals); got != tt.got {
+		if got, _ := tt.bound.MaxInWindow(tt.arrivals); got != tt.got {
 			t.Errorf("%s: got %d arrivals in the worst window, want %d", tt.name, got, tt.got)
 		}
 		if err := tt.bound.Check(tt.rate, tt.arrivals); (err != nil) != tt.broken {
--- a/fake/manualclock/clock.go
+++ b/fake/manualclock/clock.go
@@ -12,5 +12,5 @@
 // Now implements wheelgauge.Clock.
 func (c *Clock) Now() time.Time { return c.now }
 
-// Pass moves the clock forward.
-func (c *Clock) Pass(d time.Duration) { c.now = c.now.Add(d) }
+// Advance moves the clock forward.
+func (c *Clock) Advance(d time.Duration) { c.now = c.now.Add(d) }
--- a/fake/script/script.go
+++ b/fake/script/script.go
@@ -18,8 +18,8 @@
 	return strconv.FormatUint(h%46656, 36) + " "
 }
 
-// Answer returns the first n tokens of the response to a prompt as one string.
-func Answer(prompt string, n int) string {
+// Text returns the first n tokens of the response to a prompt as one string.
+func Text(prompt string, n int) string {
 	var out []byte
 	for i := range n {
 		out = append(out, Token(prompt, i)...)
--- a/fake/service/service.go
+++ b/fake/service/service.go
@@ -74,9 +74,9 @@
 	path := string(ctx.Path())
 	switch {
 	case path == "/load":
-		peerhttp.Answer(ctx, s.report())
+		peerhttp.WriteJSON(ctx, s.report())
 	case path == "/counts":
-		peerhttp.Answer(ctx, s.Executions())
+		peerhttp.WriteJSON(ctx, s.Executions())
 	case path == "/leave":
 		s.Leave()
 	case ctx.IsGet():
@@ -98,14 +98,14 @@
 	defer s.countRunning()()
 	time.Sleep(s.o.CallTime)
 	parts := strings.Split(path, "/")
-	peerhttp.Answer(ctx, Receipt{Ref: parts[len(parts)-1], Server: s.o.Name, Echo: string(ctx.RequestURI())})
+	peerhttp.WriteJSON(ctx, Receipt{Ref: parts[len(parts)-1], Server: s.o.Name, Echo: string(ctx.RequestURI())})
 }
 
 func (s *Service) execute(ctx *fasthttp.RequestCtx) {
 	defer s.countRunning()()
 	b, err := peerhttp.Decode[booking](ctx)
 	if err != nil || b.Ref == "" {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "expected a booking with a ref"))
+		peerhttp.WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "expected a booking with a ref"))
 		return
 	}
 	s.mu.Lock()
@@ -116,7 +116,7 @@
 	if s.o.BeforeResponse != nil {
 		s.o.BeforeResponse(b.Ref)
 	}
-	peerhttp.Answer(ctx, Receipt{Ref: b.Ref, Execution: n, Server: s.o.Name, Echo: string(ctx.PostBody())})
+	peerhttp.WriteJSON(ctx, Receipt{Ref: b.Ref, Execution: n, Server: s.o.Name, Echo: string(ctx.PostBody())})
 }
 
 func (s *Service) countRunning() func() {
--- a/fleet.go
+++ b/fleet.go
@@ -8,8 +8,8 @@
 	Region string `json:"r"`
 	Hall   string `json:"h"`
 	// Addresses (IP:port) of the listeners for callers and for peers.
-	Caller string `json:"c"`
-	Peer   string `json:"p"`
+	CallerAddress string `json:"c"`
+	PeerAddress   string `json:"p"`
 	// Boot identifies one start of the host's process.
 	Boot    uint64 `json:"b"`
 	Leaving bool   `json:"l,omitempty"`
@@ -17,94 +17,94 @@
 	Ready bool `json:"y,omitempty"`
 }
 
-// ServerUse is what one or more hosts have in flight at a server and have observed of it.
-type ServerUse struct {
+// ServerUsage is what one or more hosts have in flight at a server and have observed of it.
+type ServerUsage struct {
 	Instance string `json:"i"`
-	// Born is the start time of the server, as in the server list.
-	Born    int64 `json:"b,omitempty"`
-	Running int   `json:"u"`
-	// Tokens is the sum of the prompt tokens of requests that wait for their first event.
-	Tokens int `json:"t,omitempty"`
+	// StartUnixMS is the start time of the server, as in the server list.
+	StartUnixMS int64 `json:"b,omitempty"`
+	Running     int   `json:"u"`
+	// PrefillTokens is the sum of the prompt tokens of requests that wait for their first event.
+	PrefillTokens int `json:"t,omitempty"`
 	// Work is both by rank.
 	Work Work `json:"w,omitempty"`
-	// Pace is the sum of the slowdown factors that Paced hosts derive from the server's reports,
+	// SlowdownSum is the sum of the slowdown factors that SlowdownHosts hosts derive from the server's reports,
 	// in hundredths: 100 for a host means that work takes the usual time.
-	Pace  int `json:"p,omitempty"`
-	Paced int `json:"q,omitempty"`
-	// Lost is the number of hosts that recently failed to reach the server or found another
+	SlowdownSum   int `json:"p,omitempty"`
+	SlowdownHosts int `json:"q,omitempty"`
+	// UnreachableFrom is the number of hosts that recently failed to reach the server or found another
 	// one at its address.
-	Lost int `json:"x,omitempty"`
+	UnreachableFrom int `json:"x,omitempty"`
 }
 
 // Plus returns the combined use by several hosts. If the two are of different starts of the
 // server, only the later one counts.
-func (u ServerUse) Plus(v ServerUse) ServerUse {
+func (u ServerUsage) Plus(v ServerUsage) ServerUsage {
 	switch {
-	case u.Born > v.Born:
+	case u.StartUnixMS > v.StartUnixMS:
 		return u
-	case u.Born < v.Born:
+	case u.StartUnixMS < v.StartUnixMS:
 		return v
 	}
-	return ServerUse{
-		Instance: v.Instance, Born: v.Born, Running: u.Running + v.Running, Tokens: u.Tokens + v.Tokens, Work: u.Work.Plus(v.Work),
-		Lost: u.Lost + v.Lost, Pace: u.Pace + v.Pace, Paced: u.Paced + v.Paced,
+	return ServerUsage{
+		Instance: v.Instance, StartUnixMS: v.StartUnixMS, Running: u.Running + v.Running, PrefillTokens: u.PrefillTokens + v.PrefillTokens, Work: u.Work.Plus(v.Work),
+		UnreachableFrom: u.UnreachableFrom + v.UnreachableFrom, SlowdownSum: u.SlowdownSum + v.SlowdownSum, SlowdownHosts: u.SlowdownHosts + v.SlowdownHosts,
 	}
 }
 
-// Told reports whether there is anything worth sending.
-func (u ServerUse) Told() bool { return u.Running > 0 || u.Lost > 0 }
+// Reportable reports whether there is anything worth sending.
+func (u ServerUsage) Reportable() bool { return u.Running > 0 || u.UnreachableFrom > 0 }
 
-// ServiceUse is the load of a service in a region.
-type ServiceUse struct {
+// ServiceUsage is the load of a service in a region.
+type ServiceUsage struct {
 	Service string `json:"s"`
 	// Running is the number of requests in flight.
 	Running int `json:"u"`
-	// Tokens is the sum of the prompt tokens of requests that wait for their first event.
-	Tokens int `json:"t,omitempty"`
+	// PrefillTokens is the sum of the prompt tokens of requests that wait for their first event.
+	PrefillTokens int `json:"t,omitempty"`
 	// Work is both by rank.
 	Work Work `json:"w,omitempty"`
 	// Servers is the number of servers that accept work, Slots the number of requests that
 	// they run concurrently.
 	Servers int `json:"k,omitempty"`
 	Slots   int `json:"n,omitempty"`
-	// Limited is the number of additional servers that have announced a limit.
-	Limited int `json:"l,omitempty"`
+	// LimitedServers is the number of additional servers that have announced a limit.
+	LimitedServers int `json:"l,omitempty"`
 }
 
 // Plus adds what other hosts have in flight. The counts of servers and slots stay those of u.
-func (u ServiceUse) Plus(v ServiceUse) ServiceUse {
+func (u ServiceUsage) Plus(v ServiceUsage) ServiceUsage {
 	u.Service = v.Service
 	u.Running += v.Running
-	u.Tokens += v.Tokens
+	u.PrefillTokens += v.PrefillTokens
 	u.Work = u.Work.Plus(v.Work)
 	return u
 }
 
-// Beat is the heartbeat that an entry host sends to a store.
-type Beat struct {
+// FleetHeartbeat is the heartbeat that an entry host sends to a store.
+type FleetHeartbeat struct {
 	Host FleetHost `json:"host"`
 	// Primary is set for the one store from which the host takes its updates.
 	Primary bool `json:"primary,omitempty"`
 	// IntervalMS is the time until the next heartbeat to this store, in ms.
 	IntervalMS int64 `json:"interval_ms"`
-	// Store is the boot of the store whose tables of hosts and servers this host holds; Hosts
-	// and Servers are their versions.
-	Store   uint64 `json:"store,omitempty"`
-	Hosts   uint64 `json:"hosts,omitempty"`
-	Servers uint64 `json:"servers,omitempty"`
+	// StoreBoot is the boot of the store whose tables of hosts and servers this host holds; HostsVersion
+	// and ServersVersion are their versions.
+	StoreBoot      uint64 `json:"store,omitempty"`
+	HostsVersion   uint64 `json:"hosts,omitempty"`
+	ServersVersion uint64 `json:"servers,omitempty"`
 	// ListAgeMS is how long ago the server list that the host holds was requested, in ms; 0
 	// if it holds none. The store must not send an older list.
-	ListAgeMS int64        `json:"list_age_ms,omitempty"`
-	Uses      []ServerUse  `json:"uses,omitempty"`
-	Totals    []ServiceUse `json:"totals,omitempty"`
+	ListAgeMS     int64          `json:"list_age_ms,omitempty"`
+	ServerUsage   []ServerUsage  `json:"uses,omitempty"`
+	ServiceTotals []ServiceUsage `json:"totals,omitempty"`
 	// Crashes are those recorded here since the last heartbeat that this store answered.
-	// CrashesAt is the version of the list for all hosts that this host holds.
-	Crashes   []Crash `json:"crashes,omitempty"`
-	CrashesAt uint64  `json:"crashes_at,omitempty"`
+	// CrashesVersion is the version of the list for all hosts that this host holds.
+	Crashes        []Crash `json:"crashes,omitempty"`
+	CrashesVersion uint64  `json:"crashes_at,omitempty"`
 	// Limits are those that servers announced in responses to this host and that this store
-	// has not received yet. LimitsAt is the version of the limits last received from the store.
-	Limits   []ServerLimit `json:"limits,omitempty"`
-	LimitsAt uint64        `json:"limits_at,omitempty"`
+	// has not received yet. LimitsVersion is the version of the limits last received from the store.
+	Limits        []ServerLimit `json:"limits,omitempty"`
+	LimitsVersion uint64        `json:"limits_at,omitempty"`
 	// Rollouts are the host's reports on rollouts in progress.
 	Rollouts []RolloutReport `json:"rollouts,omitempty"`
 }
@@ -116,8 +116,8 @@
 	Version    uint64 `json:"version"`
 	// Body is the complete configuration as sent by the operator.
 	Body json.RawMessage `json:"body,omitempty"`
-	// Drained are the halls whose servers receive no new requests.
-	Drained []string `json:"drained,omitempty"`
+	// DrainedHalls are the halls whose servers receive no new requests.
+	DrainedHalls []string `json:"drained,omitempty"`
 	// Rollouts holds the last rollout of each service.
 	Rollouts []Rollout `json:"rollouts,omitempty"`
 	// Crashes are those because of which requests are quarantined.
@@ -127,9 +127,9 @@
 // PackedBody identifies the body of a configuration in its compressed form.
 type PackedBody struct {
 	Version uint64 `json:"version"`
-	// Size is the compressed length in bytes, Sum the CRC-32 (IEEE) of the compressed bytes.
-	Size int    `json:"size"`
-	Sum  uint32 `json:"sum"`
+	// Size is the compressed length in bytes, CRC32 the CRC-32 (IEEE) of the compressed bytes.
+	Size  int    `json:"size"`
+	CRC32 uint32 `json:"sum"`
 }
 
 // StateRequest asks a store for a chunk of a state that is newer than the one held by the
@@ -139,17 +139,17 @@
 	Generation uint64 `json:"generation"`
 	Version    uint64 `json:"version,omitempty"`
 	// Packed identifies the body to which the chunks received so far belong. Offset is how
-	// much of it was received, Most how much may be sent at once, both in bytes.
-	Packed PackedBody `json:"packed"`
-	Offset int        `json:"offset,omitempty"`
-	Most   int        `json:"most"`
+	// much of it was received, MaxBytes how much may be sent at once, both in bytes.
+	Packed   PackedBody `json:"packed"`
+	Offset   int        `json:"offset,omitempty"`
+	MaxBytes int        `json:"most"`
 }
 
-// StatePart is a chunk of a state, or reports that there is no newer state.
-type StatePart struct {
-	Generation uint64   `json:"generation"`
-	Version    uint64   `json:"version"`
-	Drained    []string `json:"drained,omitempty"`
+// StateChunk is a chunk of a state, or reports that there is no newer state.
+type StateChunk struct {
+	Generation   uint64   `json:"generation"`
+	Version      uint64   `json:"version"`
+	DrainedHalls []string `json:"drained,omitempty"`
 	// Rollouts carry the time that each one has run until now.
 	Rollouts []Rollout `json:"rollouts,omitempty"`
 	// Packed has size 0 if the body is the one of the version held by the requester.
@@ -160,85 +160,85 @@
 	Crashes []Crash `json:"crashes,omitempty"`
 }
 
-// RegionUse is the load of another region.
-type RegionUse struct {
-	Region string       `json:"r"`
-	Uses   []ServiceUse `json:"u"`
+// RegionUsage is the load of another region.
+type RegionUsage struct {
+	Region   string         `json:"r"`
+	Services []ServiceUsage `json:"u"`
 }
 
-// BeatAnswer is a store's response to the heartbeat of an entry host.
-type BeatAnswer struct {
-	// Store is the boot of the store that issues the versions of the tables below.
-	Store uint64 `json:"store"`
-	// InTouch is false while the store is partitioned from the other stores.
-	InTouch bool `json:"in_touch"`
+// FleetHeartbeatResponse is a store's response to the heartbeat of an entry host.
+type FleetHeartbeatResponse struct {
+	// StoreBoot is the boot of the store that issues the versions of the tables below.
+	StoreBoot uint64 `json:"store"`
+	// Connected is false while the store is partitioned from the other stores.
+	Connected bool `json:"in_touch"`
 	// Generation is that of the state that the store holds.
 	Generation uint64 `json:"generation"`
 	// Location of the store.
 	Region string `json:"region"`
 	Hall   string `json:"hall"`
-	// Stores are the peer addresses of all stores.
-	Stores []string `json:"stores,omitempty"`
+	// StoreAddresses are the peer addresses of all stores.
+	StoreAddresses []string `json:"stores,omitempty"`
 	// Partial is set while the store has not been up long enough to have received a
 	// heartbeat of every host: hosts that it does not list may exist nevertheless.
 	Partial bool `json:"partial,omitempty"`
 	// Hosts is the whole table of entry hosts, sent when its version changed.
-	HostsAt   uint64      `json:"hosts_at,omitempty"`
-	Hosts     []FleetHost `json:"hosts,omitempty"`
-	ServersAt uint64      `json:"servers_at,omitempty"`
+	HostsVersion   uint64      `json:"hosts_at,omitempty"`
+	Hosts          []FleetHost `json:"hosts,omitempty"`
+	ServersVersion uint64      `json:"servers_at,omitempty"`
 	// ServersAgeMS is how long ago the server list was requested, in ms.
 	ServersAgeMS int64    `json:"servers_age_ms,omitempty"`
 	Servers      []Server `json:"servers,omitempty"`
-	// Uses is what the other hosts of the region have in flight.
-	Uses []ServerUse `json:"uses,omitempty"`
+	// ServerUsage is what the other hosts of the region have in flight.
+	ServerUsage []ServerUsage `json:"uses,omitempty"`
 	// Regions is the load of all regions.
-	Regions []RegionUse `json:"regions,omitempty"`
+	Regions []RegionUsage `json:"regions,omitempty"`
 	// Crashes are those of quarantined requests: the whole list, sent when its version changed.
-	CrashesAt uint64  `json:"crashes_at,omitempty"`
-	Crashes   []Crash `json:"crashes,omitempty"`
+	CrashesVersion uint64  `json:"crashes_at,omitempty"`
+	Crashes        []Crash `json:"crashes,omitempty"`
 	// Limits are those that changed since the version named in the heartbeat.
-	LimitsAt uint64        `json:"limits_at,omitempty"`
-	Limits   []ServerLimit `json:"limits,omitempty"`
+	LimitsVersion uint64        `json:"limits_at,omitempty"`
+	Limits        []ServerLimit `json:"limits,omitempty"`
 }
 
-// ServerPart is the list of backend servers of one region, as sent by one store to
+// RegionServerList is the list of backend servers of one region, as sent by one store to
 // another.
-type ServerPart struct {
+type RegionServerList struct {
 	Region  string `json:"region"`
 	Version uint64 `json:"version"`
 	// AgeMS is how long ago the list was requested, in ms.
 	AgeMS int64 `json:"age_ms"`
-	// Same is set if the list has not changed since the version sent before.
-	Same    bool     `json:"same,omitempty"`
-	Servers []Server `json:"servers,omitempty"`
+	// Unchanged is set if the list has not changed since the version sent before.
+	Unchanged bool     `json:"same,omitempty"`
+	Servers   []Server `json:"servers,omitempty"`
 }
 
 // RegionLoad is the load of the hosts of a region that take their updates from one
 // store.
 type RegionLoad struct {
-	Region string       `json:"r"`
-	Hosts  int          `json:"h"`
-	Uses   []ServiceUse `json:"u,omitempty"`
+	Region   string         `json:"r"`
+	Hosts    int            `json:"h"`
+	Services []ServiceUsage `json:"u,omitempty"`
 }
 
-// StoreNews is the update that a store sends to each other store: the part of the server
+// StoreUpdate is the update that a store sends to each other store: the part of the server
 // list that it has read, and the load of the hosts that take their updates from it.
-type StoreNews struct {
-	// Store is the boot of the sending store, which issues the versions of the parts. Address
+type StoreUpdate struct {
+	// StoreBoot is the boot of the sending store, which issues the versions of the parts. Address
 	// is where it is reached, Region where it is located.
-	Store   uint64       `json:"store"`
-	Address string       `json:"address"`
-	Region  string       `json:"region"`
-	Parts   []ServerPart `json:"parts,omitempty"`
-	Loads   []RegionLoad `json:"loads,omitempty"`
-	// Uses are sent only to stores of the same region.
-	Uses []ServerUse `json:"uses,omitempty"`
-	Caps CapNews     `json:"caps,omitzero"`
-}
-
-// StoreNewsAnswer is the response to a store's update. It leases shares of caps to the sender.
-type StoreNewsAnswer struct {
-	Caps CapSheet `json:"caps,omitzero"`
-	// Missing lists the regions whose part must be sent in full.
-	Missing []string `json:"missing,omitempty"`
+	StoreBoot   uint64             `json:"store"`
+	Address     string             `json:"address"`
+	Region      string             `json:"region"`
+	ServerLists []RegionServerList `json:"parts,omitempty"`
+	Loads       []RegionLoad       `json:"loads,omitempty"`
+	// ServerUsage are sent only to stores of the same region.
+	ServerUsage []ServerUsage `json:"uses,omitempty"`
+	Caps        CapUpdate     `json:"caps,omitzero"`
+}
+
+// StoreUpdateResponse is the response to a store's update. It leases shares of caps to the sender.
+type StoreUpdateResponse struct {
+	CapLease CapLease `json:"caps,omitzero"`
+	// MissingRegions lists the regions whose part must be sent in full.
+	MissingRegions []string `json:"missing,omitempty"`
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Shut admits no more work. It may be called more than once.
-func (g *Gate) Shut() {
+// Close admits no more work. It may be called more than once.
+func (g *Gate) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.shut && g.count == 0 {
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -26,7 +26,7 @@
 	if rq.class.Rate == 0 {
 		return nil
 	}
-	share := entrylist.Share(rq.catalog, rq.identity, g.options.Region, g.options.Host, g.usable)
+	share := entrylist.LimitShare(rq.catalog, rq.identity, g.options.Region, g.options.Host, g.usable)
 	wait := g.limiter.Take(rq.identity.Client, rendezvous.Hash(rq.identity.Client), rq.class, share, rq.started)
 	if wait == 0 {
 		return nil
@@ -72,12 +72,12 @@
 		}
 		// A model with placements is served where it is ready, which differs from
 		// where it is placed while it moves.
-		if placed, version, _ := c.Placed(model, s.Name); placed && !state.Ready(model, version) {
+		if placed, version, _ := c.Placement(model, s.Name); placed && !state.Ready(model, version) {
 			continue
 		}
-		counted := g.inflight.Snapshot(s.Name, state.Running+state.Waiting, state.Reported)
+		counted := g.inflight.Snapshot(s.Name, state.Running+state.Waiting, state.Reports)
 		candidate := wheelgauge.Candidate{Name: s.Name, Address: s.Address, Hash: s.Hash, InFlight: counted.Count, Pending: counted.Pending, Running: counted.Load}
-		candidate.Slots = max(1, int(float64(s.Slots)*state.Ramp(now)))
+		candidate.Slots = max(1, int(float64(s.Slots)*state.SlotFraction(now)))
 		cs.candidates = append(cs.candidates, candidate)
 		cs.load += max(candidate.InFlight, candidate.Running)
 		cs.slots += candidate.Slots
@@ -86,7 +86,7 @@
 
 // noteBackoff records the backoff of a server that takes no work now.
 func (cs *candidateSet) noteBackoff(state pushback.State, now time.Time) {
-	if left := state.Left(now); !state.Leaving() && (cs.backoff == 0 || left < cs.backoff) {
+	if left := state.Remaining(now); !state.Leaving() && (cs.backoff == 0 || left < cs.backoff) {
 		cs.backoff = left
 	}
 }
@@ -122,7 +122,7 @@
 	g.collectCandidates(cs, rq.catalog, rq.route, rq.model, nil)
 	service := g.inflight.MeanDuration(rq.route.Pool)
 	here := away.RegionState{Region: g.options.Region, Wait: g.localWait(rq, cs, service), Price: rq.catalog.Region(g.options.Region).Price}
-	fits := cs.slots > 0 && !admission.ShouldShed(rq.call.Priority, here.Wait, g.options.LongestWait) &&
+	fits := cs.slots > 0 && !admission.ShouldShed(rq.call.Priority, here.Wait, g.options.MaxWait) &&
 		!admission.MissesDeadline(here.Wait, minService, time.Until(g.localDeadline(rq)))
 	if !rq.forwarded {
 		if region, ok := g.chooseRegion(rq, here, fits, service); ok {
@@ -155,7 +155,7 @@
 			"no backend server of "+rq.route.Name+" takes work in "+g.options.Region).WithRetryAfter(admission.RetryAfter(time.Second))
 	}
 	reason, status := wheelgauge.ReasonOverloaded, http.StatusServiceUnavailable
-	shed := admission.ShouldShed(rq.call.Priority, here.Wait, g.options.LongestWait)
+	shed := admission.ShouldShed(rq.call.Priority, here.Wait, g.options.MaxWait)
 	if !shed && admission.MissesDeadline(here.Wait, minService, time.Until(g.localDeadline(rq))) {
 		reason = wheelgauge.ReasonDeadline
 	}
@@ -176,7 +176,7 @@
 		if summary.Hosts == 0 || pool.Slots == 0 || len(rq.catalog.Servers(rq.route.Pool, region, rq.model)) == 0 {
 			continue
 		}
-		link := time.Duration(rq.catalog.Region(g.options.Region).Links[region] * float64(time.Millisecond))
+		link := time.Duration(rq.catalog.Region(g.options.Region).LinkDelaysMS[region] * float64(time.Millisecond))
 		observed := g.inflight.RecentFirstByte(regionCounter(region)) - usualFirstByte - 2*link
 		places[n] = away.RegionState{
 			Region: region, Wait: max(queueWait(pool.Running+pool.Waiting, pool.Slots, service), observed), Price: rq.catalog.Region(region).Price, Latency: link,
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -64,11 +64,11 @@
 }
 
 // reply passes an answer on to the caller.
-func (g *Gateway) reply(ctx *fasthttp.RequestCtx, rq *request, answer *wheelgauge.Answer, claim *heldClaim) {
+func (g *Gateway) reply(ctx *fasthttp.RequestCtx, rq *request, answer *wheelgauge.Response, claim *heldClaim) {
 	h := &ctx.Response.Header
 	h.Set(wheelgauge.HeaderRequestID, rq.call.ID)
 	to := rq.target.Load()
-	h.Set(wheelgauge.HeaderServed, to.server)
+	h.Set(wheelgauge.HeaderServedBy, to.server)
 	h.Set(wheelgauge.HeaderRegion, to.region)
 	h.Set(wheelgauge.HeaderOutcome, string(wheelgauge.OutcomeRan))
 	ctx.SetStatusCode(answer.Status)
@@ -83,14 +83,14 @@
 	g.replyBuffered(ctx, rq, answer, claim)
 }
 
-func (g *Gateway) replyStream(ctx *fasthttp.RequestCtx, rq *request, answer *wheelgauge.Answer) {
+func (g *Gateway) replyStream(ctx *fasthttp.RequestCtx, rq *request, answer *wheelgauge.Response) {
 	var resume relay.Resume
 	if !rq.notRepeatable {
 		resume = g.resumeFunc(rq)
 	}
 	s := relay.New(g.ctx, answer, relay.Options{
-		Started: rq.started, Resume: resume, OnEnd: func(e relay.Ending) { g.streamEnded(rq, e) },
-		Dead: func() bool { return g.targetDead(rq) },
+		Started: rq.started, Resume: resume, OnEnd: func(e relay.Summary) { g.streamEnded(rq, e) },
+		ServerDead: func() bool { return g.targetDead(rq) },
 	})
 	ctx.Response.ImmediateHeaderFlush = true
 	ctx.SetBodyStream(s, -1)
@@ -108,32 +108,32 @@
 // resumeFunc returns a function that reopens a broken stream where it broke, within the
 // retry budget.
 func (g *Gateway) resumeFunc(rq *request) relay.Resume {
-	initialSkip := rq.call.Skip
-	return func(ctx context.Context, skip int) (*wheelgauge.Answer, error) {
+	initialSkip := rq.call.SkipTokens
+	return func(ctx context.Context, skip int) (*wheelgauge.Response, error) {
 		g.attributeLocalCrash(rq)
 		if !g.budget.TakeRetry() {
 			g.meter.Count("retries.no_budget")
 			return nil, wheelgauge.NewError(wheelgauge.ReasonBrokenStream, wheelgauge.OutcomeRan, http.StatusBadGateway, "the retry budget is exhausted")
 		}
 		g.meter.Count("streams.resumed")
-		rq.call.Skip = initialSkip + skip
+		rq.call.SkipTokens = initialSkip + skip
 		rq.callerGone = nil
 		return g.open(ctx, rq)
 	}
 }
 
 // streamEnded records how a stream ended.
-func (g *Gateway) streamEnded(rq *request, e relay.Ending) {
+func (g *Gateway) streamEnded(rq *request, e relay.Summary) {
 	defer g.serving.Leave()
 	g.meter.Add("tokens", int64(e.Tokens))
 	if e.Tokens > 0 {
-		g.meter.Observe("first_token_ms", rq.identity.Client, rq.identity.Class, e.FirstAfter)
+		g.meter.Observe("first_token_ms", rq.identity.Client, rq.identity.Class, e.TimeToFirstToken)
 	}
 	switch {
 	case e.Complete:
 		g.noteSuccess(rq)
 		g.observeAnswer(rq)
-	case e.Left:
+	case e.CallerLeft:
 		g.meter.Count("streams.left")
 		g.cancelStream(rq)
 	default:
@@ -158,7 +158,7 @@
 	}
 }
 
-func (g *Gateway) replyBuffered(ctx *fasthttp.RequestCtx, rq *request, answer *wheelgauge.Answer, claim *heldClaim) {
+func (g *Gateway) replyBuffered(ctx *fasthttp.RequestCtx, rq *request, answer *wheelgauge.Response, claim *heldClaim) {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody))
 	if err != nil {
 		_ = answer.Body.Close() // reading it has failed already
@@ -186,9 +186,9 @@
 
 // decodePeerAnswer turns an error answer of a peer into a *wheelgauge.Error; an answer
 // that a backend server gave is returned as it is.
-func decodePeerAnswer(answer *wheelgauge.Answer) (*wheelgauge.Answer, error) {
+func decodePeerAnswer(answer *wheelgauge.Response) (*wheelgauge.Response, error) {
 	outcome := answer.Header(wheelgauge.HeaderOutcome)
-	if answer.Status < http.StatusBadRequest || outcome == string(wheelgauge.OutcomeRan) && answer.Header(wheelgauge.HeaderServed) != "" {
+	if answer.Status < http.StatusBadRequest || outcome == string(wheelgauge.OutcomeRan) && answer.Header(wheelgauge.HeaderServedBy) != "" {
 		return answer, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody))
--- a/gateway/caller.go
+++ b/gateway/caller.go
@@ -40,7 +40,7 @@
 		fault = g.bodyTooLarge()
 	}
 	ctx.SetConnectionClose()
-	peerhttp.AnswerError(ctx, fault)
+	peerhttp.WriteError(ctx, fault)
 }
 
 // serveCaller handles the callers' listener.
@@ -69,7 +69,7 @@
 		return
 	}
 	conn := ctx.Conn()
-	rq.callerGone = func() bool { return rq.cancelled.Load() || callerconn.Gone(conn) }
+	rq.callerGone = func() bool { return rq.cancelled.Load() || callerconn.PeerClosed(conn) }
 	g.execute(ctx, rq)
 }
 
@@ -93,7 +93,7 @@
 		ctx.SetConnectionClose()
 	}
 	ctx.Response.Header.Set(wheelgauge.HeaderRequestID, rq.call.ID)
-	peerhttp.AnswerError(ctx, fault)
+	peerhttp.WriteError(ctx, fault)
 }
 
 // serveEntry answers GET /v1/entry.
@@ -101,14 +101,14 @@
 	var rq request
 	err := g.identify(&ctx.Request.Header, &rq)
 	if err != nil && wheelgauge.AsError(err).Reason() != wheelgauge.ReasonResidency {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	g.meter.Count("entry.lists")
-	peerhttp.Answer(ctx, wheelgauge.EntryList{Entries: g.entries(&rq), TTLMS: g.options.EntryTTL.Milliseconds()})
+	peerhttp.WriteJSON(ctx, wheelgauge.EntryList{Entries: g.entries(&rq), TTLMS: g.options.EntryTTL.Milliseconds()})
 }
 
-func (g *Gateway) entries(rq *request) []wheelgauge.Entry {
+func (g *Gateway) entries(rq *request) []wheelgauge.EntryHost {
 	return entrylist.List(rq.catalog, rq.identity, g.options.Region, g.usable)
 }
 
@@ -116,7 +116,7 @@
 func (rq *request) homeRegion() string {
 	regions := rq.catalog.AllowedRegions(rq.identity)
 	for _, region := range regions {
-		if region == rq.identity.Home {
+		if region == rq.identity.HomeRegion {
 			return region
 		}
 	}
--- a/gateway/claim.go
+++ b/gateway/claim.go
@@ -32,7 +32,7 @@
 // repeatable and carries a key. It returns nil where no claim is needed, a
 // claim in state new when it was granted, or in state done with the answer.
 func (g *Gateway) claim(rq *request) (*heldClaim, error) {
-	if !rq.notRepeatable || rq.call.Key == "" || rq.forwarded {
+	if !rq.notRepeatable || rq.call.IdempotencyKey == "" || rq.forwarded {
 		return nil, nil
 	}
 	region := rq.homeRegion()
@@ -40,10 +40,10 @@
 	if address == "" {
 		return nil, claimStoreError("the client's home region has no claim store")
 	}
-	if region != g.options.Region && g.node.RegionGone(region) {
+	if region != g.options.Region && g.node.RegionUnreachable(region) {
 		return nil, claimStoreError("the client's home region is unreachable")
 	}
-	c := wheelgauge.Claim{Client: rq.identity.Client, Key: rq.call.Key, Digest: requestDigest(rq), Holder: rq.call.ID, State: wheelgauge.ClaimNew}
+	c := wheelgauge.Claim{Client: rq.identity.Client, Key: rq.call.IdempotencyKey, Digest: requestDigest(rq), Holder: rq.call.ID, State: wheelgauge.ClaimNew}
 	got, err := g.requestClaim(address, c)
 	if err != nil {
 		return nil, g.claimFailed(address, c, err)
@@ -75,7 +75,7 @@
 	}
 	if !peerhttp.NotSent(err) {
 		c.State = wheelgauge.ClaimReleased
-		if _, err := g.postClaim(g.client.CallFresh, address, c, releaseTimeout); err != nil {
+		if _, err := g.postClaim(g.client.CallNewConn, address, c, releaseTimeout); err != nil {
 			g.meter.Count("claims.not_given_back")
 		}
 	}
@@ -91,7 +91,7 @@
 	if _, refused := errors.AsType[*wheelgauge.Error](err); err == nil || refused || time.Since(started) > claimTimeout/2 {
 		return got, err
 	}
-	return g.postClaim(g.client.CallFresh, address, c, claimTimeout/2)
+	return g.postClaim(g.client.CallNewConn, address, c, claimTimeout/2)
 }
 
 // callFunc calls a peer, on a pooled or a fresh connection.
@@ -121,16 +121,16 @@
 }
 
 // recordAnswer stores the answer for retries with the same key.
-func (g *Gateway) recordAnswer(c *heldClaim, answer *wheelgauge.Answer, body []byte) {
+func (g *Gateway) recordAnswer(c *heldClaim, answer *wheelgauge.Response, body []byte) {
 	if c == nil {
 		return
 	}
-	g.endClaim(c, wheelgauge.Claim{State: wheelgauge.ClaimDone, Status: answer.Status, Type: answer.ContentType, Body: body})
+	g.endClaim(c, wheelgauge.Claim{State: wheelgauge.ClaimDone, Status: answer.Status, ContentType: answer.ContentType, Body: body})
 }
 
 func (g *Gateway) endClaim(c *heldClaim, ended wheelgauge.Claim) {
 	ended.Client, ended.Key, ended.Digest, ended.Holder = c.Client, c.Key, c.Digest, c.Holder
-	if _, err := g.postClaim(g.client.CallFresh, c.store, ended, recordTimeout); err != nil {
+	if _, err := g.postClaim(g.client.CallNewConn, c.store, ended, recordTimeout); err != nil {
 		g.meter.Count("claims.not_recorded")
 		g.options.Log.Error(err, "Claim outcome is not recorded; retries with this key get an unknown outcome.")
 	}
@@ -141,9 +141,9 @@
 	h := &ctx.Response.Header
 	h.Set(wheelgauge.HeaderRequestID, rq.call.ID)
 	h.Set(wheelgauge.HeaderOutcome, string(wheelgauge.OutcomeRan))
-	h.Set(wheelgauge.HeaderServed, "record")
+	h.Set(wheelgauge.HeaderServedBy, "record")
 	ctx.SetStatusCode(c.Status)
-	ctx.SetContentType(c.Type)
+	ctx.SetContentType(c.ContentType)
 	ctx.SetBody(c.Body)
 	g.observeAnswer(rq)
 	g.serving.Leave()
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -28,14 +28,16 @@
 
 // checkQuarantine refuses a request that crashed the servers which ran it.
 func (g *Gateway) checkQuarantine(rq *request) error {
-	if !g.quarantine.Holds(len(rq.call.Body), rq.fingerprint) {
+	if !g.quarantine.IsQuarantined(len(rq.call.Body), rq.fingerprint) {
 		return nil
 	}
-	return quarantine.Refusal()
+	return quarantine.RejectionError()
 }
 
 // noteSuccess records that a request completed, so earlier crashes were not caused by it.
-func (g *Gateway) noteSuccess(rq *request) { g.quarantine.Ran(len(rq.call.Body), rq.fingerprint) }
+func (g *Gateway) noteSuccess(rq *request) {
+	g.quarantine.RecordSuccess(len(rq.call.Body), rq.fingerprint)
+}
 
 // attributeLocalCrash calls attributeCrash for the server that answers a request, if it is in
 // this region.
@@ -51,13 +53,13 @@
 	if s == nil || rq.callerLeft() || g.expired(rq) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(g.ctx, quarantine.InquestLimit)
+	ctx, cancel := context.WithTimeout(g.ctx, quarantine.ProbeTimeout)
 	defer cancel()
 	if g.servers.Reachable(ctx, s.Address) {
 		return
 	}
 	instance := fmt.Sprint(s.Name, "@", time.Now().Unix()/int64(instanceWindow.Seconds()))
-	crashes := g.quarantine.Ended(wheelgauge.Crash{Request: rq.fingerprint(), Size: len(rq.call.Body), Server: instance})
+	crashes := g.quarantine.RecordCrash(wheelgauge.Crash{Fingerprint: rq.fingerprint(), BodyBytes: len(rq.call.Body), Server: instance})
 	g.meter.Count("servers.ended")
 	g.options.Log.Info("A server ended with a request in flight.", "id", rq.call.ID, "request", rq.fingerprint(), "server", instance, "ends", crashes)
 }
--- a/gateway/deadline_test.go
+++ b/gateway/deadline_test.go
@@ -26,7 +26,7 @@
 	}
 	for _, tt := range tests {
 		var h fasthttp.RequestHeader
-		h.Set(wheelgauge.HeaderDeadline, tt.text)
+		h.Set(wheelgauge.HeaderDeadlineMS, tt.text)
 		if got, err := parseDeadline(&h, fallback); got != tt.want || (err != nil) != tt.bad {
 			t.Errorf("%q: %v, %v, want %v", tt.text, got, err, tt.want)
 		}
--- a/gateway/decide_test.go
+++ b/gateway/decide_test.go
@@ -25,10 +25,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &Gateway{
 		options: Options{
-			Host: "h0", Region: "r0", Picker: affinity.New(0), LongestWait: 10 * time.Second,
-			Decider: away.New(away.PolicyCost, away.Weights{Second: 1, Share: 0.05, ColdPrefill: 60 * time.Millisecond}),
+			Host: "h0", Region: "r0", Picker: affinity.New(0), MaxWait: 10 * time.Second,
+			Decider: away.New(away.PolicyCost, away.Weights{SecondValue: 1, ForwardCost: 0.05, ColdPrefill: 60 * time.Millisecond}),
 		},
-		setAside: setaside.New(), meter: meter.New(), clock: wheelgauge.SteadyClock{}, ctx: ctx, cancel: cancel,
+		setAside: setaside.New(), meter: meter.New(), clock: wheelgauge.MonotonicClock{}, ctx: ctx, cancel: cancel,
 	}
 	g.node = membership.Start(ctx, membership.Options{
 		Host: "h0", Region: "r0", Interval: time.Hour, Catalog: func() *catalog.Catalog { return nil }, Log: logr.Discard(),
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -28,7 +28,7 @@
 
 // open dispatches a request and returns the answer with its body unread. Its
 // error has the outcome not-run only if that holds for every attempt.
-func (g *Gateway) open(ctx context.Context, rq *request) (*wheelgauge.Answer, error) {
+func (g *Gateway) open(ctx context.Context, rq *request) (*wheelgauge.Response, error) {
 	answer, err := g.dispatch(ctx, rq)
 	if err != nil && rq.mayHaveRun && hasOutcome(err, wheelgauge.OutcomeNotRun) {
 		err = wheelgauge.AsError(err).WithOutcome(wheelgauge.OutcomeUnknown)
@@ -38,7 +38,7 @@
 
 // dispatch chooses the region and the server. A call that is not repeatable is never
 // dispatched again once a byte of it may have been sent.
-func (g *Gateway) dispatch(ctx context.Context, rq *request) (*wheelgauge.Answer, error) {
+func (g *Gateway) dispatch(ctx context.Context, rq *request) (*wheelgauge.Response, error) {
 	if err := g.checkQuarantine(rq); err != nil {
 		return nil, err
 	}
@@ -72,7 +72,7 @@
 }
 
 // sendLocal tries servers of this region, within the retry budget.
-func (g *Gateway) sendLocal(ctx context.Context, rq *request) (*wheelgauge.Answer, error) {
+func (g *Gateway) sendLocal(ctx context.Context, rq *request) (*wheelgauge.Response, error) {
 	var tried []string
 	var last error
 	g.budget.FirstAttempt()
@@ -138,7 +138,7 @@
 	}
 	i := g.options.Picker.Pick(rq.prefix, cs.candidates)
 	name := cs.candidates[i].Name
-	g.setAside.Chosen(name)
+	g.setAside.CallStarted(name)
 	return rq.catalog.Server(name), true
 }
 
@@ -151,19 +151,19 @@
 
 // sendTo dispatches a request to one server and counts it as in flight until the
 // answer is closed.
-func (g *Gateway) sendTo(ctx context.Context, rq *request, s *catalog.Server) (*wheelgauge.Answer, error) {
+func (g *Gateway) sendTo(ctx context.Context, rq *request, s *catalog.Server) (*wheelgauge.Response, error) {
 	started := time.Now()
 	sent := g.clock.Now()
 	call := rq.call // a copy, as an abandoned call goes on using it
 	call.Deadline = g.localDeadline(rq)
 	listener := &pushbackListener{gateway: g, server: s.Name}
-	call.Heard = listener.observe
+	call.OnResponse = listener.observe
 	g.inflight.Start(s.Name)
 	g.inflight.Start(rq.route.Pool)
 	g.inflight.StartPending(s.Name, started)
 	g.inflight.StartPending(rq.route.Pool, started)
 	answer, err := g.sendWatched(rq,
-		func() (*wheelgauge.Answer, error) { return g.adapter(rq).Send(ctx, s.Address, &call) },
+		func() (*wheelgauge.Response, error) { return g.adapter(rq).Send(ctx, s.Address, &call) },
 		func() { g.cancelCall(rq, s.Address) },
 		func() bool { return !rq.notRepeatable && g.serverDead(s.Name) })
 	g.endPending(s.Name, started, err)
@@ -178,7 +178,7 @@
 		return nil, err
 	}
 	if !listener.backoff.Load() {
-		g.setAside.Worked(s.Name)
+		g.setAside.Succeeded(s.Name)
 	}
 	g.observeLimit(s.Name, answer, sent)
 	rq.target.Store(&target{server: s.Name, region: g.options.Region})
@@ -197,14 +197,14 @@
 
 // callResult is the result of a dispatched call.
 type callResult struct {
-	answer *wheelgauge.Answer
+	answer *wheelgauge.Response
 	err    error
 }
 
 // sendWatched dispatches by send and checks two things until an answer arrives: if the
 // caller has left, the work is cancelled; if the other side is known to be dead, the wait
 // ends with an unknown outcome.
-func (g *Gateway) sendWatched(rq *request, send func() (*wheelgauge.Answer, error), cancel func(), dead func() bool) (*wheelgauge.Answer, error) {
+func (g *Gateway) sendWatched(rq *request, send func() (*wheelgauge.Response, error), cancel func(), dead func() bool) (*wheelgauge.Response, error) {
 	done := make(chan callResult, 1)
 	g.background.Go(func() {
 		answer, err := send()
@@ -288,16 +288,16 @@
 
 const shareSteps = 1 << 20
 
-func (g *Gateway) sendOldPath(ctx context.Context, rq *request, address string) (*wheelgauge.Answer, error) {
+func (g *Gateway) sendOldPath(ctx context.Context, rq *request, address string) (*wheelgauge.Response, error) {
 	name, now := oldPathServer+" "+address, g.clock.Now()
 	if state := g.pushbacks.lookup(name, membership.ServerState{}, now); !state.Allows(now) {
-		return nil, backoffError(rq, "the old path", max(minOldPathRetry, state.Left(now)))
+		return nil, backoffError(rq, "the old path", max(minOldPathRetry, state.Remaining(now)))
 	}
 	g.meter.Count("old_path")
 	rq.target.Store(&target{server: oldPathServer, region: g.options.Region})
 	call := rq.call
 	call.Deadline = g.localDeadline(rq)
-	call.Heard = (&pushbackListener{gateway: g, server: name}).observe
+	call.OnResponse = (&pushbackListener{gateway: g, server: name}).observe
 	answer, err := g.adapter(rq).Send(ctx, address, &call)
 	if err != nil {
 		return nil, fmt.Errorf("old path: %w", err)
@@ -306,7 +306,7 @@
 }
 
 // forward sends a request to a gateway of another region, once.
-func (g *Gateway) forward(ctx context.Context, rq *request, region string) (*wheelgauge.Answer, error) {
+func (g *Gateway) forward(ctx context.Context, rq *request, region string) (*wheelgauge.Response, error) {
 	g.meter.Count("away.sent")
 	started := time.Now()
 	g.inflight.Start(regionCounter(region))
@@ -317,13 +317,13 @@
 		g.inflight.End(regionCounter(region), 0)
 		return nil, err
 	}
-	rq.target.Store(&target{server: answer.Header(wheelgauge.HeaderServed), region: region, host: host})
+	rq.target.Store(&target{server: answer.Header(wheelgauge.HeaderServedBy), region: region, host: host})
 	answer.Body = &notifyingBody{ReadCloser: answer.Body, onClose: func() { g.inflight.End(regionCounter(region), 0) }}
 	return answer, nil
 }
 
 // forwardToRegion tries the hosts of a region until one answers, and returns its name.
-func (g *Gateway) forwardToRegion(ctx context.Context, rq *request, region string) (*wheelgauge.Answer, string, error) {
+func (g *Gateway) forwardToRegion(ctx context.Context, rq *request, region string) (*wheelgauge.Response, string, error) {
 	err := error(wheelgauge.NewError(wheelgauge.ReasonNoServer, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "no host of "+region+" can be reached"))
 	for i, entry := range g.regionEntries(rq, region) {
 		h := rq.catalog.Host(entry.Host)
@@ -331,10 +331,12 @@
 			continue
 		}
 		call := g.forwardCall(rq)
-		var answer *wheelgauge.Answer
+		var answer *wheelgauge.Response
 		answer, err = g.sendWatched(rq,
-			func() (*wheelgauge.Answer, error) { return g.forwardToHost(ctx, call, h.Peer, rq.notRepeatable) },
-			func() { g.cancelPeer(rq, h.Peer) },
+			func() (*wheelgauge.Response, error) {
+				return g.forwardToHost(ctx, call, h.PeerAddress, rq.notRepeatable)
+			},
+			func() { g.cancelPeer(rq, h.PeerAddress) },
 			func() bool { return !rq.notRepeatable && g.peerDead(region, h.Name) })
 		if err == nil {
 			return answer, h.Name, nil
@@ -348,11 +350,11 @@
 
 // peerDead reports whether a host of another region is known to be dead.
 func (g *Gateway) peerDead(region, host string) bool {
-	return g.node.RegionGone(region) || g.node.HostDown(region, host)
+	return g.node.RegionUnreachable(region) || g.node.HostUnavailable(region, host)
 }
 
-func (g *Gateway) regionEntries(rq *request, region string) []wheelgauge.Entry {
-	var out []wheelgauge.Entry
+func (g *Gateway) regionEntries(rq *request, region string) []wheelgauge.EntryHost {
+	var out []wheelgauge.EntryHost
 	for _, e := range g.entries(rq) {
 		if e.Region == region {
 			out = append(out, e)
@@ -369,11 +371,11 @@
 		call.Path = pathForward + "/s" + rq.call.Path
 	}
 	call.Deadline = g.localDeadline(rq)
-	call.Extra = forwardHeaders(rq, g.options.Region, time.Until(call.Deadline))
+	call.ExtraHeaders = forwardHeaders(rq, g.options.Region, time.Until(call.Deadline))
 	return &call
 }
 
-func (g *Gateway) forwardToHost(ctx context.Context, call *wheelgauge.Call, address string, fresh bool) (*wheelgauge.Answer, error) {
+func (g *Gateway) forwardToHost(ctx context.Context, call *wheelgauge.Call, address string, fresh bool) (*wheelgauge.Response, error) {
 	answer, err := g.peers.Send(ctx, address, call, fresh)
 	if err != nil {
 		return nil, err
@@ -387,14 +389,14 @@
 		{wheelgauge.HeaderForwardedFrom, from},
 		{wheelgauge.HeaderClient, rq.identity.Client},
 		{wheelgauge.HeaderClass, rq.identity.Class},
-		{wheelgauge.HeaderHome, rq.identity.Home},
-		{wheelgauge.HeaderDeadline, fmt.Sprint(max(1, left.Milliseconds()))},
+		{wheelgauge.HeaderHome, rq.identity.HomeRegion},
+		{wheelgauge.HeaderDeadlineMS, fmt.Sprint(max(1, left.Milliseconds()))},
 	}
 	if rq.notRepeatable {
 		out = append(out, [2]string{wheelgauge.HeaderNotRepeatable, "true"})
 	}
 	if rq.mustAccept {
-		out = append(out, [2]string{wheelgauge.HeaderMust, "true"})
+		out = append(out, [2]string{wheelgauge.HeaderMustAccept, "true"})
 	}
 	return out
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -36,41 +36,41 @@
 
 // Options of a Gateway. Addresses are IP:port.
 type Options struct {
-	Host     string
-	Region   string
-	Hall     string
-	Caller   string
-	Peer     string
-	Operator string
-	// Source is the local IP address of outgoing connections; may be empty.
-	Source string
-	Stores []string
-	Peers  []string
-	Dir    string
+	Host            string
+	Region          string
+	Hall            string
+	CallerAddress   string
+	PeerAddress     string
+	OperatorAddress string
+	// SourceIP is the local IP address of outgoing connections; may be empty.
+	SourceIP       string
+	StoreAddresses []string
+	PeerAddresses  []string
+	DataDir        string
 
-	HeaderBytes int
-	BodyBytes   int
-	Conns       int
-	ReadTimeout time.Duration
-	// LongestWait is the longest expected wait for a server at which work of the highest
+	MaxHeaderBytes int
+	MaxBodyBytes   int
+	MaxConns       int
+	ReadTimeout    time.Duration
+	// MaxWait is the longest expected wait for a server at which work of the highest
 	// priority is still accepted.
-	LongestWait   time.Duration
-	DefaultLimit  time.Duration
-	DrainNotice   time.Duration
-	EntryTTL      time.Duration
-	Heartbeat     time.Duration
-	WatchWait     time.Duration
-	StoreSilent   time.Duration
-	AffinityBytes int
+	MaxWait           time.Duration
+	DefaultDeadline   time.Duration
+	DrainNotice       time.Duration
+	EntryTTL          time.Duration
+	HeartbeatInterval time.Duration
+	WatchWait         time.Duration
+	StoreTimeout      time.Duration
+	AffinityBytes     int
 
 	Picker    wheelgauge.Picker
 	Decider   *away.Decider
-	Directory wheelgauge.Directory
+	Directory wheelgauge.ClientDirectory
 	HostList  wheelgauge.HostList
 	CallerTLS *tls.Config
 	PeerTLS   *tls.Config
 	// Secure secures connections to peers; nil on loopback.
-	Secure peerhttp.Secure
+	Secure peerhttp.TLSConfigFunc
 	// Clock is used for ages and deadlines; when nil, a clock that counts suspended time.
 	Clock wheelgauge.Clock
 	Log   logr.Logger
@@ -92,13 +92,13 @@
 	node     *membership.Node
 	limiter  *admission.Limiter
 	budget   *admission.RetryBudget
-	setAside *setaside.Table
+	setAside *setaside.Breakers
 	// quarantine refuses requests that crash servers.
 	quarantine *quarantine.Table
 	// limits are those that servers have stated; permits enforces them over all hosts of the
 	// region.
 	limits    *serverlimit.Table
-	permits   wheelgauge.Permits
+	permits   wheelgauge.PermitSource
 	deferrals deferrals
 	pushbacks pushbackTable
 	inflight  inflight.Table
@@ -121,10 +121,10 @@
 // Open starts a gateway. It serves requests as soon as a configuration is in force.
 func Open(ctx context.Context, o Options) (*Gateway, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	plainDialer, peerDialer := peerhttp.NewDialer(o.Source, nil), peerhttp.NewDialer(o.Source, o.Secure)
+	plainDialer, peerDialer := peerhttp.NewDialer(o.SourceIP, nil), peerhttp.NewDialer(o.SourceIP, o.Secure)
 	clock := o.Clock
 	if clock == nil {
-		clock = bootclock.OrSteady(o.Log)
+		clock = bootclock.NewOrMonotonic(o.Log)
 	}
 	g := &Gateway{
 		options: o, boot: uint64(time.Now().UnixNano()), meter: meter.New(), clock: clock, client: peerhttp.NewClient(peerDialer, ""),
@@ -136,36 +136,36 @@
 	g.engine = engine.New(g.servers, plain)
 	g.service = service.New(g.servers, plain)
 	g.watcher = confwatch.Start(ctx, confwatch.Options{
-		Host: o.Host, Region: o.Region, Stores: o.Stores, Peers: o.Peers, Dir: o.Dir, Wait: o.WatchWait, Silent: o.StoreSilent,
-		Client: g.client, Log: o.Log.WithName("config"), OnMove: func() { g.meter.Count("config.store_moves") },
+		Host: o.Host, Region: o.Region, StoreAddresses: o.StoreAddresses, PeerAddresses: o.PeerAddresses, DataDir: o.DataDir, WatchWait: o.WatchWait, StoreTimeout: o.StoreTimeout,
+		Client: g.client, Log: o.Log.WithName("config"), OnStoreChange: func() { g.meter.Count("config.store_moves") },
 	})
 	g.node = membership.Start(ctx, membership.Options{
-		Host: o.Host, Region: o.Region, Hall: o.Hall, Boot: g.boot, Interval: o.Heartbeat, Client: g.client,
-		Catalog: g.watcher.Current, Poll: g.pollLoad, Asks: g.waitingByPool, Crashes: g.quarantine, Limits: g.limits, Clock: clock, Log: o.Log.WithName("members"),
+		Host: o.Host, Region: o.Region, Hall: o.Hall, Boot: g.boot, Interval: o.HeartbeatInterval, Client: g.client,
+		Catalog: g.watcher.Current, Poll: g.pollLoad, Forwardable: g.waitingByPool, Crashes: g.quarantine, Limits: g.limits, Clock: clock, Log: o.Log.WithName("members"),
 	})
 	g.hints = startHints(ctx, o.HostList, o.Log.WithName("hosts"))
 	if err := g.listen(); err != nil {
 		return nil, errors.Join(err, g.Close(ctx))
 	}
-	o.Log.Info("Gateway serves.", "caller", o.Caller, "peer", o.Peer)
+	o.Log.Info("Gateway serves.", "caller", o.CallerAddress, "peer", o.PeerAddress)
 	return g, nil
 }
 
 // listen starts the operators' listener last, because its handlers use the other two.
 func (g *Gateway) listen() error {
 	var err error
-	g.callerServer, err = httpserve.Listen(g.options.Caller, g.serveCaller, httpserve.Options{
-		TLS: g.options.CallerTLS, HeaderBytes: g.options.HeaderBytes, BodyBytes: g.options.BodyBytes, Conns: g.options.Conns, ReadTimeout: g.options.ReadTimeout,
+	g.callerServer, err = httpserve.Listen(g.options.CallerAddress, g.serveCaller, httpserve.Options{
+		TLS: g.options.CallerTLS, MaxHeaderBytes: g.options.MaxHeaderBytes, MaxBodyBytes: g.options.MaxBodyBytes, MaxConns: g.options.MaxConns, ReadTimeout: g.options.ReadTimeout,
 		StreamBodies: true, HeaderReceived: g.headerReceived, OnError: g.answerReadError,
 	})
 	if err != nil {
 		return fmt.Errorf("start gateway: %w", err)
 	}
-	g.peerServer, err = httpserve.Listen(g.options.Peer, g.servePeer, httpserve.Options{TLS: g.options.PeerTLS, BodyBytes: g.options.BodyBytes, OnError: g.answerReadError})
+	g.peerServer, err = httpserve.Listen(g.options.PeerAddress, g.servePeer, httpserve.Options{TLS: g.options.PeerTLS, MaxBodyBytes: g.options.MaxBodyBytes, OnError: g.answerReadError})
 	if err != nil {
 		return fmt.Errorf("start gateway: %w", err)
 	}
-	g.operatorServer, err = httpserve.Listen(g.options.Operator, g.serveOperator, httpserve.Options{})
+	g.operatorServer, err = httpserve.Listen(g.options.OperatorAddress, g.serveOperator, httpserve.Options{})
 	if err != nil {
 		return fmt.Errorf("start gateway: %w", err)
 	}
@@ -184,7 +184,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	g.serving.Shut()
+	g.serving.Close()
 	if err := g.serving.Wait(ctx); err != nil {
 		g.options.Log.Info("Drain timed out; open requests are cut off.", "open", g.serving.Count())
 	}
@@ -193,7 +193,7 @@
 // Close stops the listeners, waits for the requests in flight until ctx ends,
 // and then stops all background work.
 func (g *Gateway) Close(ctx context.Context) error {
-	g.serving.Shut()
+	g.serving.Close()
 	var errs []error
 	for _, s := range []*httpserve.Server{g.callerServer, g.peerServer, g.operatorServer} {
 		if s != nil {
@@ -251,7 +251,7 @@
 		return !g.draining.Load()
 	}
 	if h.Region != g.options.Region {
-		return !g.node.RegionKnown(h.Region) || g.node.Region(h.Region).Hosts > 0 && !g.node.HostDown(h.Region, h.Name)
+		return !g.node.RegionKnown(h.Region) || g.node.Region(h.Region).Hosts > 0 && !g.node.HostUnavailable(h.Region, h.Name)
 	}
-	return g.node.HostAlive(h.Name)
+	return g.node.HostAvailable(h.Name)
 }
--- a/gateway/hints.go
+++ b/gateway/hints.go
@@ -41,7 +41,7 @@
 		return nil
 	}
 	h.read(ctx)
-	return every.Interval(ctx, hintsInterval, h.read)
+	return every.Run(ctx, hintsInterval, h.read)
 }
 
 func (h *hints) read(ctx context.Context) {
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -56,23 +56,23 @@
 	g.limits = serverlimit.New(g.clock.Now)
 	g.deferrals.limits = g.limits
 	g.permits = permitclient.New(permitclient.Options{
-		Host: g.options.Host, Limits: g.limits, Stores: g.permitStores, Sharers: g.liveHosts, Ask: g.requestPermit, Now: g.clock.Now,
+		Host: g.options.Host, Limits: g.limits, Stores: g.permitStores, Sharers: g.liveHosts, Request: g.requestPermit, Now: g.clock.Now,
 	})
 }
 
 // observeLimit reads a server's limit from its answer to a call that was sent at the given time.
-func (g *Gateway) observeLimit(server string, answer *wheelgauge.Answer, sent time.Time) {
+func (g *Gateway) observeLimit(server string, answer *wheelgauge.Response, sent time.Time) {
 	text := answer.Header(wheelgauge.HeaderLimit)
 	rate, named := serverlimit.Parse(text)
 	switch {
 	case named:
-		if g.limits.Named(server, rate) {
+		if g.limits.ObserveLimit(server, rate) {
 			g.meter.Count("servers.limited")
 			g.options.Log.Info("A server names a limit.", "server", server, "rate", rate)
 		}
 	case text != "":
 		g.meter.Count("servers.limit.unreadable")
-	case answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices && g.limits.Absent(server, sent):
+	case answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices && g.limits.ObserveNoLimit(server, sent):
 		g.options.Log.Info("A server's limit ends.", "server", server)
 	}
 }
@@ -102,7 +102,7 @@
 	}
 	permitCtx, cancel := context.WithDeadline(ctx, g.localDeadline(rq))
 	defer cancel()
-	return g.permits.Take(permitCtx, server, 0)
+	return g.permits.Acquire(permitCtx, server, 0)
 }
 
 // permitStores returns the stores of the region, whose hubs issue permits. In a region without
@@ -115,14 +115,14 @@
 	var out []wheelgauge.RegionStore
 	var names []string
 	for _, h := range c.Hosts(g.options.Region) {
-		if h.Store != "" {
-			out = append(out, wheelgauge.RegionStore{Address: h.Store, Answers: true})
+		if h.StoreAddress != "" {
+			out = append(out, wheelgauge.RegionStore{Address: h.StoreAddress, Reachable: true})
 		}
 		names = append(names, h.Name)
 	}
 	if len(out) == 0 && len(names) > 0 {
 		first := c.Host(rendezvous.Top(g.options.Region, names, 1)[0])
-		out = append(out, wheelgauge.RegionStore{Address: first.Peer, Answers: true})
+		out = append(out, wheelgauge.RegionStore{Address: first.PeerAddress, Reachable: true})
 	}
 	return out
 }
@@ -135,7 +135,7 @@
 	}
 	var out []string
 	for _, h := range c.Hosts(g.options.Region) {
-		if h.Name == g.options.Host || g.node.HostAlive(h.Name) {
+		if h.Name == g.options.Host || g.node.HostAvailable(h.Name) {
 			out = append(out, h.Name)
 		}
 	}
@@ -143,9 +143,9 @@
 	return out
 }
 
-func (g *Gateway) requestPermit(ctx context.Context, address string, req wheelgauge.PermitAsk) (a wheelgauge.PermitAnswer, err error) {
-	if address == g.options.Peer {
-		return g.node.Hub().Permit(req), nil
+func (g *Gateway) requestPermit(ctx context.Context, address string, req wheelgauge.PermitRequest) (a wheelgauge.PermitResponse, err error) {
+	if address == g.options.PeerAddress {
+		return g.node.LocalHub().Permit(req), nil
 	}
 	err = g.client.Call(ctx, http.MethodPost, address, permitclient.Path, req, &a)
 	return a, err
--- a/gateway/peer.go
+++ b/gateway/peer.go
@@ -19,16 +19,16 @@
 func (g *Gateway) servePeer(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
-	case path == membership.PathBeat:
-		peerhttp.Serve(ctx, peerhttp.Infallible(g.node.Hub().Beat))
+	case path == membership.PathHeartbeat:
+		peerhttp.Serve(ctx, peerhttp.NoError(g.node.LocalHub().Heartbeat))
 	case path == permitclient.Path:
-		peerhttp.Serve(ctx, peerhttp.Infallible(g.node.Hub().Permit))
+		peerhttp.Serve(ctx, peerhttp.NoError(g.node.LocalHub().Permit))
 	case path == membership.PathSummary:
-		peerhttp.Serve(ctx, peerhttp.Infallible(g.node.Hub().Exchange))
+		peerhttp.Serve(ctx, peerhttp.NoError(g.node.LocalHub().Exchange))
 	case path == confwatch.PathList:
-		peerhttp.Answer(ctx, g.watcher.List())
+		peerhttp.WriteJSON(ctx, g.watcher.List())
 	case path == confwatch.PathGeneration:
-		peerhttp.Answer(ctx, wheelgauge.WatchAnswer{Generation: g.watcher.List().Generation})
+		peerhttp.WriteJSON(ctx, wheelgauge.WatchResponse{Generation: g.watcher.List().Generation})
 	case path == pathCancel:
 		if rq, ok := g.forwarded.Load(string(ctx.QueryArgs().Peek("id"))); ok {
 			rq.(*request).cancelled.Store(true)
@@ -61,15 +61,15 @@
 	rq.call.Path = strings.TrimPrefix(string(ctx.RequestURI()), pathForward)
 	rq.call.ContentType = string(h.ContentType())
 	rq.call.Body = append([]byte(nil), ctx.PostBody()...)
-	rq.call.Key = string(h.Peek(wheelgauge.HeaderIdempotency))
-	rq.call.Skip, _ = strconv.Atoi(string(h.Peek("X-Resume-From")))
+	rq.call.IdempotencyKey = string(h.Peek(wheelgauge.HeaderIdempotencyKey))
+	rq.call.SkipTokens, _ = strconv.Atoi(string(h.Peek("X-Resume-From")))
 	rq.call.Priority, _ = strconv.Atoi(string(h.Peek("X-Priority")))
 	rq.notRepeatable = len(h.Peek(wheelgauge.HeaderNotRepeatable)) > 0
-	rq.mustAccept = len(h.Peek(wheelgauge.HeaderMust)) > 0
+	rq.mustAccept = len(h.Peek(wheelgauge.HeaderMustAccept)) > 0
 	rq.identity = wheelgauge.Identity{
-		Client: string(h.Peek(wheelgauge.HeaderClient)), Class: string(h.Peek(wheelgauge.HeaderClass)), Home: string(h.Peek(wheelgauge.HeaderHome)),
+		Client: string(h.Peek(wheelgauge.HeaderClient)), Class: string(h.Peek(wheelgauge.HeaderClass)), HomeRegion: string(h.Peek(wheelgauge.HeaderHome)),
 	}
-	limit, err := parseDeadline(h, g.options.DefaultLimit)
+	limit, err := parseDeadline(h, g.options.DefaultDeadline)
 	rq.call.Deadline = rq.started.Add(limit)
 	if err != nil {
 		return rq, err
@@ -98,7 +98,7 @@
 }
 
 type serverStatus struct {
-	wheelgauge.ServerEntry
+	wheelgauge.ServerStatus
 	InFlight int `json:"in_flight"`
 }
 
@@ -111,12 +111,12 @@
 		g.meter.WriteJSON(ctx)
 	case "/ready":
 		if _, err := g.currentCatalog(); err != nil || g.draining.Load() {
-			peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonNoConfiguration, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "not ready"))
+			peerhttp.WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonNoConfiguration, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "not ready"))
 			return
 		}
-		peerhttp.Answer(ctx, struct{}{})
+		peerhttp.WriteJSON(ctx, struct{}{})
 	case "/status":
-		peerhttp.Answer(ctx, g.status())
+		peerhttp.WriteJSON(ctx, g.status())
 	default:
 		peerhttp.NotFound(ctx)
 	}
@@ -127,24 +127,24 @@
 		g.meter.Gauge("config.generation", int64(c.Generation()))
 	}
 	g.meter.Gauge("config.since_progress_ms", time.Since(g.watcher.LastProgress()).Milliseconds())
-	g.meter.Gauge("requests.condemned", int64(len(g.quarantine.Condemned())))
-	g.meter.Gauge("connections.callers", int64(g.callerServer.Open()))
-	g.meter.Gauge("connections.peers", int64(g.peerServer.Open()))
+	g.meter.Gauge("requests.condemned", int64(len(g.quarantine.Quarantined())))
+	g.meter.Gauge("connections.callers", int64(g.callerServer.OpenConns()))
+	g.meter.Gauge("connections.peers", int64(g.peerServer.OpenConns()))
 }
 
 func (g *Gateway) status() statusAnswer {
 	out := statusAnswer{
 		Host: g.options.Host, Region: g.options.Region, Draining: g.draining.Load(), Hub: g.node.HubAddress(),
 		SinceProgress:   time.Since(g.watcher.LastProgress()).Round(time.Millisecond).String(),
-		OpenConnections: map[string]int{"callers": g.callerServer.Open(), "peers": g.peerServer.Open()},
+		OpenConnections: map[string]int{"callers": g.callerServer.OpenConns(), "peers": g.peerServer.OpenConns()},
 	}
 	c := g.watcher.Current()
 	if c == nil {
 		return out
 	}
 	out.Generation = c.Generation()
-	for _, s := range c.RegionServers(g.options.Region) {
-		out.Servers = append(out.Servers, serverStatus{g.node.Server(s.Name).ServerEntry, g.inflight.Count(s.Name)})
+	for _, s := range c.ServersInRegion(g.options.Region) {
+		out.Servers = append(out.Servers, serverStatus{g.node.Server(s.Name).ServerStatus, g.inflight.Count(s.Name)})
 	}
 	for _, region := range c.Regions() {
 		if region != g.options.Region {
--- a/gateway/pushback.go
+++ b/gateway/pushback.go
@@ -66,8 +66,8 @@
 	if row == nil {
 		return pushback.State{}
 	}
-	if !state.Since.IsZero() {
-		row.Returned(state.Since)
+	if !state.RecoveredAt.IsZero() {
+		row.Returned(state.RecoveredAt)
 	}
 	switch {
 	case state.Leaving:
@@ -78,7 +78,7 @@
 	default:
 		row.Listed(now)
 	}
-	if row.Over(now) {
+	if row.Expired(now) {
 		delete(t.rows, server)
 		t.nonEmpty.Store(len(t.rows) > 0)
 	}
@@ -115,7 +115,7 @@
 	case ok && wait > 0:
 		l.backoff.Store(true)
 		g.meter.Count("servers.backoffs")
-		g.setAside.Worked(l.server) // the server has said itself when it takes work again
+		g.setAside.Succeeded(l.server) // the server has said itself when it takes work again
 		if g.pushbacks.backOff(l.server, wait, now) {
 			g.options.Log.Info("A server asks to back off.", "server", l.server, "backoff_ms", wait.Milliseconds())
 		}
--- a/gateway/pushback_test.go
+++ b/gateway/pushback_test.go
@@ -129,7 +129,7 @@
 }
 
 // closeAnswer closes an answer and returns an error unless its status is 200.
-func closeAnswer(answer *wheelgauge.Answer, err error) error {
+func closeAnswer(answer *wheelgauge.Response, err error) error {
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 	start := time.Unix(1000, 0)
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 	state := func(leaving bool, since time.Time) membership.ServerState {
-		return membership.ServerState{ServerEntry: wheelgauge.ServerEntry{Alive: true, Leaving: leaving}, Known: true, Since: since}
+		return membership.ServerState{ServerStatus: wheelgauge.ServerStatus{Alive: true, Leaving: leaving}, Known: true, RecoveredAt: since}
 	}
 	tests := []struct {
 		name    string
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -97,14 +97,14 @@
 	rq.call.Method = string(ctx.Method())
 	rq.call.Path = string(ctx.RequestURI())
 	rq.call.ContentType = string(ctx.Request.Header.ContentType())
-	rq.call.Key = string(ctx.Request.Header.Peek(wheelgauge.HeaderIdempotency))
+	rq.call.IdempotencyKey = string(ctx.Request.Header.Peek(wheelgauge.HeaderIdempotencyKey))
 	rq.notRepeatable = len(ctx.Request.Header.Peek(wheelgauge.HeaderNotRepeatable)) > 0
 	if err := g.identify(&ctx.Request.Header, rq); err != nil {
 		return rq, err
 	}
 	rq.class, _ = rq.catalog.Class(rq.identity.Class)
 	rq.call.Priority = rq.class.Priority
-	limit := g.options.DefaultLimit
+	limit := g.options.DefaultDeadline
 	if rq.class.DeadlineMS > 0 {
 		limit = time.Duration(rq.class.DeadlineMS) * time.Millisecond
 	}
@@ -114,13 +114,13 @@
 }
 
 func parseDeadline(h *fasthttp.RequestHeader, fallback time.Duration) (time.Duration, error) {
-	text := string(h.Peek(wheelgauge.HeaderDeadline))
+	text := string(h.Peek(wheelgauge.HeaderDeadlineMS))
 	if text == "" {
 		return fallback, nil
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms <= 0 {
-		return fallback, badRequest(wheelgauge.HeaderDeadline + " must be a number of milliseconds above 0")
+		return fallback, badRequest(wheelgauge.HeaderDeadlineMS + " must be a number of milliseconds above 0")
 	}
 	return time.Duration(min(ms, maxDeadline.Milliseconds())) * time.Millisecond, nil
 }
@@ -213,15 +213,15 @@
 		rq.call.Body = append([]byte(nil), ctx.PostBody()...)
 		return nil
 	}
-	if ctx.Request.Header.ContentLength() > g.options.BodyBytes {
+	if ctx.Request.Header.ContentLength() > g.options.MaxBodyBytes {
 		g.discard(stream)
 		return g.bodyTooLarge()
 	}
-	body, err := io.ReadAll(io.LimitReader(stream, int64(g.options.BodyBytes)+1))
+	body, err := io.ReadAll(io.LimitReader(stream, int64(g.options.MaxBodyBytes)+1))
 	if err != nil {
 		return wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusRequestTimeout, "the body was not received completely: "+err.Error())
 	}
-	if len(body) > g.options.BodyBytes {
+	if len(body) > g.options.MaxBodyBytes {
 		g.discard(stream)
 		return g.bodyTooLarge()
 	}
@@ -232,12 +232,12 @@
 // discard reads more of a refused body, because a connection closed with unread bytes
 // is reset and its answer lost.
 func (g *Gateway) discard(stream io.Reader) {
-	_, _ = io.CopyN(io.Discard, stream, int64(g.options.BodyBytes)*discardFactor) // the content is not used
+	_, _ = io.CopyN(io.Discard, stream, int64(g.options.MaxBodyBytes)*discardFactor) // the content is not used
 }
 
 func (g *Gateway) bodyTooLarge() *wheelgauge.Error {
 	return wheelgauge.NewError(wheelgauge.ReasonTooLarge, wheelgauge.OutcomeNotRun, http.StatusRequestEntityTooLarge,
-		fmt.Sprintf("the body is larger than %d bytes", g.options.BodyBytes))
+		fmt.Sprintf("the body is larger than %d bytes", g.options.MaxBodyBytes))
 }
 
 // hasOutcome reports whether err is a *wheelgauge.Error with that outcome.
--- a/gateway/suspend_test.go
+++ b/gateway/suspend_test.go
@@ -63,7 +63,7 @@
 		clock.Suspend(limit + time.Second)
 	}()
 	_, err := g.sendWatched(rq,
-		func() (*wheelgauge.Answer, error) {
+		func() (*wheelgauge.Response, error) {
 			close(sent)
 			<-answer
 			return nil, context.Canceled
--- a/hosttable/peak.go
+++ b/hosttable/peak.go
@@ -18,7 +18,7 @@
 }
 
 // update returns the peak with what is in flight now.
-func (p peak) update(services map[string]wheelgauge.ServiceUse, at time.Time) peak {
+func (p peak) update(services map[string]wheelgauge.ServiceUsage, at time.Time) peak {
 	if at.Sub(p.windowStart) >= peakWindow {
 		p = peak{previous: p.current, windowStart: at}
 	}
--- a/hosttable/peak_test.go
+++ b/hosttable/peak_test.go
@@ -24,7 +24,7 @@
 	}
 	for i, s := range steps {
 		at = at.Add(s.passed)
-		p = p.update(map[string]wheelgauge.ServiceUse{"s": {Running: s.running}}, at)
+		p = p.update(map[string]wheelgauge.ServiceUsage{"s": {Running: s.running}}, at)
 		if p.highest() != s.want {
 			t.Errorf("step %d: peak %d, want %d", i, p.highest(), s.want)
 		}
--- a/hosttable/sums.go
+++ b/hosttable/sums.go
@@ -13,10 +13,10 @@
 // load is what several hosts of a region have in flight, by service.
 type load struct {
 	hosts    int
-	services map[string]wheelgauge.ServiceUse
+	services map[string]wheelgauge.ServiceUsage
 }
 
-func (l *load) add(hosts int, uses []wheelgauge.ServiceUse) {
+func (l *load) add(hosts int, uses []wheelgauge.ServiceUsage) {
 	l.hosts += hosts
 	for _, u := range uses {
 		l.services[u.Service] = l.services[u.Service].Plus(u)
@@ -26,19 +26,19 @@
 // regionLoads maps regions to their load.
 type regionLoads map[string]*load
 
-func (b regionLoads) add(region string, hosts int, uses []wheelgauge.ServiceUse) {
+func (b regionLoads) add(region string, hosts int, uses []wheelgauge.ServiceUsage) {
 	if b[region] == nil {
-		b[region] = &load{services: map[string]wheelgauge.ServiceUse{}}
+		b[region] = &load{services: map[string]wheelgauge.ServiceUsage{}}
 	}
 	b[region].add(hosts, uses)
 }
 
 // serverUses is what is in flight at each server, by region and instance.
-type serverUses map[string]map[string]wheelgauge.ServerUse
+type serverUses map[string]map[string]wheelgauge.ServerUsage
 
-func (a serverUses) add(region string, uses []wheelgauge.ServerUse) {
+func (a serverUses) add(region string, uses []wheelgauge.ServerUsage) {
 	if a[region] == nil {
-		a[region] = map[string]wheelgauge.ServerUse{}
+		a[region] = map[string]wheelgauge.ServerUsage{}
 	}
 	for _, u := range uses {
 		a[region][u.Instance] = a[region][u.Instance].Plus(u)
@@ -74,14 +74,14 @@
 
 func (s *sums) addRelayed(r relayed) {
 	for _, l := range r.loads {
-		s.combined.add(l.Region, l.Hosts, l.Uses)
+		s.combined.add(l.Region, l.Hosts, l.Services)
 	}
 	s.uses.add(r.region, r.uses)
 }
 
 // regions returns the load of each region by service.
-func (s *sums) regions() map[string]map[string]wheelgauge.ServiceUse {
-	out := make(map[string]map[string]wheelgauge.ServiceUse, len(s.combined))
+func (s *sums) regions() map[string]map[string]wheelgauge.ServiceUsage {
+	out := make(map[string]map[string]wheelgauge.ServiceUsage, len(s.combined))
 	for region, l := range s.combined {
 		out[region] = maps.Clone(l.services)
 	}
--- a/hosttable/table.go
+++ b/hosttable/table.go
@@ -32,8 +32,8 @@
 	lastSeen time.Time
 	interval time.Duration
 	primary  bool
-	uses     []wheelgauge.ServerUse
-	totals   []wheelgauge.ServiceUse
+	uses     []wheelgauge.ServerUsage
+	totals   []wheelgauge.ServiceUsage
 }
 
 // relayed is another store's last report of the hosts of which it is the primary.
@@ -41,7 +41,7 @@
 	receivedAt time.Time
 	region     string
 	loads      []wheelgauge.RegionLoad
-	uses       []wheelgauge.ServerUse
+	uses       []wheelgauge.ServerUsage
 }
 
 // Table is safe for concurrent use.
@@ -68,8 +68,8 @@
 	return &Table{entries: map[string]*entry{}, version: 1, relays: map[string]relayed{}, peaks: map[string]peak{}, lastLoss: map[string]time.Time{}, now: now}
 }
 
-// Take records a heartbeat of a host that sends one every interval.
-func (t *Table) Take(b wheelgauge.Beat, interval time.Duration) {
+// RecordHeartbeat records a heartbeat of a host that sends one every interval.
+func (t *Table) RecordHeartbeat(b wheelgauge.FleetHeartbeat, interval time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[b.Host.Name]
@@ -84,7 +84,7 @@
 		t.lastLoss[b.Host.Region] = t.now()
 	}
 	e.host, e.lastSeen, e.interval, e.primary = b.Host, t.now(), interval, b.Primary
-	e.totals, e.uses = b.Totals, b.Uses
+	e.totals, e.uses = b.ServiceTotals, b.ServerUsage
 }
 
 // refresh removes hosts that were silent for too long and recomputes the sums, unless these
@@ -136,76 +136,76 @@
 	return t.list, t.version
 }
 
-// Lost returns when a host of a region last left or became silent; the zero time if
+// LastLoss returns when a host of a region last left or became silent; the zero time if
 // none ever did.
-func (t *Table) Lost(region string) time.Time {
+func (t *Table) LastLoss(region string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refresh()
 	return t.lastLoss[region]
 }
 
-// Relay records another store's report of the hosts of which it is the primary.
-func (t *Table) Relay(n wheelgauge.StoreNews) {
+// RecordStore records another store's report of the hosts of which it is the primary.
+func (t *Table) RecordStore(n wheelgauge.StoreUpdate) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.relays[n.Address] = relayed{receivedAt: t.now(), region: n.Region, loads: n.Loads, uses: n.Uses}
+	t.relays[n.Address] = relayed{receivedAt: t.now(), region: n.Region, loads: n.Loads, uses: n.ServerUsage}
 }
 
-// Own returns the load of the hosts of which this store is the primary, by region, and
+// LocalLoad returns the load of the hosts of which this store is the primary, by region, and
 // what those of one region have in flight at each server.
-func (t *Table) Own(region string) ([]wheelgauge.RegionLoad, []wheelgauge.ServerUse) {
+func (t *Table) LocalLoad(region string) ([]wheelgauge.RegionLoad, []wheelgauge.ServerUsage) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refresh()
 	var loads []wheelgauge.RegionLoad
 	for name, l := range t.sums.local {
-		loads = append(loads, wheelgauge.RegionLoad{Region: name, Hosts: l.hosts, Uses: slices.Collect(maps.Values(l.services))})
+		loads = append(loads, wheelgauge.RegionLoad{Region: name, Hosts: l.hosts, Services: slices.Collect(maps.Values(l.services))})
 	}
 	return loads, slices.Collect(maps.Values(t.sums.localUses[region]))
 }
 
-// Uses returns what the hosts of a region have in flight at each server, without the host
+// UsageWithout returns what the hosts of a region have in flight at each server, without the host
 // named except.
-func (t *Table) Uses(region, except string) []wheelgauge.ServerUse {
+func (t *Table) UsageWithout(region, except string) []wheelgauge.ServerUsage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refresh()
-	own := map[string]wheelgauge.ServerUse{}
+	own := map[string]wheelgauge.ServerUsage{}
 	if e := t.entries[except]; e != nil {
 		for _, u := range e.uses {
 			own[u.Instance] = u
 		}
 	}
-	out := make([]wheelgauge.ServerUse, 0, len(t.sums.uses[region]))
+	out := make([]wheelgauge.ServerUsage, 0, len(t.sums.uses[region]))
 	for instance, sum := range t.sums.uses[region] {
 		// The host's own share may be newer than the sum: negative differences become 0.
 		mine := own[instance]
-		if mine.Born != sum.Born {
-			mine = wheelgauge.ServerUse{} // of another instance
+		if mine.StartUnixMS != sum.StartUnixMS {
+			mine = wheelgauge.ServerUsage{} // of another instance
 		}
-		u := wheelgauge.ServerUse{
-			Instance: instance, Born: sum.Born, Running: max(0, sum.Running-mine.Running), Tokens: max(0, sum.Tokens-mine.Tokens), Work: sum.Work.Minus(mine.Work).Used(),
-			Lost: max(0, sum.Lost-mine.Lost), Pace: max(0, sum.Pace-mine.Pace), Paced: max(0, sum.Paced-mine.Paced),
+		u := wheelgauge.ServerUsage{
+			Instance: instance, StartUnixMS: sum.StartUnixMS, Running: max(0, sum.Running-mine.Running), PrefillTokens: max(0, sum.PrefillTokens-mine.PrefillTokens), Work: sum.Work.Minus(mine.Work).NonZero(),
+			UnreachableFrom: max(0, sum.UnreachableFrom-mine.UnreachableFrom), SlowdownSum: max(0, sum.SlowdownSum-mine.SlowdownSum), SlowdownHosts: max(0, sum.SlowdownHosts-mine.SlowdownHosts),
 		}
-		if u.Told() {
+		if u.Reportable() {
 			out = append(out, u)
 		}
 	}
 	return out
 }
 
-// Busiest returns the peak of requests that a region's hosts had in flight in this window of
+// PeakInFlight returns the peak of requests that a region's hosts had in flight in this window of
 // peakWindow and the one before, which is up to a minute.
-func (t *Table) Busiest(region string) int {
+func (t *Table) PeakInFlight(region string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refresh()
 	return t.peaks[region].highest()
 }
 
-// Regions returns what each region has in flight, by service.
-func (t *Table) Regions() map[string]map[string]wheelgauge.ServiceUse {
+// RegionUsage returns what each region has in flight, by service.
+func (t *Table) RegionUsage() map[string]map[string]wheelgauge.ServiceUsage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refresh()
--- a/httpserve/server.go
+++ b/httpserve/server.go
@@ -26,11 +26,11 @@
 // Options of a Server. Zero values select the defaults.
 type Options struct {
 	TLS *tls.Config
-	// HeaderBytes, BodyBytes and Conns are upper limits.
-	HeaderBytes int
-	BodyBytes   int
-	Conns       int
-	ReadTimeout time.Duration
+	// MaxHeaderBytes, MaxBodyBytes and MaxConns are upper limits.
+	MaxHeaderBytes int
+	MaxBodyBytes   int
+	MaxConns       int
+	ReadTimeout    time.Duration
 	// StreamBodies calls the handler before the body is read.
 	StreamBodies   bool
 	HeaderReceived func(header *fasthttp.RequestHeader) fasthttp.RequestConfig
@@ -57,9 +57,9 @@
 		Handler:                      handler,
 		ErrorHandler:                 o.OnError,
 		HeaderReceived:               o.HeaderReceived,
-		ReadBufferSize:               orDefault(o.HeaderBytes, defaultMaxHeaderBytes),
-		MaxRequestBodySize:           orDefault(o.BodyBytes, defaultMaxBodyBytes),
-		Concurrency:                  orDefault(o.Conns, defaultMaxConns),
+		ReadBufferSize:               orDefault(o.MaxHeaderBytes, defaultMaxHeaderBytes),
+		MaxRequestBodySize:           orDefault(o.MaxBodyBytes, defaultMaxBodyBytes),
+		Concurrency:                  orDefault(o.MaxConns, defaultMaxConns),
 		ReadTimeout:                  orDefault(o.ReadTimeout, defaultReadTimeout),
 		IdleTimeout:                  defaultIdleTimeout,
 		WriteTimeout:                 writeTimeout,
@@ -86,8 +86,8 @@
 // Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Open returns the number of open connections.
-func (s *Server) Open() int { return int(s.http.GetOpenConnectionsCount()) }
+// OpenConns returns the number of open connections.
+func (s *Server) OpenConns() int { return int(s.http.GetOpenConnectionsCount()) }
 
 // Close stops accepting connections, waits for the requests in flight until ctx
 // ends, and returns when the listener is closed.
--- a/inforce/table.go
+++ b/inforce/table.go
@@ -33,20 +33,20 @@
 }
 
 // List returns the reports with their ages, sorted by host.
-func (t *Table) List() []wheelgauge.InForce {
+func (t *Table) List() []wheelgauge.AppliedGeneration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make([]wheelgauge.InForce, 0, len(t.reports))
+	out := make([]wheelgauge.AppliedGeneration, 0, len(t.reports))
 	for host, r := range t.reports {
-		out = append(out, wheelgauge.InForce{Host: host, Region: r.region, Generation: r.generation, AgeMS: time.Since(r.at).Milliseconds()})
+		out = append(out, wheelgauge.AppliedGeneration{Host: host, Region: r.region, Generation: r.generation, AgeMS: time.Since(r.at).Milliseconds()})
 	}
-	slices.SortFunc(out, func(a, b wheelgauge.InForce) int { return strings.Compare(a.Host, b.Host) })
+	slices.SortFunc(out, func(a, b wheelgauge.AppliedGeneration) int { return strings.Compare(a.Host, b.Host) })
 	return out
 }
 
 // Merge returns the newest report of each host, sorted by host.
-func Merge(lists ...[]wheelgauge.InForce) []wheelgauge.InForce {
-	newest := map[string]wheelgauge.InForce{}
+func Merge(lists ...[]wheelgauge.AppliedGeneration) []wheelgauge.AppliedGeneration {
+	newest := map[string]wheelgauge.AppliedGeneration{}
 	for _, list := range lists {
 		for _, f := range list {
 			if known, ok := newest[f.Host]; !ok || f.AgeMS < known.AgeMS {
@@ -54,10 +54,10 @@
 			}
 		}
 	}
-	out := make([]wheelgauge.InForce, 0, len(newest))
+	out := make([]wheelgauge.AppliedGeneration, 0, len(newest))
 	for _, f := range newest {
 		out = append(out, f)
 	}
-	slices.SortFunc(out, func(a, b wheelgauge.InForce) int { return strings.Compare(a.Host, b.Host) })
+	slices.SortFunc(out, func(a, b wheelgauge.AppliedGeneration) int { return strings.Compare(a.Host, b.Host) })
 	return out
 }
--- a/keypair/keypair.go
+++ b/keypair/keypair.go
@@ -78,8 +78,8 @@
 	return p.cert, p.pool
 }
 
-// Server returns the configuration of a listener that requires a peer's certificate.
-func (p *Pair) Server() *tls.Config {
+// ServerConfig returns the configuration of a listener that requires a peer's certificate.
+func (p *Pair) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		cert, pool := p.current()
 		return &tls.Config{
@@ -89,23 +89,23 @@
 	}}
 }
 
-// Open returns the configuration of a listener that requires no client certificate.
-func (p *Pair) Open() *tls.Config {
+// PublicServerConfig returns the configuration of a listener that requires no client certificate.
+func (p *Pair) PublicServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 		cert, _ := p.current()
 		return cert, nil
 	}}
 }
 
-// Client returns the configuration of a connection to host, an IP address or
+// ClientConfig returns the configuration of a connection to host, an IP address or
 // name that the server's certificate must be valid for.
-func (p *Pair) Client(host string) *tls.Config {
+func (p *Pair) ClientConfig(host string) *tls.Config {
 	cert, pool := p.current()
 	return &tls.Config{MinVersion: tls.VersionTLS13, ServerName: host, RootCAs: pool, Certificates: []tls.Certificate{*cert}}
 }
 
-// Loopback reports whether an address is on this machine and needs no TLS.
-func Loopback(address string) bool {
+// IsLoopback reports whether an address is on this machine and needs no TLS.
+func IsLoopback(address string) bool {
 	a, err := netip.ParseAddrPort(address)
 	return err == nil && a.Addr().IsLoopback()
 }
--- a/keypair/keypair_test.go
+++ b/keypair/keypair_test.go
@@ -78,12 +78,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if err := handshake(t, tt.server.Server(), tt.client.Client("127.0.0.1")); (err == nil) != tt.ok {
+			if err := handshake(t, tt.server.ServerConfig(), tt.client.ClientConfig("127.0.0.1")); (err == nil) != tt.ok {
 				t.Fatalf("unexpected result of the handshake: got %v", err)
 			}
 		})
 	}
-	if err := handshake(t, a.Server(), &tls.Config{InsecureSkipVerify: true}); err == nil {
+	if err := handshake(t, a.ServerConfig(), &tls.Config{InsecureSkipVerify: true}); err == nil {
 		t.Fatal("a client without a certificate was accepted")
 	}
 }
@@ -94,7 +94,7 @@
 		want    bool
 	}{{"127.0.0.1:1", true}, {"127.9.9.9:1", true}, {"[::1]:1", true}, {"10.0.0.1:1", false}, {"0.0.0.0:1", false}, {"x", false}}
 	for _, tt := range tests {
-		if keypair.Loopback(tt.address) != tt.want {
+		if keypair.IsLoopback(tt.address) != tt.want {
 			t.Errorf("%s: want %t", tt.address, tt.want)
 		}
 	}
--- a/limits.go
+++ b/limits.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// MostPermitWait bounds how long before a request may be sent its permit is granted. A store
+// MaxPermitLead bounds how long before a request may be sent its permit is granted. A store
 // that restarts does not know about permits granted in advance, and hosts use those in addition
 // to the permits that it grants.
-const MostPermitWait = 300 * time.Millisecond
+const MaxPermitLead = 300 * time.Millisecond
 
 // ServerLimit is the request rate that one start of a backend server last announced to accept
 // from all hosts together.
@@ -18,45 +18,45 @@
 	Server string `json:"s"`
 	// Rate is in requests per second.
 	Rate float64 `json:"r,omitempty"`
-	// None is set when the server has lifted its limit.
-	None bool `json:"n,omitempty"`
+	// Removed is set when the server has lifted its limit.
+	Removed bool `json:"n,omitempty"`
 	// AgeMS is how long ago the server announced this, in ms.
 	AgeMS int64 `json:"a,omitempty"`
 }
 
-// PermitAsk is a request to a store of the region for permission to send one request to a
+// PermitRequest is a request to a store of the region for permission to send one request to a
 // server that has announced a limit.
-type PermitAsk struct {
+type PermitRequest struct {
 	Limit ServerLimit `json:"l"`
-	// PatienceMS is the longest that the request may wait before it is sent, in ms.
-	PatienceMS int64 `json:"p,omitempty"`
-	// Instead is set when the store that normally grants this server's permits does not
+	// MaxWaitMS is the longest that the request may wait before it is sent, in ms.
+	MaxWaitMS int64 `json:"p,omitempty"`
+	// Fallback is set when the store that normally grants this server's permits does not
 	// respond, and another one is asked.
-	Instead bool `json:"i,omitempty"`
+	Fallback bool `json:"i,omitempty"`
 }
 
-// PermitAnswer is the response to a permit request.
-type PermitAnswer struct {
+// PermitResponse is the response to a permit request.
+type PermitResponse struct {
 	Granted bool `json:"g,omitempty"`
-	// AfterMS is the delay after which the request may be sent or, if it was not granted,
+	// DelayMS is the delay after which the request may be sent or, if it was not granted,
 	// the permit may be requested again, in ms.
-	AfterMS int64 `json:"a,omitempty"`
+	DelayMS int64 `json:"a,omitempty"`
 	// Limit is the server's limit as known to the store.
 	Limit ServerLimit `json:"l"`
 }
 
-// Permits enforces the limits that servers have announced, over all hosts together.
-type Permits interface {
-	// Take requests a permit for a request that may wait as long as patience. server is one
+// PermitSource enforces the limits that servers have announced, over all hosts together.
+type PermitSource interface {
+	// Acquire requests a permit for a request that may wait as long as patience. server is one
 	// start of a server and need not have a limit. If ok, the request may be sent after the
 	// returned delay, unless the limit has changed by then; otherwise the delay is when to
 	// try again.
-	Take(ctx context.Context, server string, patience time.Duration) (after time.Duration, ok bool)
+	Acquire(ctx context.Context, server string, patience time.Duration) (after time.Duration, ok bool)
 }
 
 // RegionStore is a store in the host's own region.
 type RegionStore struct {
 	Address string
-	// Answers is false while the store does not respond.
-	Answers bool
+	// Reachable is false while the store does not respond.
+	Reachable bool
 }
--- a/load/report.go
+++ b/load/report.go
@@ -47,21 +47,21 @@
 	Answered int            `json:"answered"`
 	Refused  map[string]int `json:"refused"`
 	Late     int            `json:"late"`
-	// ShareAway is the fraction of the responses served by another region.
-	ShareAway float64 `json:"share_away"`
+	// OtherRegionShare is the fraction of the responses served by another region.
+	OtherRegionShare float64 `json:"share_away"`
 	// Cost is the price of the generated tokens in the regions that generated them, plus
 	// the link cost of responses from other regions.
-	Cost          float64   `json:"cost"`
-	CostPerTokens float64   `json:"cost_per_1000_tokens"`
-	Tokens        int       `json:"tokens"`
-	Tries         float64   `json:"tries_per_request"`
-	Wrong         []string  `json:"wrong,omitempty"`
-	First         Quantiles `json:"first_ms"`
-	Gap           Quantiles `json:"gap_ms"`
-	Kinds         []Summary `json:"kinds"`
-	Clients       []Summary `json:"clients"`
-	// Once lists the references of non-repeatable calls, by outcome.
-	Once map[string][]string `json:"once,omitempty"`
+	Cost              float64   `json:"cost"`
+	CostPer1000Tokens float64   `json:"cost_per_1000_tokens"`
+	Tokens            int       `json:"tokens"`
+	TriesPerRequest   float64   `json:"tries_per_request"`
+	Wrong             []string  `json:"wrong,omitempty"`
+	FirstToken        Quantiles `json:"first_ms"`
+	Gap               Quantiles `json:"gap_ms"`
+	Kinds             []Summary `json:"kinds"`
+	Clients           []Summary `json:"clients"`
+	// NonRepeatable lists the references of non-repeatable calls, by outcome.
+	NonRepeatable map[string][]string `json:"once,omitempty"`
 }
 
 type aggregate struct {
@@ -111,10 +111,10 @@
 
 // Summarise returns the report of a run.
 func Summarise(s Scenario, results []Result) Report {
-	out := Report{Mix: s.Mix, Seed: s.Seed, Refused: map[string]int{}, Once: map[string][]string{}}
+	out := Report{Mix: s.Mix, Seed: s.Seed, Refused: map[string]int{}, NonRepeatable: map[string][]string{}}
 	price := map[string]float64{}
 	for _, r := range s.Regions {
-		price[r.Name] = r.Price
+		price[r.Name] = r.PricePer1000Tokens
 	}
 	all := newAggregate("all")
 	kinds, clients := map[string]*aggregate{}, map[string]*aggregate{}
@@ -150,21 +150,21 @@
 		if r.Reason == "" {
 			outcome = "answered"
 		}
-		p.Once[outcome] = append(p.Once[outcome], r.Ref)
+		p.NonRepeatable[outcome] = append(p.NonRepeatable[outcome], r.Ref)
 	}
 }
 
 func (p *Report) setTotals(all *aggregate, tries, otherRegion int) {
 	total := all.summary()
-	p.Sent, p.Answered, p.Late, p.First, p.Gap = total.Sent, total.Answered, total.Late, total.FirstToken, total.Gap
+	p.Sent, p.Answered, p.Late, p.FirstToken, p.Gap = total.Sent, total.Answered, total.Late, total.FirstToken, total.Gap
 	if p.Sent > 0 {
-		p.Tries = float64(tries) / float64(p.Sent)
+		p.TriesPerRequest = float64(tries) / float64(p.Sent)
 	}
 	if p.Answered > 0 {
-		p.ShareAway = float64(otherRegion) / float64(p.Answered)
+		p.OtherRegionShare = float64(otherRegion) / float64(p.Answered)
 	}
 	if p.Tokens > 0 {
-		p.CostPerTokens = p.Cost / float64(p.Tokens) * 1000
+		p.CostPer1000Tokens = p.Cost / float64(p.Tokens) * 1000
 	}
 }
 
@@ -198,7 +198,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(t, format, args...) } // Flush reports any write error
 	printf("%s, seed %d: sent %d, answered %d, late %d, away %.1f%%, cost %.3f (%.3f per 1,000 tokens), tries %.3f\n",
-		p.Mix, p.Seed, p.Sent, p.Answered, p.Late, 100*p.ShareAway, p.Cost, p.CostPerTokens, p.Tries)
+		p.Mix, p.Seed, p.Sent, p.Answered, p.Late, 100*p.OtherRegionShare, p.Cost, p.CostPer1000Tokens, p.TriesPerRequest)
 	printf("kind\tsent\tanswered\taway\tlate\tfirst p50\tp95\tp99\tgap p95\tp99\ttotal p50\tp95\tp99\tp99.9\t\n")
 	for _, group := range [][]Summary{p.Kinds, p.Clients} {
 		for _, s := range group {
--- a/load/runner.go
+++ b/load/runner.go
@@ -60,7 +60,7 @@
 }
 
 type entryList struct {
-	entries []wheelgauge.Entry
+	entries []wheelgauge.EntryHost
 	expires time.Time
 }
 
@@ -141,7 +141,7 @@
 		}
 	}
 	if len(known.entries) == 0 {
-		return region.Entry
+		return region.BootstrapAddress
 	}
 	return known.entries[try%len(known.entries)].Address
 }
@@ -151,7 +151,7 @@
 func (r *Runner) refreshEntryList(ctx context.Context, p *plannedRequest, region Region, old entryList) (entryList, error) {
 	ctx, cancel := context.WithTimeout(ctx, entryListTimeout)
 	defer cancel()
-	sources := []string{region.Entry}
+	sources := []string{region.BootstrapAddress}
 	for _, e := range old.entries {
 		sources = append(sources, e.Address)
 	}
@@ -250,10 +250,10 @@
 	req.Header.Set("Authorization", "Bearer "+CredentialOf(p.client))
 	req.Header.Set("Content-Type", "application/json")
 	if deadline, ok := ctx.Deadline(); ok {
-		req.Header.Set(wheelgauge.HeaderDeadline, strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10))
+		req.Header.Set(wheelgauge.HeaderDeadlineMS, strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10))
 	}
 	if p.key != "" {
-		req.Header.Set(wheelgauge.HeaderIdempotency, p.key)
+		req.Header.Set(wheelgauge.HeaderIdempotencyKey, p.key)
 		req.Header.Set(wheelgauge.HeaderNotRepeatable, "true")
 	}
 	return req, nil
@@ -313,7 +313,7 @@
 }
 
 func checkStream(p *plannedRequest, text string, complete bool, out *Result) {
-	want := script.Answer(p.prompt, p.answerTokens)
+	want := script.Text(p.prompt, p.answerTokens)
 	switch {
 	case !strings.HasPrefix(want, text):
 		out.Wrong = "response does not belong to this request"
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -41,10 +41,10 @@
 	Seed uint64
 	// Regions are those of the callers, with bootstrap addresses and prices of 1,000 tokens.
 	Regions []Region
-	// Clients is the number of clients in each region.
-	Clients int
-	// Flood multiplies the request rate of the first client of each region; 0 means 1.
-	Flood float64
+	// ClientsPerRegion is the number of clients in each region.
+	ClientsPerRegion int
+	// FloodFactor multiplies the request rate of the first client of each region; 0 means 1.
+	FloodFactor float64
 	// LinkCost is the cost of one response from another region in addition to its tokens.
 	LinkCost float64
 	// LengthFactor multiplies the lengths of prompts and responses; 0 means 1.
@@ -53,9 +53,9 @@
 
 // Region is a region of callers: its bootstrap address and its price of 1,000 tokens.
 type Region struct {
-	Name  string
-	Entry string
-	Price float64
+	Name               string
+	BootstrapAddress   string
+	PricePer1000Tokens float64
 }
 
 // plannedRequest is one request of a run, fixed in advance.
@@ -149,12 +149,12 @@
 func isNotRepeatable(kind string) bool { return kind == kindBooking || kind == kindPayment }
 
 func (s *Scenario) chooseClient(rnd *rand.Rand) int {
-	flood := math.Max(1, s.Flood)
-	x := rnd.Float64() * (float64(s.Clients-1) + flood)
+	flood := math.Max(1, s.FloodFactor)
+	x := rnd.Float64() * (float64(s.ClientsPerRegion-1) + flood)
 	if x < flood {
 		return 0
 	}
-	return min(s.Clients-1, 1+int(x-flood))
+	return min(s.ClientsPerRegion-1, 1+int(x-flood))
 }
 
 func (s *Scenario) chooseKind(rnd *rand.Rand) mixEntry {
--- a/membership/crashes_test.go
+++ b/membership/crashes_test.go
@@ -17,19 +17,19 @@
 	var hubs []*Hub
 	for n, region := range regions {
 		h := NewHub(region, uint64(n+1), time.Second, noCatalog, time.Now)
-		h.Beat(wheelgauge.Heartbeat{Host: region + "-1", Boot: 1, Crashes: []wheelgauge.Crash{{Request: "p", Server: region}}})
+		h.Heartbeat(wheelgauge.Heartbeat{Host: region + "-1", Boot: 1, Crashes: []wheelgauge.Crash{{Fingerprint: "p", Server: region}}})
 		hubs = append(hubs, h)
 	}
 	for _, from := range hubs {
 		for _, to := range hubs {
 			if from != to {
-				from.TakeRegion(to.Exchange(from.Summary()))
+				from.UpdateRegion(to.Exchange(from.Summary()))
 			}
 		}
 	}
 	for n, h := range hubs {
 		beat := wheelgauge.Heartbeat{Host: regions[n] + "-2", Boot: 1}
-		v := h.Beat(beat)
+		v := h.Heartbeat(beat)
 		var servers []string
 		for _, c := range v.Crashes {
 			servers = append(servers, c.Server)
@@ -37,8 +37,8 @@
 		if !slices.Equal(servers, regions) {
 			t.Errorf("region %s: hosts got crashes of servers %v, want those of all regions", regions[n], servers)
 		}
-		beat.Hub, beat.Since, beat.CrashesAt = v.Hub, v.Version, v.CrashesAt
-		if v = h.Beat(beat); v.Crashes != nil {
+		beat.HubBoot, beat.ViewVersion, beat.CrashesVersion = v.HubBoot, v.Version, v.CrashesVersion
+		if v = h.Heartbeat(beat); v.Crashes != nil {
 			t.Errorf("region %s: crashes were sent again: %v", regions[n], v.Crashes)
 		}
 		for _, r := range v.Regions {
--- a/membership/hub.go
+++ b/membership/hub.go
@@ -36,7 +36,7 @@
 
 // hostRow is a hub's record of a host.
 type hostRow struct {
-	entry       wheelgauge.HostEntry
+	entry       wheelgauge.HostStatus
 	boot        uint64
 	forwardable map[string]int
 	lastSeen    time.Time
@@ -45,7 +45,7 @@
 
 // serverRow is a hub's record of a backend server.
 type serverRow struct {
-	entry wheelgauge.ServerEntry
+	entry wheelgauge.ServerStatus
 	// number replaces the name on the wire; createdVersion is the version that assigned it.
 	number         int
 	createdVersion uint64
@@ -57,7 +57,7 @@
 
 // report is the last status of a server that one polling host sent.
 type report struct {
-	entry      wheelgauge.ServerEntry
+	entry      wheelgauge.ServerStatus
 	receivedAt time.Time
 }
 
@@ -102,10 +102,12 @@
 
 // Permit answers a host of the region that wants to send a request to a server with a rate
 // limit.
-func (h *Hub) Permit(r wheelgauge.PermitAsk) wheelgauge.PermitAnswer { return h.permits.Answer(r) }
+func (h *Hub) Permit(r wheelgauge.PermitRequest) wheelgauge.PermitResponse {
+	return h.permits.Answer(r)
+}
 
-// Beat processes a heartbeat and returns what changed since its sender's last view.
-func (h *Hub) Beat(b wheelgauge.Heartbeat) wheelgauge.View {
+// Heartbeat processes a heartbeat and returns what changed since its sender's last view.
+func (h *Hub) Heartbeat(b wheelgauge.Heartbeat) wheelgauge.View {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
@@ -125,11 +127,11 @@
 		row = &hostRow{}
 		h.hosts[b.Host] = row
 	}
-	row.boot, row.lastSeen, row.forwardable = b.Boot, now, b.Asks
-	h.setHost(row, wheelgauge.HostEntry{Host: b.Host, Alive: true, Leaving: b.Leaving})
+	row.boot, row.lastSeen, row.forwardable = b.Boot, now, b.Forwardable
+	h.setHost(row, wheelgauge.HostStatus{Host: b.Host, Alive: true, Leaving: b.Leaving})
 }
 
-func (h *Hub) setHost(row *hostRow, entry wheelgauge.HostEntry) {
+func (h *Hub) setHost(row *hostRow, entry wheelgauge.HostStatus) {
 	if row.entry == entry {
 		return
 	}
@@ -137,7 +139,7 @@
 	row.entry, row.version = entry, h.version
 }
 
-func (h *Hub) updateServer(poller string, s wheelgauge.ServerEntry, now time.Time) {
+func (h *Hub) updateServer(poller string, s wheelgauge.ServerStatus, now time.Time) {
 	row := h.servers[s.Server]
 	if row == nil {
 		row = &serverRow{number: len(h.servers), createdVersion: h.version + 1, reports: map[string]report{}}
@@ -150,7 +152,7 @@
 // merged returns the newest report; a server is alive if any of its current pollers reached
 // it. While no host polls it, the last reports stay valid until others have taken over:
 // silent pollers say nothing about the server.
-func (r *serverRow) merged(now time.Time, interval time.Duration) wheelgauge.ServerEntry {
+func (r *serverRow) merged(now time.Time, interval time.Duration) wheelgauge.ServerStatus {
 	maps.DeleteFunc(r.reports, func(_ string, rep report) bool {
 		return now.Sub(rep.receivedAt) > (missedIntervals+handoverIntervals)*interval
 	})
@@ -179,7 +181,7 @@
 	return out
 }
 
-func (h *Hub) setServer(row *serverRow, entry wheelgauge.ServerEntry) {
+func (h *Hub) setServer(row *serverRow, entry wheelgauge.ServerStatus) {
 	if row.entry == entry {
 		return
 	}
@@ -205,17 +207,17 @@
 		h.setServer(row, row.merged(now, h.interval))
 	}
 	for name, row := range h.regions {
-		if now.Sub(row.lastSeen) > maxSilence && !row.summary.Gone {
-			h.setRegion(row, wheelgauge.RegionSummary{Region: name, Gone: true})
+		if now.Sub(row.lastSeen) > maxSilence && !row.summary.Unreachable {
+			h.setRegion(row, wheelgauge.RegionSummary{Region: name, Unreachable: true})
 		}
 	}
 }
 
 func (h *Hub) viewSince(b wheelgauge.Heartbeat) wheelgauge.View {
-	from := b.Since
+	from := b.ViewVersion
 	names, models := map[int]string{}, map[int]string{}
-	v := wheelgauge.View{Hub: h.boot, Version: h.version, Names: names, Models: models}
-	if b.Hub != h.boot {
+	v := wheelgauge.View{HubBoot: h.boot, Version: h.version, ServerNames: names, Models: models}
+	if b.HubBoot != h.boot {
 		from, v.Full = 0, true
 	}
 	for _, row := range h.hosts {
@@ -225,7 +227,7 @@
 	}
 	for _, row := range h.servers {
 		if row.version > from {
-			v.Loads = append(v.Loads, wheelgauge.NewServerLoad(row.number, row.entry))
+			v.ServerLoads = append(v.ServerLoads, wheelgauge.PackServerStatus(row.number, row.entry))
 		}
 		if row.modelsVersion > from {
 			models[row.number] = row.entry.Models
@@ -241,15 +243,15 @@
 			v.Regions = append(v.Regions, summary)
 		}
 	}
-	serious, at := h.crashes.Serious()
-	if v.CrashesAt = at; v.Full || b.CrashesAt != at {
+	serious, at := h.crashes.Candidates()
+	if v.CrashesVersion = at; v.Full || b.CrashesVersion != at {
 		v.Crashes = serious
 	}
-	limitsAt := b.LimitsAt
+	limitsAt := b.LimitsVersion
 	if v.Full {
 		limitsAt = 0
 	}
-	v.Limits, v.LimitsAt = h.limits.Since(limitsAt)
+	v.Limits, v.LimitsVersion = h.limits.Since(limitsAt)
 	return v
 }
 
@@ -261,14 +263,14 @@
 	h.crashes.Prune()
 	h.limits.Prune()
 	h.permits.Prune()
-	s := wheelgauge.RegionSummary{Region: h.region, Crashes: h.crashes.Latest(), Asks: map[string]int{}, Pools: map[string]wheelgauge.PoolSummary{}}
+	s := wheelgauge.RegionSummary{Region: h.region, Crashes: h.crashes.Recent(), Forwardable: map[string]int{}, Pools: map[string]wheelgauge.PoolSummary{}}
 	for _, row := range h.hosts {
 		if !row.entry.Alive || row.entry.Leaving {
 			continue
 		}
 		s.Hosts++
 		for pool, n := range row.forwardable {
-			s.Asks[pool] += n
+			s.Forwardable[pool] += n
 		}
 	}
 	c := h.catalog()
@@ -320,13 +322,13 @@
 	}
 	demand := 0
 	for _, row := range h.regions {
-		demand += row.summary.Asks[pool]
+		demand += row.summary.Forwardable[pool]
 	}
 	out := make(map[string]int, len(h.regions))
 	for name, row := range h.regions {
 		share := spare
 		if demand > 0 {
-			share = spare * row.summary.Asks[pool] / demand
+			share = spare * row.summary.Forwardable[pool] / demand
 		}
 		out[name] = share
 	}
@@ -335,12 +337,12 @@
 
 // Exchange processes another region's summary and returns this region's.
 func (h *Hub) Exchange(s wheelgauge.RegionSummary) wheelgauge.RegionSummary {
-	h.TakeRegion(s)
+	h.UpdateRegion(s)
 	return h.Summary()
 }
 
-// TakeRegion processes another region's summary.
-func (h *Hub) TakeRegion(s wheelgauge.RegionSummary) {
+// UpdateRegion processes another region's summary.
+func (h *Hub) UpdateRegion(s wheelgauge.RegionSummary) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s.Region == h.region || s.Region == "" {
@@ -362,15 +364,15 @@
 }
 
 // Hosts returns the hosts the hub knows, sorted by name.
-func (h *Hub) Hosts() []wheelgauge.HostEntry {
+func (h *Hub) Hosts() []wheelgauge.HostStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.expire(h.now())
-	out := make([]wheelgauge.HostEntry, 0, len(h.hosts))
+	out := make([]wheelgauge.HostStatus, 0, len(h.hosts))
 	for _, row := range h.hosts {
 		out = append(out, row.entry)
 	}
-	slices.SortFunc(out, func(a, b wheelgauge.HostEntry) int {
+	slices.SortFunc(out, func(a, b wheelgauge.HostStatus) int {
 		if a.Host < b.Host {
 			return -1
 		}
--- a/membership/hub_test.go
+++ b/membership/hub_test.go
@@ -19,31 +19,31 @@
 	return NewHub("karachi", 1, time.Second, func() *catalog.Catalog { return cat }, func() time.Time { return c.now })
 }
 
-func heartbeat(host string, servers ...wheelgauge.ServerEntry) wheelgauge.Heartbeat {
+func heartbeat(host string, servers ...wheelgauge.ServerStatus) wheelgauge.Heartbeat {
 	return wheelgauge.Heartbeat{Host: host, Boot: 1, Servers: servers}
 }
 
-func alive(name string, running int) wheelgauge.ServerEntry {
-	return wheelgauge.ServerEntry{Server: name, Alive: true, Running: running}
+func alive(name string, running int) wheelgauge.ServerStatus {
+	return wheelgauge.ServerStatus{Server: name, Alive: true, Running: running}
 }
 
 // A host that names the version of its view gets only what changed since.
 func TestViews(t *testing.T) {
 	c := &clock{time.Unix(0, 0)}
 	h := testHub(c)
-	v := h.Beat(heartbeat("a", alive("e1", 3)))
-	if !v.Full || len(v.Hosts) != 1 || len(v.Loads) != 1 || v.Names[0] != "e1" {
+	v := h.Heartbeat(heartbeat("a", alive("e1", 3)))
+	if !v.Full || len(v.Hosts) != 1 || len(v.ServerLoads) != 1 || v.ServerNames[0] != "e1" {
 		t.Fatalf("first view %+v", v)
 	}
 	again := heartbeat("a", alive("e1", 3))
-	again.Hub, again.Since = v.Hub, v.Version
-	if v = h.Beat(again); v.Full || len(v.Hosts) != 0 || len(v.Loads) != 0 || len(v.Names) != 0 {
+	again.HubBoot, again.ViewVersion = v.HubBoot, v.Version
+	if v = h.Heartbeat(again); v.Full || len(v.Hosts) != 0 || len(v.ServerLoads) != 0 || len(v.ServerNames) != 0 {
 		t.Fatalf("nothing changed, but got %+v", v)
 	}
 	c.now = c.now.Add(time.Millisecond)
-	h.Beat(heartbeat("b", alive("e1", 9)))
-	again.Since = v.Version
-	if v = h.Beat(wheelgauge.Heartbeat{Host: "a", Boot: 1, Hub: v.Hub, Since: v.Version}); len(v.Hosts) != 1 || len(v.Loads) != 1 || v.Loads[0].Entry("e1", "") != alive("e1", 9) {
+	h.Heartbeat(heartbeat("b", alive("e1", 9)))
+	again.ViewVersion = v.Version
+	if v = h.Heartbeat(wheelgauge.Heartbeat{Host: "a", Boot: 1, HubBoot: v.HubBoot, ViewVersion: v.Version}); len(v.Hosts) != 1 || len(v.ServerLoads) != 1 || v.ServerLoads[0].Unpack("e1", "") != alive("e1", 9) {
 		t.Fatalf("want the changed host and load, got %+v", v)
 	}
 }
@@ -53,18 +53,18 @@
 	h := testHub(&clock{time.Unix(0, 0)})
 	ready := alive("e1", 1)
 	ready.Models = "large@1"
-	v := h.Beat(heartbeat("a", ready))
+	v := h.Heartbeat(heartbeat("a", ready))
 	if v.Models[0] != "large@1" {
 		t.Fatalf("first view %+v", v)
 	}
 	ready.Running = 2
 	next := heartbeat("a", ready)
-	next.Hub, next.Since = v.Hub, v.Version
-	if v = h.Beat(next); len(v.Models) != 0 || len(v.Loads) != 1 {
+	next.HubBoot, next.ViewVersion = v.HubBoot, v.Version
+	if v = h.Heartbeat(next); len(v.Models) != 0 || len(v.ServerLoads) != 1 {
 		t.Fatalf("models did not change, but got %+v", v)
 	}
-	next.Servers[0].Models, next.Since = "", v.Version
-	if v = h.Beat(next); len(v.Models) != 1 || v.Models[0] != "" {
+	next.Servers[0].Models, next.ViewVersion = "", v.Version
+	if v = h.Heartbeat(next); len(v.Models) != 1 || v.Models[0] != "" {
 		t.Fatalf("models were unloaded, but got %+v", v)
 	}
 }
@@ -78,38 +78,38 @@
 		server bool // is e1 alive
 		slots  int
 	}{
-		{"all well", func(h *Hub, _ *clock) { h.Beat(heartbeat("a", alive("e1", 0))) }, true, true, 20},
+		{"all well", func(h *Hub, _ *clock) { h.Heartbeat(heartbeat("a", alive("e1", 0))) }, true, true, 20},
 		{"a host becomes silent", func(h *Hub, c *clock) {
-			h.Beat(heartbeat("a", alive("e1", 0)))
+			h.Heartbeat(heartbeat("a", alive("e1", 0)))
 			c.now = c.now.Add(4 * time.Second)
-			h.Beat(heartbeat("b", alive("e1", 0)))
+			h.Heartbeat(heartbeat("b", alive("e1", 0)))
 		}, false, true, 20},
-		{"a server does not answer its only poller", func(h *Hub, _ *clock) { h.Beat(heartbeat("a", wheelgauge.ServerEntry{Server: "e1"})) }, true, false, 0},
+		{"a server does not answer its only poller", func(h *Hub, _ *clock) { h.Heartbeat(heartbeat("a", wheelgauge.ServerStatus{Server: "e1"})) }, true, false, 0},
 		{"one poller of two is cut off from a server", func(h *Hub, _ *clock) {
-			h.Beat(heartbeat("b", alive("e1", 2)))
-			h.Beat(heartbeat("a", wheelgauge.ServerEntry{Server: "e1"}))
+			h.Heartbeat(heartbeat("b", alive("e1", 2)))
+			h.Heartbeat(heartbeat("a", wheelgauge.ServerStatus{Server: "e1"}))
 		}, true, true, 20},
 		{"the poller that reached it becomes silent", func(h *Hub, c *clock) {
-			h.Beat(heartbeat("b", alive("e1", 2)))
+			h.Heartbeat(heartbeat("b", alive("e1", 2)))
 			c.now = c.now.Add(4 * time.Second)
-			h.Beat(heartbeat("a", wheelgauge.ServerEntry{Server: "e1"}))
+			h.Heartbeat(heartbeat("a", wheelgauge.ServerStatus{Server: "e1"}))
 		}, true, false, 0},
 		{"no host polls yet after the poller", func(h *Hub, c *clock) {
-			h.Beat(heartbeat("b", alive("e1", 2)))
+			h.Heartbeat(heartbeat("b", alive("e1", 2)))
 			c.now = c.now.Add(6 * time.Second)
-			h.Beat(heartbeat("a"))
+			h.Heartbeat(heartbeat("a"))
 		}, true, true, 20},
 		{"no host polls any more", func(h *Hub, c *clock) {
-			h.Beat(heartbeat("b", alive("e1", 2)))
+			h.Heartbeat(heartbeat("b", alive("e1", 2)))
 			c.now = c.now.Add(6*time.Second + time.Millisecond)
-			h.Beat(heartbeat("a"))
+			h.Heartbeat(heartbeat("a"))
 		}, true, false, 0},
 		{"the last report was that it did not answer", func(h *Hub, c *clock) {
-			h.Beat(heartbeat("b", alive("e1", 2)))
+			h.Heartbeat(heartbeat("b", alive("e1", 2)))
 			c.now = c.now.Add(time.Second)
-			h.Beat(heartbeat("b", wheelgauge.ServerEntry{Server: "e1"}))
+			h.Heartbeat(heartbeat("b", wheelgauge.ServerStatus{Server: "e1"}))
 			c.now = c.now.Add(4 * time.Second)
-			h.Beat(heartbeat("a"))
+			h.Heartbeat(heartbeat("a"))
 		}, true, false, 0},
 	}
 	for _, tt := range tests {
@@ -117,13 +117,13 @@
 			c := &clock{time.Unix(100, 0)}
 			h := testHub(c)
 			tt.run(h, c)
-			v := h.Beat(heartbeat("watcher"))
+			v := h.Heartbeat(heartbeat("watcher"))
 			host, server := false, false
 			for _, e := range v.Hosts {
 				host = host || e.Host == "a" && e.Alive
 			}
-			for _, l := range v.Loads {
-				server = server || v.Names[l.Number()] == "e1" && l.Entry("e1", "").Alive
+			for _, l := range v.ServerLoads {
+				server = server || v.ServerNames[l.Number()] == "e1" && l.Unpack("e1", "").Alive
 			}
 			if host != tt.host || server != tt.server || h.Summary().Pools["p"].Slots != tt.slots {
 				t.Fatalf("got host alive %t, server alive %t, slots %d", host, server, h.Summary().Pools["p"].Slots)
@@ -148,9 +148,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			h := testHub(&clock{time.Unix(0, 0)})
-			h.Beat(heartbeat("a", alive("e1", tt.running), alive("e2", 0)))
+			h.Heartbeat(heartbeat("a", alive("e1", tt.running), alive("e2", 0)))
 			for region, demand := range tt.demand {
-				h.TakeRegion(wheelgauge.RegionSummary{Region: region, Hosts: 1, Asks: map[string]int{"p": demand}})
+				h.UpdateRegion(wheelgauge.RegionSummary{Region: region, Hosts: 1, Forwardable: map[string]int{"p": demand}})
 			}
 			got := h.Summary().Pools["p"].Grants
 			sum := 0
@@ -170,10 +170,10 @@
 func TestRegionExpires(t *testing.T) {
 	c := &clock{time.Unix(0, 0)}
 	h := testHub(c)
-	h.TakeRegion(wheelgauge.RegionSummary{Region: "lahore", Hosts: 3})
+	h.UpdateRegion(wheelgauge.RegionSummary{Region: "lahore", Hosts: 3})
 	c.now = c.now.Add(4 * time.Second)
-	v := h.Beat(heartbeat("a"))
-	if len(v.Regions) != 1 || v.Regions[0].Hosts != 0 || !v.Regions[0].Gone {
+	v := h.Heartbeat(heartbeat("a"))
+	if len(v.Regions) != 1 || v.Regions[0].Hosts != 0 || !v.Regions[0].Unreachable {
 		t.Fatalf("a silent region does not count as unreachable: %+v", v.Regions)
 	}
 }
@@ -182,15 +182,15 @@
 	c := &clock{time.Unix(0, 0)}
 	h := testHub(c)
 	for i := range 82 {
-		h.Beat(heartbeat(string(rune('a'+i%26)) + string(rune('a'+i/26))))
+		h.Heartbeat(heartbeat(string(rune('a'+i%26)) + string(rune('a'+i/26))))
 	}
 	one := heartbeat("aa", alive("e1", 3), alive("e2", 4))
-	one.Hub = 1
+	one.HubBoot = 1
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		one.Since = h.version
+		one.ViewVersion = h.version
 		one.Servers[0].Running = i % 8
-		h.Beat(one)
+		h.Heartbeat(one)
 	}
 }
 
@@ -202,11 +202,11 @@
 	c := &clock{time.Unix(0, 0)}
 	h := testHub(c)
 	// Each host sends one heartbeat per interval, with an offset of its own.
-	h.Beat(heartbeat("poller-1", alive("e1", 3)))
+	h.Heartbeat(heartbeat("poller-1", alive("e1", 3)))
 	c.now = c.now.Add(300 * time.Millisecond)
-	h.Beat(heartbeat("poller-2", alive("e1", 3)))
+	h.Heartbeat(heartbeat("poller-2", alive("e1", 3)))
 	polls := false
-	view := h.Beat(heartbeat("other"))
+	view := h.Heartbeat(heartbeat("other"))
 	frozen := map[string]bool{}
 	for range 10 {
 		c.now = c.now.Add(time.Second)
@@ -214,8 +214,8 @@
 		if polls {
 			b = heartbeat("other", alive("e1", 3))
 		}
-		b.Hub, b.Since = view.Hub, view.Version
-		view = h.Beat(b)
+		b.HubBoot, b.ViewVersion = view.HubBoot, view.Version
+		view = h.Heartbeat(b)
 		for _, host := range view.Hosts {
 			frozen[host.Host] = !host.Alive
 		}
--- a/membership/node.go
+++ b/membership/node.go
@@ -23,8 +23,8 @@
 
 // Paths of membership on the peer listener.
 const (
-	PathBeat    = "/peer/heartbeat"
-	PathSummary = "/peer/summary"
+	PathHeartbeat = "/peer/heartbeat"
+	PathSummary   = "/peer/summary"
 )
 
 const (
@@ -52,9 +52,9 @@
 	Catalog  func() *catalog.Catalog
 	// Poll requests the load of a backend server.
 	Poll func(ctx context.Context, s *catalog.Server) (wheelgauge.LoadReport, error)
-	// Asks returns the number of waiting requests that may be forwarded to another region,
+	// Forwardable returns the number of waiting requests that may be forwarded to another region,
 	// by pool.
-	Asks func() map[string]int
+	Forwardable func() map[string]int
 	// Crashes holds those that this host recorded, and those kept of all hosts.
 	Crashes *quarantine.Table
 	// Limits holds those that servers announced to this host or to others.
@@ -71,7 +71,7 @@
 
 	mu          sync.RWMutex
 	leaving     bool
-	hosts       map[string]wheelgauge.HostEntry
+	hosts       map[string]wheelgauge.HostStatus
 	servers     map[string]*ServerState
 	names       map[int]string
 	models      map[int]string
@@ -98,7 +98,7 @@
 func Start(ctx context.Context, options Options) *Node {
 	ctx, cancel := context.WithCancel(ctx)
 	if options.Clock == nil {
-		options.Clock = wheelgauge.SteadyClock{}
+		options.Clock = wheelgauge.MonotonicClock{}
 	}
 	if options.Crashes == nil {
 		options.Crashes = quarantine.New(options.Clock.Now)
@@ -108,16 +108,16 @@
 	}
 	n := &Node{
 		options: options, hub: NewHub(options.Region, options.Boot, options.Interval, options.Catalog, options.Clock.Now),
-		hosts: map[string]wheelgauge.HostEntry{}, servers: map[string]*ServerState{}, names: map[int]string{}, models: map[int]string{}, regions: map[string]wheelgauge.RegionSummary{},
+		hosts: map[string]wheelgauge.HostStatus{}, servers: map[string]*ServerState{}, names: map[int]string{}, models: map[int]string{}, regions: map[string]wheelgauge.RegionSummary{},
 		cancel: cancel, done: make(chan error, 1),
 	}
 	go func() { n.done <- n.run(ctx) }()
 	return n
 }
 
-// Hub returns this gateway's own hub, which is used while the region's store host is
+// LocalHub returns this gateway's own hub, which is used while the region's store host is
 // unreachable.
-func (n *Node) Hub() *Hub { return n.hub }
+func (n *Node) LocalHub() *Hub { return n.hub }
 
 // Close stops the heartbeats and waits for the last one.
 func (n *Node) Close() error {
@@ -134,7 +134,7 @@
 
 func (n *Node) run(ctx context.Context) error {
 	n.tick(ctx)
-	return every.Interval(ctx, n.options.Interval, n.tick)
+	return every.Run(ctx, n.options.Interval, n.tick)
 }
 
 // tick polls servers, sends the heartbeat and exchanges summaries for one interval.
@@ -157,13 +157,13 @@
 	halls := map[string][]string{}
 	var all []string
 	for _, h := range c.Hosts(n.options.Region) {
-		if h.Name == n.options.Host || n.HostAlive(h.Name) || n.mayBeAlive(h.Name) {
+		if h.Name == n.options.Host || n.HostAvailable(h.Name) || n.mayBeAlive(h.Name) {
 			halls[h.Hall] = append(halls[h.Hall], h.Name)
 			all = append(all, h.Name)
 		}
 	}
 	var out []*catalog.Server
-	for _, s := range c.RegionServers(n.options.Region) {
+	for _, s := range c.ServersInRegion(n.options.Region) {
 		pollers := halls[s.Hall]
 		if len(pollers) == 0 {
 			pollers = all
@@ -175,9 +175,9 @@
 	return out
 }
 
-func (n *Node) poll(ctx context.Context, c *catalog.Catalog) []wheelgauge.ServerEntry {
+func (n *Node) poll(ctx context.Context, c *catalog.Catalog) []wheelgauge.ServerStatus {
 	servers := n.assigned(c)
-	out := make([]wheelgauge.ServerEntry, len(servers))
+	out := make([]wheelgauge.ServerStatus, len(servers))
 	var group errgroup.Group
 	group.SetLimit(maxPolls)
 	for i, s := range servers {
@@ -190,14 +190,14 @@
 	return out
 }
 
-func (n *Node) pollOne(ctx context.Context, s *catalog.Server) wheelgauge.ServerEntry {
+func (n *Node) pollOne(ctx context.Context, s *catalog.Server) wheelgauge.ServerStatus {
 	pollCtx, cancel := context.WithTimeout(ctx, n.options.Interval*3/4)
 	defer cancel()
 	load, err := n.options.Poll(pollCtx, s)
 	if err != nil {
-		return wheelgauge.ServerEntry{Server: s.Name}
+		return wheelgauge.ServerStatus{Server: s.Name}
 	}
-	return wheelgauge.ServerEntry{Server: s.Name, Alive: true, Leaving: load.Leaving, Running: load.Running, Waiting: load.Waiting, Models: strings.Join(load.Models, ",")}
+	return wheelgauge.ServerStatus{Server: s.Name, Alive: true, Leaving: load.Leaving, Running: load.Running, Waiting: load.Waiting, Models: strings.Join(load.Models, ",")}
 }
 
 // hubs returns the addresses to try, best first: the region's stores, then
@@ -205,8 +205,8 @@
 func (n *Node) hubs(c *catalog.Catalog) []string {
 	var out, names []string
 	for _, h := range c.Hosts(n.options.Region) {
-		if h.Store != "" {
-			out = append(out, h.Store)
+		if h.StoreAddress != "" {
+			out = append(out, h.StoreAddress)
 		}
 		names = append(names, h.Name)
 	}
@@ -216,12 +216,12 @@
 			out = append(out, "")
 			continue
 		}
-		out = append(out, c.Host(name).Peer)
+		out = append(out, c.Host(name).PeerAddress)
 	}
 	return out
 }
 
-func (n *Node) sendHeartbeat(ctx context.Context, c *catalog.Catalog, polled []wheelgauge.ServerEntry) {
+func (n *Node) sendHeartbeat(ctx context.Context, c *catalog.Catalog, polled []wheelgauge.ServerStatus) {
 	hubs := n.hubs(c)
 	n.mu.Lock()
 	n.ticks++
@@ -231,11 +231,11 @@
 	index := min(n.hubIndex, len(hubs)-1)
 	b := wheelgauge.Heartbeat{
 		Host: n.options.Host, Boot: n.options.Boot, Leaving: n.leaving, Generation: c.Generation(),
-		Asks: n.options.Asks(), Servers: polled, Since: n.viewVersion, Hub: n.hubBoot, CrashesAt: n.crashesVersion, LimitsAt: n.limitsVersion,
+		Forwardable: n.options.Forwardable(), Servers: polled, ViewVersion: n.viewVersion, HubBoot: n.hubBoot, CrashesVersion: n.crashesVersion, LimitsVersion: n.limitsVersion,
 	}
 	var crashChange, limitChange uint64
 	b.Crashes, crashChange = n.options.Crashes.Since(n.crashesAcked)
-	b.Limits, limitChange = n.options.Limits.Heard(n.limitsAcked)
+	b.Limits, limitChange = n.options.Limits.LocalSince(n.limitsAcked)
 	n.mu.Unlock()
 	for ; index >= 0 && index < len(hubs); index++ {
 		view, err := n.send(ctx, hubs[index], b)
@@ -257,12 +257,12 @@
 
 func (n *Node) send(ctx context.Context, address string, b wheelgauge.Heartbeat) (wheelgauge.View, error) {
 	if address == "" {
-		return n.hub.Beat(b), nil
+		return n.hub.Heartbeat(b), nil
 	}
 	callCtx, cancel := context.WithTimeout(ctx, n.options.Interval/2)
 	defer cancel()
 	var v wheelgauge.View
-	err := n.options.Client.Call(callCtx, http.MethodPost, address, PathBeat, b, &v)
+	err := n.options.Client.Call(callCtx, http.MethodPost, address, PathHeartbeat, b, &v)
 	return v, err
 }
 
@@ -273,7 +273,7 @@
 		n.options.Log.Info("Heartbeats go to another hub.", "hub", hub)
 		n.hubAddress = hub
 	}
-	n.hubIndex, n.hubBoot, n.viewVersion = index, v.Hub, v.Version
+	n.hubIndex, n.hubBoot, n.viewVersion = index, v.HubBoot, v.Version
 	n.views++
 	if v.Full {
 		n.views = 0
@@ -300,16 +300,16 @@
 	if v.Full {
 		n.crashesAcked = 0
 	}
-	if v.CrashesAt == n.crashesVersion && !v.Full {
+	if v.CrashesVersion == n.crashesVersion && !v.Full {
 		return
 	}
 	if n.views < warmUpViews {
 		n.crashesVersion = 0 // requests the list again
-		n.options.Crashes.KeepBesides(v.Crashes)
+		n.options.Crashes.AddPersisted(v.Crashes)
 		return
 	}
-	n.crashesVersion = v.CrashesAt
-	n.options.Crashes.Keep(v.Crashes)
+	n.crashesVersion = v.CrashesVersion
+	n.options.Crashes.SetPersisted(v.Crashes)
 }
 
 // applyLimits merges the rate limits of servers that a hub sends. A hub that has just begun
@@ -318,29 +318,29 @@
 	n.options.Limits.Merge(v.Limits)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.limitsAcked, n.limitsVersion = acked, v.LimitsAt
+	n.limitsAcked, n.limitsVersion = acked, v.LimitsVersion
 	if v.Full {
 		n.limitsAcked = 0
 	}
 }
 
 // unpack returns the loads of a view with the names that the hub's numbers stand for.
-func (n *Node) unpack(v wheelgauge.View) []wheelgauge.ServerEntry {
-	for number, name := range v.Names {
+func (n *Node) unpack(v wheelgauge.View) []wheelgauge.ServerStatus {
+	for number, name := range v.ServerNames {
 		n.names[number] = name
 	}
 	maps.Copy(n.models, v.Models)
-	out := make([]wheelgauge.ServerEntry, 0, len(v.Loads))
-	for _, l := range v.Loads {
+	out := make([]wheelgauge.ServerStatus, 0, len(v.ServerLoads))
+	for _, l := range v.ServerLoads {
 		if name, ok := n.names[l.Number()]; ok {
-			out = append(out, l.Entry(name, n.models[l.Number()]))
+			out = append(out, l.Unpack(name, n.models[l.Number()]))
 		}
 	}
 	return out
 }
 
 // applyServers puts entries into the server table; the lock is held.
-func (n *Node) applyServers(entries []wheelgauge.ServerEntry) {
+func (n *Node) applyServers(entries []wheelgauge.ServerStatus) {
 	now := n.options.Clock.Now()
 	for _, e := range entries {
 		s := n.servers[e.Server]
@@ -349,10 +349,10 @@
 			n.servers[e.Server] = s
 		}
 		if s.Known && !s.Alive && e.Alive {
-			s.Since = now
+			s.RecoveredAt = now
 		}
-		s.ServerEntry, s.Known = e, true
-		s.Reported++
+		s.ServerStatus, s.Known = e, true
+		s.Reports++
 	}
 }
 
@@ -385,12 +385,12 @@
 
 func exchangeRegion(ctx context.Context, hub *Hub, c *catalog.Catalog, client *peerhttp.Client, region string, summary wheelgauge.RegionSummary) {
 	for _, h := range c.Hosts(region) {
-		if h.Store == "" {
+		if h.StoreAddress == "" {
 			continue
 		}
 		var theirs wheelgauge.RegionSummary
-		if err := client.Call(ctx, http.MethodPost, h.Store, PathSummary, summary, &theirs); err == nil {
-			hub.TakeRegion(theirs)
+		if err := client.Call(ctx, http.MethodPost, h.StoreAddress, PathSummary, summary, &theirs); err == nil {
+			hub.UpdateRegion(theirs)
 			return
 		}
 	}
--- a/membership/state.go
+++ b/membership/state.go
@@ -10,17 +10,17 @@
 
 // ServerState is what a node knows of a backend server.
 type ServerState struct {
-	wheelgauge.ServerEntry
+	wheelgauge.ServerStatus
 	// Known is false until the first report.
 	Known bool
-	// Since is when the server was first seen alive after being down.
-	Since time.Time
-	// Reported counts the reports, so that a reader can detect a new one.
-	Reported uint64
+	// RecoveredAt is when the server was first seen alive after being down.
+	RecoveredAt time.Time
+	// Reports counts the reports, so that a reader can detect a new one.
+	Reports uint64
 }
 
-// HostAlive reports whether a host is alive by the hub's view and not leaving.
-func (n *Node) HostAlive(name string) bool {
+// HostAvailable reports whether a host is alive by the hub's view and not leaving.
+func (n *Node) HostAvailable(name string) bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	h, ok := n.hosts[name]
@@ -58,13 +58,13 @@
 	return false
 }
 
-// Ramp returns the fraction of a server's slots that may be used: less than 1 for
+// SlotFraction returns the fraction of a server's slots that may be used: less than 1 for
 // returnRamp after it recovered.
-func (s *ServerState) Ramp(now time.Time) float64 {
-	if s.Since.IsZero() {
+func (s *ServerState) SlotFraction(now time.Time) float64 {
+	if s.RecoveredAt.IsZero() {
 		return 1
 	}
-	fraction := float64(now.Sub(s.Since)) / float64(returnRamp)
+	fraction := float64(now.Sub(s.RecoveredAt)) / float64(returnRamp)
 	return min(1, max(minRamp, fraction))
 }
 
@@ -75,11 +75,11 @@
 	return n.regions[name]
 }
 
-// RegionGone reports whether a region that was known has become unreachable.
-func (n *Node) RegionGone(name string) bool { return n.Region(name).Gone }
+// RegionUnreachable reports whether a region that was known has become unreachable.
+func (n *Node) RegionUnreachable(name string) bool { return n.Region(name).Unreachable }
 
-// HostDown reports whether another region lists one of its hosts as accepting no requests.
-func (n *Node) HostDown(region, host string) bool {
+// HostUnavailable reports whether another region lists one of its hosts as accepting no requests.
+func (n *Node) HostUnavailable(region, host string) bool {
 	return slices.Contains(n.Region(region).Down, host)
 }
 
--- a/message.go
+++ b/message.go
@@ -4,14 +4,14 @@
 
 // Header names used on the wire.
 const (
-	HeaderRequestID     = "X-Request-Id"
-	HeaderOutcome       = "Wheelgauge-Outcome"
-	HeaderReason        = "Wheelgauge-Reason"
-	HeaderNotRepeatable = "Wheelgauge-Not-Repeatable"
-	HeaderIdempotency   = "Idempotency-Key"
-	HeaderDeadline      = "Wheelgauge-Deadline-Ms"
-	HeaderServed        = "Wheelgauge-Served-By"
-	HeaderRegion        = "Wheelgauge-Region"
+	HeaderRequestID      = "X-Request-Id"
+	HeaderOutcome        = "Wheelgauge-Outcome"
+	HeaderReason         = "Wheelgauge-Reason"
+	HeaderNotRepeatable  = "Wheelgauge-Not-Repeatable"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderDeadlineMS     = "Wheelgauge-Deadline-Ms"
+	HeaderServedBy       = "Wheelgauge-Served-By"
+	HeaderRegion         = "Wheelgauge-Region"
 	// HeaderLimit carries, in responses of an overloaded server, the requests per second
 	// that it accepts from all hosts together.
 	HeaderLimit = "Wheelgauge-Limit"
@@ -19,13 +19,13 @@
 	HeaderLeaving = "Wheelgauge-Leaving"
 	// The headers below are used on the peer listener only.
 	HeaderForwardedFrom = "Wheelgauge-Forwarded-From"
-	// HeaderMust marks a request that was forwarded because the forwarding region could not take
+	// HeaderMustAccept marks a request that was forwarded because the forwarding region could not take
 	// it. It is admitted even if all slots are taken.
-	HeaderMust     = "Wheelgauge-Forward-Must"
-	HeaderClient   = "Wheelgauge-Client"
-	HeaderClass    = "Wheelgauge-Class"
-	HeaderHome     = "Wheelgauge-Home"
-	HeaderPriority = "Wheelgauge-Priority"
+	HeaderMustAccept = "Wheelgauge-Forward-Must"
+	HeaderClient     = "Wheelgauge-Client"
+	HeaderClass      = "Wheelgauge-Class"
+	HeaderHome       = "Wheelgauge-Home"
+	HeaderPriority   = "Wheelgauge-Priority"
 	// HeaderWorkspace names the workspace of a forwarded request.
 	HeaderWorkspace = "Wheelgauge-Workspace"
 	// HeaderSends reports to the forwarding gateway how many servers the request
@@ -33,8 +33,8 @@
 	HeaderSends = "Wheelgauge-Sends"
 )
 
-// Entry is one host of the entry list.
-type Entry struct {
+// EntryHost is one host of the entry list.
+type EntryHost struct {
 	Host    string `json:"host"`
 	Region  string `json:"region"`
 	Address string `json:"address"`
@@ -42,8 +42,8 @@
 
 // EntryList is the response to GET /v1/entry, best host first.
 type EntryList struct {
-	Entries []Entry `json:"entries"`
-	TTLMS   int64   `json:"ttl_ms"`
+	Entries []EntryHost `json:"entries"`
+	TTLMS   int64       `json:"ttl_ms"`
 }
 
 // ChangeOp is the operation of a change.
@@ -64,11 +64,11 @@
 	Op   ChangeOp `json:"op"`
 	Kind Kind     `json:"kind"`
 	Name string   `json:"name"`
-	// Expected is the resource generation that the operator saw: 0 for a new resource, nil
+	// ExpectedGeneration is the resource generation that the operator saw: 0 for a new resource, nil
 	// to accept any.
-	Expected *uint64         `json:"expected,omitempty"`
-	Spec     json.RawMessage `json:"spec,omitempty"`
-	Operator string          `json:"operator,omitempty"`
+	ExpectedGeneration *uint64         `json:"expected,omitempty"`
+	Spec               json.RawMessage `json:"spec,omitempty"`
+	Operator           string          `json:"operator,omitempty"`
 }
 
 // ChangeResult is the response to a change.
@@ -77,9 +77,9 @@
 	Generation uint64 `json:"generation"`
 	// Pending is true while a change that removes rights is not accepted yet.
 	Pending bool `json:"pending,omitempty"`
-	// Waiting lists the hosts that have not acknowledged a pending change.
-	Waiting []string `json:"waiting,omitempty"`
-	Error   *Error   `json:"error,omitempty"`
+	// WaitingHosts lists the hosts that have not acknowledged a pending change.
+	WaitingHosts []string `json:"waiting,omitempty"`
+	Error        *Error   `json:"error,omitempty"`
 }
 
 // Event is one change reported by a watch.
@@ -89,23 +89,23 @@
 	Resource   Resource `json:"resource"`
 }
 
-// WatchAnswer is the response to GET /v1/watch. Without events it is a bookmark: it
+// WatchResponse is the response to GET /v1/watch. Without events it is a bookmark: it
 // confirms that the store is still making progress at Generation.
-type WatchAnswer struct {
+type WatchResponse struct {
 	Generation uint64  `json:"generation"`
 	Events     []Event `json:"events,omitempty"`
-	// InTouch is false while the store is partitioned from the other stores.
-	InTouch bool `json:"in_touch"`
+	// Connected is false while the store is partitioned from the other stores.
+	Connected bool `json:"in_touch"`
 }
 
-// ListAnswer is the response to GET /v1/resources.
-type ListAnswer struct {
+// ListResponse is the response to GET /v1/resources.
+type ListResponse struct {
 	Generation uint64     `json:"generation"`
 	Resources  []Resource `json:"resources"`
 }
 
-// InForce reports the configuration generation that a host applies.
-type InForce struct {
+// AppliedGeneration reports the configuration generation that a host applies.
+type AppliedGeneration struct {
 	Host       string `json:"host"`
 	Region     string `json:"region"`
 	Generation uint64 `json:"generation"`
@@ -133,14 +133,14 @@
 
 // Claim requests or ends the right to run a call that is not repeatable.
 type Claim struct {
-	Client string     `json:"client"`
-	Key    string     `json:"key"`
-	Digest string     `json:"digest"`
-	Holder string     `json:"holder"`
-	State  ClaimState `json:"state"`
-	Status int        `json:"status,omitempty"`
-	Type   string     `json:"type,omitempty"`
-	Body   []byte     `json:"body,omitempty"`
+	Client      string     `json:"client"`
+	Key         string     `json:"key"`
+	Digest      string     `json:"digest"`
+	Holder      string     `json:"holder"`
+	State       ClaimState `json:"state"`
+	Status      int        `json:"status,omitempty"`
+	ContentType string     `json:"type,omitempty"`
+	Body        []byte     `json:"body,omitempty"`
 }
 
 // LoadReport is a backend server's own report of its load. It lags behind the actual load.
@@ -158,8 +158,8 @@
 // ModelName joins a model and its version in the form used by load reports.
 func ModelName(model, version string) string { return model + "@" + version }
 
-// ServerEntry is the last state of a backend server seen by the host that polls it.
-type ServerEntry struct {
+// ServerStatus is the last state of a backend server seen by the host that polls it.
+type ServerStatus struct {
 	Server  string `json:"n"`
 	Alive   bool   `json:"a,omitempty"`
 	Leaving bool   `json:"v,omitempty"`
@@ -175,27 +175,27 @@
 	Boot       uint64 `json:"b"`
 	Leaving    bool   `json:"v,omitempty"`
 	Generation uint64 `json:"g"`
-	// Asks is the number of requests, by pool, that wait at this host and may be forwarded to
+	// Forwardable is the number of requests, by pool, that wait at this host and may be forwarded to
 	// another region.
-	Asks map[string]int `json:"k,omitempty"`
+	Forwardable map[string]int `json:"k,omitempty"`
 	// Servers are the backend servers that this host polls.
-	Servers []ServerEntry `json:"s,omitempty"`
-	// Since and Hub identify the last view received, so that the hub returns only what
+	Servers []ServerStatus `json:"s,omitempty"`
+	// ViewVersion and HubBoot identify the last view received, so that the hub returns only what
 	// changed since.
-	Since uint64 `json:"i,omitempty"`
-	Hub   uint64 `json:"u,omitempty"`
-	// Crashes are those recorded here since the last view. CrashesAt is the version of the
+	ViewVersion uint64 `json:"i,omitempty"`
+	HubBoot     uint64 `json:"u,omitempty"`
+	// Crashes are those recorded here since the last view. CrashesVersion is the version of the
 	// list for all hosts that this host holds.
-	Crashes   []Crash `json:"c,omitempty"`
-	CrashesAt uint64  `json:"ca,omitempty"`
+	Crashes        []Crash `json:"c,omitempty"`
+	CrashesVersion uint64  `json:"ca,omitempty"`
 	// Limits are those that servers announced in responses to this host since the last view.
-	// LimitsAt is the version of the limits last received from the hub.
-	Limits   []ServerLimit `json:"l,omitempty"`
-	LimitsAt uint64        `json:"la,omitempty"`
+	// LimitsVersion is the version of the limits last received from the hub.
+	Limits        []ServerLimit `json:"l,omitempty"`
+	LimitsVersion uint64        `json:"la,omitempty"`
 }
 
-// HostEntry is the state of a host as seen by its hub.
-type HostEntry struct {
+// HostStatus is the state of a host as seen by its hub.
+type HostStatus struct {
 	Host    string `json:"h"`
 	Alive   bool   `json:"a,omitempty"`
 	Leaving bool   `json:"v,omitempty"`
@@ -207,15 +207,15 @@
 	Hosts  int    `json:"h"`
 	// Down lists configured hosts that are dead or leaving.
 	Down []string `json:"d,omitempty"`
-	// Asks is the number of requests, by pool, that wait in this region and may be forwarded
+	// Forwardable is the number of requests, by pool, that wait in this region and may be forwarded
 	// to another one.
-	Asks  map[string]int         `json:"k,omitempty"`
-	Pools map[string]PoolSummary `json:"p,omitempty"`
+	Forwardable map[string]int         `json:"k,omitempty"`
+	Pools       map[string]PoolSummary `json:"p,omitempty"`
 	// Crashes are the latest ones recorded by hosts of the region.
 	Crashes []Crash `json:"c,omitempty"`
-	// Gone is set by the receiving side when no summary of the region has arrived for several
+	// Unreachable is set by the receiving side when no summary of the region has arrived for several
 	// intervals.
-	Gone bool `json:"x,omitempty"`
+	Unreachable bool `json:"x,omitempty"`
 }
 
 // PoolSummary is the load of a pool in a region.
@@ -229,52 +229,52 @@
 
 // View is the response to a heartbeat: what changed since the view named in the heartbeat.
 type View struct {
-	Hub     uint64      `json:"u"`
-	Version uint64      `json:"i"`
-	Full    bool        `json:"f,omitempty"`
-	Hosts   []HostEntry `json:"h,omitempty"`
-	// Names maps the numbers that this hub assigned to new backend servers to their names.
-	Names map[int]string `json:"n,omitempty"`
+	HubBoot uint64       `json:"u"`
+	Version uint64       `json:"i"`
+	Full    bool         `json:"f,omitempty"`
+	Hosts   []HostStatus `json:"h,omitempty"`
+	// ServerNames maps the numbers that this hub assigned to new backend servers to their names.
+	ServerNames map[int]string `json:"n,omitempty"`
 	// Models maps server numbers to their ready models, for servers whose models changed.
 	Models map[int]string `json:"m,omitempty"`
-	// Loads identify servers by number, because load reports make up most of the traffic.
-	Loads   []ServerLoad    `json:"s,omitempty"`
-	Regions []RegionSummary `json:"r,omitempty"`
+	// ServerLoads identify servers by number, because load reports make up most of the traffic.
+	ServerLoads []PackedServerStatus `json:"s,omitempty"`
+	Regions     []RegionSummary      `json:"r,omitempty"`
 	// Crashes are those of the requests to quarantine: the whole list, sent when its version
 	// changed.
-	CrashesAt uint64  `json:"ca,omitempty"`
-	Crashes   []Crash `json:"c,omitempty"`
+	CrashesVersion uint64  `json:"ca,omitempty"`
+	Crashes        []Crash `json:"c,omitempty"`
 	// Limits are those that changed since the version named in the heartbeat.
-	LimitsAt uint64        `json:"la,omitempty"`
-	Limits   []ServerLimit `json:"l,omitempty"`
+	LimitsVersion uint64        `json:"la,omitempty"`
+	Limits        []ServerLimit `json:"l,omitempty"`
 }
 
-// ServerLoad is the packed state of a backend server: its number at the hub, its flags,
+// PackedServerStatus is the packed state of a backend server: its number at the hub, its flags,
 // and its running and waiting requests.
-type ServerLoad [4]int
+type PackedServerStatus [4]int
 
 // Flags of a packed server state.
 const (
-	LoadAlive   = 1
-	LoadLeaving = 2
+	FlagAlive   = 1
+	FlagLeaving = 2
 )
 
-// NewServerLoad packs the state of the server with the given number.
-func NewServerLoad(number int, e ServerEntry) ServerLoad {
+// PackServerStatus packs the state of the server with the given number.
+func PackServerStatus(number int, e ServerStatus) PackedServerStatus {
 	flags := 0
 	if e.Alive {
-		flags |= LoadAlive
+		flags |= FlagAlive
 	}
 	if e.Leaving {
-		flags |= LoadLeaving
+		flags |= FlagLeaving
 	}
-	return ServerLoad{number, flags, e.Running, e.Waiting}
+	return PackedServerStatus{number, flags, e.Running, e.Waiting}
 }
 
 // Number returns the number that the hub assigned to the server.
-func (l ServerLoad) Number() int { return l[0] }
+func (l PackedServerStatus) Number() int { return l[0] }
 
-// Entry unpacks the state of the server with the given name and ready models.
-func (l ServerLoad) Entry(name, models string) ServerEntry {
-	return ServerEntry{Server: name, Models: models, Alive: l[1]&LoadAlive != 0, Leaving: l[1]&LoadLeaving != 0, Running: l[2], Waiting: l[3]}
+// Unpack unpacks the state of the server with the given name and ready models.
+func (l PackedServerStatus) Unpack(name, models string) ServerStatus {
+	return ServerStatus{Server: name, Models: models, Alive: l[1]&FlagAlive != 0, Leaving: l[1]&FlagLeaving != 0, Running: l[2], Waiting: l[3]}
 }
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -51,9 +51,9 @@
 	metrics.GetOrRegisterCounter(name, m.registry).Inc(n)
 }
 
-// Call counts a call between processes under its path: the call, and the bytes of both
+// CountCall counts a call between processes under its path: the call, and the bytes of both
 // bodies without headers.
-func (m *Meter) Call(path string, sent, received int) {
+func (m *Meter) CountCall(path string, sent, received int) {
 	kind := callKind(path)
 	m.Count(callsPrefix + kind)
 	m.Add(sentPrefix+kind, int64(sent))
@@ -66,8 +66,8 @@
 	return strings.ReplaceAll(strings.Trim(kind, "/"), "/", ".")
 }
 
-// Bytes returns the bytes sent and received by kind of call, as one line of text.
-func (m *Meter) Bytes() string {
+// BytesByKind returns the bytes sent and received by kind of call, as one line of text.
+func (m *Meter) BytesByKind() string {
 	var out []string
 	m.registry.Each(func(name string, v any) {
 		c, ok := v.(metrics.Counter)
@@ -90,9 +90,9 @@
 	m.histogram(name + ".class." + class).Update(d.Milliseconds())
 }
 
-// Workspace counts a request of a workspace: whether it succeeded, whether it did so within
+// CountWorkspace counts a request of a workspace: whether it succeeded, whether it did so within
 // its deadline and how long it took, and whether the workspace's cap rejected it.
-func (m *Meter) Workspace(name string, served, inTime, capped bool, took time.Duration) {
+func (m *Meter) CountWorkspace(name string, served, inTime, capped bool, took time.Duration) {
 	name = m.label(m.workspaces, name, maxWorkspaces)
 	m.Count("workspace.arrived." + name)
 	if served {
--- a/meter/workspace_test.go
+++ b/meter/workspace_test.go
@@ -12,7 +12,7 @@
 func TestWorkspacesAreBounded(t *testing.T) {
 	m := New()
 	for i := range 890 {
-		m.Workspace(fmt.Sprint("w", i), true, i%2 == 0, i%3 == 0, time.Millisecond)
+		m.CountWorkspace(fmt.Sprint("w", i), true, i%2 == 0, i%3 == 0, time.Millisecond)
 	}
 	var out bytes.Buffer
 	m.WriteJSON(&out)
--- a/native/operations.go
+++ b/native/operations.go
@@ -25,9 +25,9 @@
 	Version uint64 `json:"version"`
 }
 
-// Control returns the handler of PUT and GET /v1/routes, of PUT and DELETE
+// OperatorHandler returns the handler of PUT and GET /v1/routes, of PUT and DELETE
 // /v1/halls/HALL/drain, and of PUT, GET and DELETE /v1/rollouts/SERVICE.
-func Control(o wheelgauge.Operations) fasthttp.RequestHandler {
+func OperatorHandler(o wheelgauge.Operations) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		path := string(ctx.Path())
 		hall, isHall := strings.CutPrefix(path, pathHalls)
@@ -55,7 +55,7 @@
 func getRoutes(ctx *fasthttp.RequestCtx, o wheelgauge.Operations) {
 	body, err := o.Routes(context.Background())
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	ctx.SetContentType("application/json")
@@ -66,7 +66,7 @@
 func handleRollout(ctx *fasthttp.RequestCtx, o wheelgauge.Operations, service string) {
 	switch {
 	case ctx.IsPut():
-		order, err := peerhttp.Decode[wheelgauge.RolloutOrder](ctx)
+		order, err := peerhttp.Decode[wheelgauge.RolloutRequest](ctx)
 		if err == nil {
 			order.Service = service
 			err = o.StartRollout(context.Background(), order)
@@ -84,10 +84,10 @@
 
 func respond(ctx *fasthttp.RequestCtx, v any, err error) {
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
-	peerhttp.Answer(ctx, v)
+	peerhttp.WriteJSON(ctx, v)
 }
 
 // EntryHandler returns the handler of GET /v1/entry?name=HOST&region=R.
@@ -102,7 +102,7 @@
 		addresses, ttl, err := o.EntryAddresses(string(args.Peek("name")), region)
 		list := wheelgauge.EntryList{TTLMS: ttl.Milliseconds()}
 		for _, a := range addresses {
-			list.Entries = append(list.Entries, wheelgauge.Entry{Region: region, Address: a})
+			list.Entries = append(list.Entries, wheelgauge.EntryHost{Region: region, Address: a})
 		}
 		respond(ctx, list, err)
 	}
--- a/native/servers.go
+++ b/native/servers.go
@@ -25,7 +25,7 @@
 }
 
 // Servers implements wheelgauge.ServerList.
-func (l *ServerList) Servers(ctx context.Context, halls []string) ([]wheelgauge.Server, wheelgauge.ForeignEntries, error) {
+func (l *ServerList) Servers(ctx context.Context, halls []string) ([]wheelgauge.Server, wheelgauge.InvalidEntries, error) {
 	path := "/v1/servers"
 	if len(halls) > 0 {
 		path += "?halls=" + url.QueryEscape(strings.Join(halls, ","))
@@ -35,18 +35,18 @@
 		return nil, nil, fmt.Errorf("read server list: %w", err)
 	}
 	var out []wheelgauge.Server
-	foreign := wheelgauge.ForeignEntries{}
+	foreign := wheelgauge.InvalidEntries{}
 	for _, entry := range entries {
 		var s wheelgauge.Server
 		switch err := json.Unmarshal(entry, &s); {
 		case err != nil:
-			foreign[wheelgauge.EntryOtherType]++
+			foreign[wheelgauge.EntryWrongType]++
 		case s.Instance == "" || s.Service == "" || s.Address == "" || s.Hall == "":
-			foreign[wheelgauge.EntryMissing]++
-		case !s.Reachable():
-			foreign[wheelgauge.EntryNoAddress]++
+			foreign[wheelgauge.EntryMissingField]++
+		case !s.HasValidAddress():
+			foreign[wheelgauge.EntryInvalidAddress]++
 		default:
-			out = append(out, s.Bounded())
+			out = append(out, s.Clamped())
 		}
 	}
 	return out, foreign, nil
--- a/operators/tokens.go
+++ b/operators/tokens.go
@@ -30,8 +30,8 @@
 	tokenHash [sha256.Size]byte
 }
 
-// Tokens has the operators of a file, which it reads again when the file changes.
-type Tokens struct {
+// Authenticator has the operators of a file, which it reads again when the file changes.
+type Authenticator struct {
 	path    string
 	mu      sync.Mutex
 	modTime time.Time
@@ -39,15 +39,15 @@
 }
 
 // Load reads an INI file with one section for each operator: token and role.
-func Load(path string) (*Tokens, error) {
-	t := &Tokens{path: path}
+func Load(path string) (*Authenticator, error) {
+	t := &Authenticator{path: path}
 	if err := t.refresh(); err != nil {
 		return nil, err
 	}
 	return t, nil
 }
 
-func (t *Tokens) refresh() error {
+func (t *Authenticator) refresh() error {
 	info, err := os.Stat(t.path)
 	if err != nil {
 		return fmt.Errorf("stat operators file: %w", err)
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// Check returns the name of the operator that the Authorization header identifies. It
+// Authorize returns the name of the operator that the Authorization header identifies. It
 // returns an error for an unknown token, or if write is set and the operator may only read.
-func (t *Tokens) Check(header string, write bool) (string, error) {
+func (t *Authenticator) Authorize(header string, write bool) (string, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_ = t.refresh() // if the file cannot be read, as during its replacement, the earlier list stays in use
--- a/opsclient/client.go
+++ b/opsclient/client.go
@@ -37,7 +37,7 @@
 
 // New returns a client of stores, which are their operator addresses. Without secure, which
 // may be nil, it uses plain HTTP.
-func New(stores []string, token string, secure peerhttp.Secure) *Client {
+func New(stores []string, token string, secure peerhttp.TLSConfigFunc) *Client {
 	return &Client{stores: stores, http: peerhttp.NewClient(peerhttp.NewDialer("", secure), token)}
 }
 
@@ -89,8 +89,8 @@
 }
 
 // List returns all resources of a kind, or of every kind when it is empty.
-func (c *Client) List(ctx context.Context, kind wheelgauge.Kind) (wheelgauge.ListAnswer, error) {
-	var out wheelgauge.ListAnswer
+func (c *Client) List(ctx context.Context, kind wheelgauge.Kind) (wheelgauge.ListResponse, error) {
+	var out wheelgauge.ListResponse
 	err := c.call(ctx, http.MethodGet, resourcePath(kind, ""), nil, &out)
 	return out, err
 }
@@ -108,8 +108,8 @@
 		change.ID = NewChangeID()
 	}
 	query := url.Values{"change": {change.ID}}
-	if change.Expected != nil {
-		query.Set("expected", strconv.FormatUint(*change.Expected, 10))
+	if change.ExpectedGeneration != nil {
+		query.Set("expected", strconv.FormatUint(*change.ExpectedGeneration, 10))
 	}
 	if dryRun {
 		query.Set("dry_run", "true")
@@ -125,8 +125,8 @@
 
 // Watch returns the events after a generation, or no events but the current generation
 // after wait.
-func (c *Client) Watch(ctx context.Context, from uint64, wait time.Duration) (wheelgauge.WatchAnswer, error) {
-	var out wheelgauge.WatchAnswer
+func (c *Client) Watch(ctx context.Context, from uint64, wait time.Duration) (wheelgauge.WatchResponse, error) {
+	var out wheelgauge.WatchResponse
 	path := fmt.Sprintf("%s?from=%d&wait_ms=%d", confwatch.PathWatch, from, wait.Milliseconds())
 	err := c.call(ctx, http.MethodGet, path, nil, &out)
 	return out, err
@@ -147,7 +147,7 @@
 // LaggingHosts returns the names of configured hosts that have not applied a generation yet.
 func LaggingHosts(s storeapi.Status, hosts []wheelgauge.Resource, generation uint64) []string {
 	applied := map[string]bool{}
-	for _, h := range s.Hosts {
+	for _, h := range s.HostGenerations {
 		applied[h.Host] = h.Generation >= generation
 	}
 	var out []string
@@ -159,10 +159,10 @@
 	return out
 }
 
-// WaitInForce returns once every configured host has applied a generation and no
+// WaitApplied returns once every configured host has applied a generation and no
 // residency rule of it or of an earlier one is pending. If ctx ends first, the error lists
 // what is missing.
-func (c *Client) WaitInForce(ctx context.Context, generation uint64) error {
+func (c *Client) WaitApplied(ctx context.Context, generation uint64) error {
 	missing := []string{"no store responded"}
 	for ctx.Err() == nil {
 		got, err := c.pendingAt(ctx, generation)
--- a/opsclient/rollouts.go
+++ b/opsclient/rollouts.go
@@ -12,9 +12,9 @@
 
 // StartRollout starts to shift a service's requests to another version, in the routes mode.
 // An order that was accepted before, and whose rollout is in progress, is no error.
-func (c *Client) StartRollout(ctx context.Context, order wheelgauge.RolloutOrder) error {
+func (c *Client) StartRollout(ctx context.Context, order wheelgauge.RolloutRequest) error {
 	err := c.call(ctx, http.MethodPut, rolloutPath(order.Service), order, nil)
-	if err != nil && wheelgauge.AsError(err).Reason() != wheelgauge.ReasonUnderWay {
+	if err != nil && wheelgauge.AsError(err).Reason() != wheelgauge.ReasonInProgress {
 		return fmt.Errorf("start rollout of %s: %w", order.Service, err)
 	}
 	return nil
--- a/orders/reconciler.go
+++ b/orders/reconciler.go
@@ -35,8 +35,8 @@
 
 // Leadership is the part of the replicated log that a Reconciler uses.
 type Leadership interface {
-	// Leading reports whether this store is the leader, and Term its current term.
-	Leading() bool
+	// IsLeader reports whether this store is the leader, and Term its current term.
+	IsLeader() bool
 	Term() uint64
 	// ReadBarrier returns once a quorum has confirmed the leader.
 	ReadBarrier(ctx context.Context) error
@@ -51,7 +51,7 @@
 	LoadTimeout time.Duration
 	Leadership  Leadership
 	Catalog     func() *catalog.Catalog
-	Engines     wheelgauge.OrderTaker
+	Engines     wheelgauge.ModelEngine
 	// Clock measures the lease; the monotonic clock if nil.
 	Clock wheelgauge.Clock
 	Log   logr.Logger
@@ -78,10 +78,10 @@
 func Start(ctx context.Context, o Options) *Reconciler {
 	ctx, cancel := context.WithCancel(ctx)
 	if o.Clock == nil {
-		o.Clock = wheelgauge.SteadyClock{}
+		o.Clock = wheelgauge.MonotonicClock{}
 	}
 	r := &Reconciler{o: o, pendingLoads: map[string]time.Time{}, cancel: cancel, done: make(chan error, 1)}
-	go func() { r.done <- every.Interval(ctx, o.Interval, r.tick) }()
+	go func() { r.done <- every.Run(ctx, o.Interval, r.tick) }()
 	return r
 }
 
@@ -93,7 +93,7 @@
 
 // tick compares the configured placements with the loaded models and sends the pending orders.
 func (r *Reconciler) tick(ctx context.Context) {
-	if !r.o.Leadership.Leading() {
+	if !r.o.Leadership.IsLeader() {
 		r.term = 0
 		return
 	}
@@ -102,7 +102,7 @@
 		clear(r.pendingLoads)
 	}
 	c := r.o.Catalog()
-	if c == nil || len(c.Models()) == 0 {
+	if c == nil || len(c.PlacedModels()) == 0 {
 		return
 	}
 	states := r.pollEngines(ctx, c)
@@ -138,7 +138,7 @@
 
 func (r *Reconciler) pendingOrders(c *catalog.Catalog, states []engineState) []pendingOrder {
 	var out []pendingOrder
-	for _, model := range c.Models() {
+	for _, model := range c.PlacedModels() {
 		complete := r.addLoads(c, states, model, &out)
 		if complete {
 			r.addUnloads(c, states, model, &out)
@@ -153,7 +153,7 @@
 	complete := true
 	for i := range states {
 		e := &states[i]
-		_, version, wanted := c.Placed(model, e.server.Name)
+		_, version, wanted := c.Placement(model, e.server.Name)
 		if !wanted {
 			continue
 		}
@@ -180,7 +180,7 @@
 	}
 	for i := range states {
 		e := &states[i]
-		_, version, wanted := c.Placed(model, e.server.Name)
+		_, version, wanted := c.Placement(model, e.server.Name)
 		for _, name := range e.ready {
 			base, readyVersion := splitModelName(name)
 			if base != model || wanted && readyVersion == version {
@@ -194,7 +194,7 @@
 // readyWherePlaced reports whether any engine that should have the model has it ready.
 func readyWherePlaced(c *catalog.Catalog, states []engineState, model string) bool {
 	return slices.ContainsFunc(states, func(e engineState) bool {
-		_, version, wanted := c.Placed(model, e.server.Name)
+		_, version, wanted := c.Placement(model, e.server.Name)
 		return wanted && slices.Contains(e.ready, wheelgauge.ModelName(model, version))
 	})
 }
--- a/orders/reconciler_test.go
+++ b/orders/reconciler_test.go
@@ -24,7 +24,7 @@
 	log   []string
 }
 
-func (e *fakeEngines) Send(context.Context, string, *wheelgauge.Call) (*wheelgauge.Answer, error) {
+func (e *fakeEngines) Send(context.Context, string, *wheelgauge.Call) (*wheelgauge.Response, error) {
 	return nil, errors.New("unexpected call of Send")
 }
 func (e *fakeEngines) Cancel(context.Context, string, string) error { return nil }
@@ -95,7 +95,7 @@
 	}
 }
 
-func (l *fakeLeader) Leading() bool                     { return l.leading }
+func (l *fakeLeader) IsLeader() bool                    { return l.leading }
 func (l *fakeLeader) Term() uint64                      { return l.term }
 func (l *fakeLeader) ReadBarrier(context.Context) error { return l.barrier }
 
@@ -142,7 +142,7 @@
 			}
 			c := buildCatalog(tt.place...)
 			r := &Reconciler{pendingLoads: map[string]time.Time{}, o: Options{
-				MaxLoads: 2, LoadTimeout: time.Hour, Leadership: &tt.leader, Engines: e, Clock: wheelgauge.SteadyClock{}, Log: logr.Discard(),
+				MaxLoads: 2, LoadTimeout: time.Hour, Leadership: &tt.leader, Engines: e, Clock: wheelgauge.MonotonicClock{}, Log: logr.Discard(),
 				Catalog: func() *catalog.Catalog { return c },
 			}}
 			for range tt.ticks {
--- a/peerhttp/answer.go
+++ b/peerhttp/answer.go
@@ -10,20 +10,20 @@
 	"wheelgauge"
 )
 
-// Answer responds with v as JSON.
-func Answer(ctx *fasthttp.RequestCtx, v any) {
+// WriteJSON responds with v as JSON.
+func WriteJSON(ctx *fasthttp.RequestCtx, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		AnswerError(ctx, err)
+		WriteError(ctx, err)
 		return
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBody(body)
 }
 
-// AnswerError responds with err as a wheelgauge.Error in JSON, with Retry-After in whole
+// WriteError responds with err as a wheelgauge.Error in JSON, with Retry-After in whole
 // seconds, rounded up.
-func AnswerError(ctx *fasthttp.RequestCtx, err error) {
+func WriteError(ctx *fasthttp.RequestCtx, err error) {
 	apiErr := wheelgauge.AsError(err)
 	body, encodeErr := json.Marshal(apiErr)
 	if encodeErr != nil {
@@ -53,23 +53,23 @@
 func Serve[In, Out any](ctx *fasthttp.RequestCtx, run func(In) (Out, error)) {
 	in, err := Decode[In](ctx)
 	if err != nil {
-		AnswerError(ctx, err)
+		WriteError(ctx, err)
 		return
 	}
 	out, err := run(in)
 	if err != nil {
-		AnswerError(ctx, err)
+		WriteError(ctx, err)
 		return
 	}
-	Answer(ctx, out)
+	WriteJSON(ctx, out)
 }
 
-// Infallible adapts a function without an error for Serve.
-func Infallible[In, Out any](f func(In) Out) func(In) (Out, error) {
+// NoError adapts a function without an error for Serve.
+func NoError[In, Out any](f func(In) Out) func(In) (Out, error) {
 	return func(in In) (Out, error) { return f(in), nil }
 }
 
 // NotFound responds to a path that does not exist.
 func NotFound(ctx *fasthttp.RequestCtx) {
-	AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, fasthttp.StatusNotFound, "no such path: "+string(ctx.Path())))
+	WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, fasthttp.StatusNotFound, "no such path: "+string(ctx.Path())))
 }
