--- a/peerhttp/client.go
+++ b/peerhttp/client.go
@@ -38,21 +38,21 @@
 	return errors.Is(err, fasthttp.ErrNoFreeConns)
 }
 
-// Secure returns the TLS configuration of a connection to host. It is called for
+// TLSConfigFunc returns the TLS configuration of a connection to host. It is called for
 // each connection, so that rotated keys take effect.
-type Secure func(host string) *tls.Config
+type TLSConfigFunc func(host string) *tls.Config
 
 // Dialer connects by TCP, with TLS if it has a Secure. Its errors satisfy
 // NotSent: no byte of a request is sent before the handshake is done.
 type Dialer struct {
 	net    net.Dialer
-	secure Secure
+	secure TLSConfigFunc
 	wrap   func(net.Conn) net.Conn
 }
 
 // NewDialer returns a dialer that connects from the IP address source. If source is
 // empty or not an IP address, the operating system chooses. secure may be nil.
-func NewDialer(source string, secure Secure) *Dialer {
+func NewDialer(source string, secure TLSConfigFunc) *Dialer {
 	d := &Dialer{net: net.Dialer{Timeout: dialTimeout}, secure: secure}
 	if ip := net.ParseIP(source); ip != nil {
 		d.net.LocalAddr = &net.TCPAddr{IP: ip}
@@ -60,8 +60,8 @@
 	return d
 }
 
-// Wrap sets a function that wraps each new connection, for example to count its bytes.
-func (d *Dialer) Wrap(f func(net.Conn) net.Conn) *Dialer {
+// WrapConns sets a function that wraps each new connection, for example to count its bytes.
+func (d *Dialer) WrapConns(f func(net.Conn) net.Conn) *Dialer {
 	d.wrap = f
 	return d
 }
@@ -114,9 +114,9 @@
 	onCall func(path string, sent, received int)
 }
 
-// Watch sets a function that gets the path and the body sizes in bytes of each call,
+// OnCall sets a function that gets the path and the body sizes in bytes of each call,
 // including failed ones. It must be set before the first call.
-func (c *Client) Watch(f func(path string, sent, received int)) { c.onCall = f }
+func (c *Client) OnCall(f func(path string, sent, received int)) { c.onCall = f }
 
 // NewClient returns a client that connects by dialer, or without TLS if dialer is
 // nil, and sends token as a bearer token unless it is empty.
@@ -149,9 +149,9 @@
 	return c.call(ctx, c.http, method, address, path, in, out)
 }
 
-// CallFresh is Call on a new connection: it cannot fail because the server closed
+// CallNewConn is Call on a new connection: it cannot fail because the server closed
 // an idle connection.
-func (c *Client) CallFresh(ctx context.Context, method, address, path string, in, out any) error {
+func (c *Client) CallNewConn(ctx context.Context, method, address, path string, in, out any) error {
 	return c.call(ctx, c.uncached, method, address, path, in, out)
 }
 
--- a/peerset/table.go
+++ b/peerset/table.go
@@ -52,7 +52,7 @@
 // serviceLoad is the last reported load of a service in another region, and what this host
 // has sent there since.
 type serviceLoad struct {
-	reported wheelgauge.ServiceUse
+	reported wheelgauge.ServiceUsage
 	sent     wheelgauge.Work
 }
 
@@ -115,7 +115,7 @@
 	}
 	names := map[string]bool{}
 	for _, list := range regions {
-		for _, h := range entryset.Always(list) {
+		for _, h := range entryset.Minimum(list) {
 			names[h.Name] = true
 		}
 	}
@@ -131,23 +131,23 @@
 	case p == nil:
 	case p.host == h:
 		return p
-	case p.host.Peer == h.Peer && p.host.Boot == h.Boot:
+	case p.host.PeerAddress == h.PeerAddress && p.host.Boot == h.Boot:
 		return &Peer{host: h, pool: p.pool, paused: p.paused, backoffs: p.backoffs, announced: p.announced}
 	default:
 		p.pool.Close()
 	}
-	return &Peer{host: h, pool: serverconn.New(h.Peer, maxConnsPerPeer, serverconn.Far(now))}
+	return &Peer{host: h, pool: serverconn.New(h.PeerAddress, maxConnsPerPeer, serverconn.CrossRegion(now))}
 }
 
-// SetUses sets the load of all regions.
-func (t *Table) SetUses(regions []wheelgauge.RegionUse) {
+// SetLoads sets the load of all regions.
+func (t *Table) SetLoads(regions []wheelgauge.RegionUsage) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before := t.loads
 	t.loads = map[string]map[string]*serviceLoad{}
 	for _, r := range regions {
 		services := map[string]*serviceLoad{}
-		for _, u := range r.Uses {
+		for _, u := range r.Services {
 			if was := before[r.Region][u.Service]; was != nil && u.Servers > was.reported.Servers {
 				t.endBackoffs(r.Region, u.Service)
 			}
@@ -168,7 +168,7 @@
 func (t *Table) LimitedRegions(service string) []string {
 	return t.regions(service, staying, func(uses map[string]*serviceLoad) bool {
 		u := uses[service]
-		return !hasServers(u) && u != nil && u.reported.Limited > 0
+		return !hasServers(u) && u != nil && u.reported.LimitedServers > 0
 	})
 }
 
@@ -200,9 +200,9 @@
 	return out
 }
 
-// Busiest returns the reachable other region with the most requests in flight; empty when
+// BusiestRegion returns the reachable other region with the most requests in flight; empty when
 // there is none.
-func (t *Table) Busiest() string {
+func (t *Table) BusiestRegion() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	best, most := "", -1
@@ -223,17 +223,17 @@
 
 // Load returns the last reported load of a service in a region, with the requests and tokens
 // that this host has sent there since.
-func (t *Table) Load(region, service string) wheelgauge.ServiceUse {
+func (t *Table) Load(region, service string) wheelgauge.ServiceUsage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.loads[region][service]
 	if u == nil {
-		return wheelgauge.ServiceUse{Service: service}
+		return wheelgauge.ServiceUsage{Service: service}
 	}
 	sum := u.reported
 	running, tokens := u.sent.Total()
 	sum.Running += running
-	sum.Tokens += tokens
+	sum.PrefillTokens += tokens
 	sum.Work = sum.Work.Plus(u.sent)
 	return sum
 }
@@ -254,7 +254,7 @@
 		u.sent = u.sent.Add(rank, 1, tokens)
 	}
 	p := fitting[rand.IntN(len(fitting))]
-	if !p.pool.Idle() {
+	if !p.pool.HasIdle() {
 		t.idleMisses[region]++
 	}
 	return p
@@ -287,7 +287,7 @@
 	if !p.host.Leaving {
 		rank += 4
 	}
-	if p.pool.Idle() {
+	if p.pool.HasIdle() {
 		rank += 2
 	}
 	if p.announced {
@@ -326,9 +326,9 @@
 	}
 }
 
-// BackoffEnds returns the time after which the first backed-off gateway of some regions
+// BackoffRemaining returns the time after which the first backed-off gateway of some regions
 // accepts requests for a service again; ok is false if no gateway there is backed off.
-func (t *Table) BackoffEnds(service string, in func(region string) bool) (after time.Duration, ok bool) {
+func (t *Table) BackoffRemaining(service string, in func(region string) bool) (after time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -361,8 +361,8 @@
 	}
 }
 
-// Reached records the round-trip time of an answered call to a region.
-func (t *Table) Reached(region string, took time.Duration) {
+// ObserveRoundTrip records the round-trip time of an answered call to a region.
+func (t *Table) ObserveRoundTrip(region string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	was, ok := t.roundTrips[region]
@@ -380,8 +380,8 @@
 	return !ok || t.now().Sub(last) < t.maxSilence
 }
 
-// Way returns the mean round-trip time to a region.
-func (t *Table) Way(region string) time.Duration {
+// RoundTrip returns the mean round-trip time to a region.
+func (t *Table) RoundTrip(region string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if roundTrip, ok := t.roundTrips[region]; ok {
@@ -390,9 +390,9 @@
 	return initialRoundTrip
 }
 
-// Silent stops requests to the whole region of a gateway that did not answer, for
+// PauseRegion stops requests to the whole region of a gateway that did not answer, for
 // silentTime.
-func (t *Table) Silent(p *Peer) {
+func (t *Table) PauseRegion(p *Peer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.silentUntil[p.host.Region] = t.now().Add(silentTime)
--- a/peerset/table_test.go
+++ b/peerset/table_test.go
@@ -30,8 +30,8 @@
 	return t, &at
 }
 
-func uses(region string, servers, running int) wheelgauge.RegionUse {
-	return wheelgauge.RegionUse{Region: region, Uses: []wheelgauge.ServiceUse{{Service: service, Servers: servers, Running: running}}}
+func uses(region string, servers, running int) wheelgauge.RegionUsage {
+	return wheelgauge.RegionUsage{Region: region, Services: []wheelgauge.ServiceUsage{{Service: service, Servers: servers, Running: running}}}
 }
 
 func TestRegions(t *testing.T) {
@@ -42,7 +42,7 @@
 	}{
 		{"load not known yet: all with a ready gateway", func(*Table, *time.Time) {}, []string{"east", "north"}},
 		{"no servers there", func(tb *Table, _ *time.Time) {
-			tb.SetUses([]wheelgauge.RegionUse{uses("north", 2, 1), uses("east", 0, 0)})
+			tb.SetLoads([]wheelgauge.RegionUsage{uses("north", 2, 1), uses("east", 0, 0)})
 		}, []string{"north"}},
 		{"one of two gateways paused", func(tb *Table, _ *time.Time) { tb.Pause(tb.peers["n1"]) }, []string{"east", "north"}},
 		{"all gateways back off", func(tb *Table, _ *time.Time) {
@@ -60,20 +60,20 @@
 			*at = at.Add(time.Minute)
 		}, []string{"east", "north"}},
 		{"all gateways back off, then servers are added", func(tb *Table, _ *time.Time) {
-			tb.SetUses([]wheelgauge.RegionUse{uses("north", 2, 1), uses("east", 1, 0)})
+			tb.SetLoads([]wheelgauge.RegionUsage{uses("north", 2, 1), uses("east", 1, 0)})
 			tb.BackOff(tb.peers["n1"], service, time.Minute)
 			tb.BackOff(tb.peers["n2"], service, time.Minute)
-			tb.SetUses([]wheelgauge.RegionUse{uses("north", 3, 1), uses("east", 1, 0)})
+			tb.SetLoads([]wheelgauge.RegionUsage{uses("north", 3, 1), uses("east", 1, 0)})
 		}, []string{"east", "north"}},
 		{"all gateways back off, and the number of servers is unchanged", func(tb *Table, _ *time.Time) {
-			tb.SetUses([]wheelgauge.RegionUse{uses("north", 2, 1), uses("east", 1, 0)})
+			tb.SetLoads([]wheelgauge.RegionUsage{uses("north", 2, 1), uses("east", 1, 0)})
 			tb.BackOff(tb.peers["n1"], service, time.Minute)
 			tb.BackOff(tb.peers["n2"], service, time.Minute)
-			tb.SetUses([]wheelgauge.RegionUse{uses("north", 2, 5), uses("east", 1, 0)})
+			tb.SetLoads([]wheelgauge.RegionUsage{uses("north", 2, 5), uses("east", 1, 0)})
 		}, []string{"east"}},
-		{"a silent region", func(tb *Table, _ *time.Time) { tb.Silent(tb.peers["n1"]) }, []string{"east"}},
+		{"a silent region", func(tb *Table, _ *time.Time) { tb.PauseRegion(tb.peers["n1"]) }, []string{"east"}},
 		{"a region that was silent a while ago", func(tb *Table, at *time.Time) {
-			tb.Silent(tb.peers["n1"])
+			tb.PauseRegion(tb.peers["n1"])
 			*at = at.Add(silentTime)
 		}, []string{"east", "north"}},
 	}
@@ -90,14 +90,14 @@
 
 func TestLoadCountsWhatWasSent(t *testing.T) {
 	tb, _ := table()
-	tb.SetUses([]wheelgauge.RegionUse{uses("north", 2, 3), uses("east", 2, 9)})
-	if tb.Busiest() != "east" {
-		t.Errorf("busiest region is %q, want east", tb.Busiest())
+	tb.SetLoads([]wheelgauge.RegionUsage{uses("north", 2, 3), uses("east", 2, 9)})
+	if tb.BusiestRegion() != "east" {
+		t.Errorf("busiest region is %q, want east", tb.BusiestRegion())
 	}
 	if p := tb.Choose("north", service, 1, 500, []string{"n1"}); p == nil || p.Name() != "n2" {
 		t.Fatalf("chose %v, want n2", p)
 	}
-	if got := tb.Load("north", service); got.Running != 4 || got.Tokens != 500 {
+	if got := tb.Load("north", service); got.Running != 4 || got.PrefillTokens != 500 {
 		t.Errorf("load is %+v, want 4 requests and 500 tokens", got)
 	}
 	if tb.Choose("north", service, 1, 1, []string{"n1", "n2"}) != nil {
@@ -107,12 +107,12 @@
 
 func TestRoundTripIsMeasured(t *testing.T) {
 	tb, _ := table()
-	if tb.Way("north") != initialRoundTrip {
-		t.Errorf("round-trip time of a region that was never called is %s", tb.Way("north"))
+	if tb.RoundTrip("north") != initialRoundTrip {
+		t.Errorf("round-trip time of a region that was never called is %s", tb.RoundTrip("north"))
 	}
-	tb.Reached("north", 100*time.Millisecond)
-	tb.Reached("north", 150*time.Millisecond)
-	if got := tb.Way("north"); got != 110*time.Millisecond {
+	tb.ObserveRoundTrip("north", 100*time.Millisecond)
+	tb.ObserveRoundTrip("north", 150*time.Millisecond)
+	if got := tb.RoundTrip("north"); got != 110*time.Millisecond {
 		t.Errorf("mean round-trip time is %s, want 110ms", got)
 	}
 }
@@ -141,26 +141,26 @@
 	}{
 		{"most in flight", func(*Table, *time.Time) {}, "north"},
 		{"all answer", func(tb *Table, _ *time.Time) {
-			tb.Reached("north", time.Millisecond)
-			tb.Reached("east", time.Millisecond)
+			tb.ObserveRoundTrip("north", time.Millisecond)
+			tb.ObserveRoundTrip("east", time.Millisecond)
 		}, "north"},
 		{"silent", func(tb *Table, at *time.Time) {
-			tb.Reached("north", time.Millisecond)
+			tb.ObserveRoundTrip("north", time.Millisecond)
 			*at = at.Add(silence)
-			tb.Reached("east", time.Millisecond)
+			tb.ObserveRoundTrip("east", time.Millisecond)
 		}, "east"},
 		{"all silent", func(tb *Table, at *time.Time) {
-			tb.Reached("north", time.Millisecond)
-			tb.Reached("east", time.Millisecond)
+			tb.ObserveRoundTrip("north", time.Millisecond)
+			tb.ObserveRoundTrip("east", time.Millisecond)
 			*at = at.Add(silence)
 		}, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			tb, at := table()
-			tb.SetUses([]wheelgauge.RegionUse{uses("here", 2, 9), uses("north", 2, 5), uses("east", 2, 1)})
+			tb.SetLoads([]wheelgauge.RegionUsage{uses("here", 2, 9), uses("north", 2, 5), uses("east", 2, 1)})
 			tt.do(tb, at)
-			if got := tb.Busiest(); got != tt.want {
+			if got := tb.BusiestRegion(); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 		})
@@ -173,15 +173,15 @@
 	tb, _ := table()
 	var hosts []wheelgauge.FleetHost
 	for i := range 100 {
-		hosts = append(hosts, wheelgauge.FleetHost{Name: fmt.Sprint("n", i), Region: "north", Peer: fmt.Sprint("127.0.0.1:", i+1), Ready: true})
+		hosts = append(hosts, wheelgauge.FleetHost{Name: fmt.Sprint("n", i), Region: "north", PeerAddress: fmt.Sprint("127.0.0.1:", i+1), Ready: true})
 	}
 	tb.SetHosts(hosts)
 	used := map[string]bool{}
 	for range 2000 {
 		used[tb.Choose("north", service, 1, 0, nil).Name()] = true
 	}
-	if len(used) != entryset.Least {
-		t.Errorf("%d gateways used, want the %d that are announced to callers", len(used), entryset.Least)
+	if len(used) != entryset.MinHosts {
+		t.Errorf("%d gateways used, want the %d that are announced to callers", len(used), entryset.MinHosts)
 	}
 }
 
@@ -195,9 +195,9 @@
 	tb, _ := table()
 	var hosts []wheelgauge.FleetHost
 	for i := range 20 {
-		hosts = append(hosts, wheelgauge.FleetHost{Name: fmt.Sprint("n", i), Region: "north", Peer: "127.0.0.1:1", Ready: true})
+		hosts = append(hosts, wheelgauge.FleetHost{Name: fmt.Sprint("n", i), Region: "north", PeerAddress: "127.0.0.1:1", Ready: true})
 	}
-	hosts[7].Peer = l.Addr().String()
+	hosts[7].PeerAddress = l.Addr().String()
 	tb.SetHosts(hosts)
 	connected := tb.peers["n7"]
 	c, err := connected.Pool().Get(t.Context())
@@ -238,8 +238,8 @@
 func TestLimitedRegions(t *testing.T) {
 	tb, _ := table()
 	north, east := uses("north", 0, 0), uses("east", 1, 0)
-	north.Uses[0].Limited, east.Uses[0].Limited = 2, 2
-	tb.SetUses([]wheelgauge.RegionUse{north, east})
+	north.Services[0].LimitedServers, east.Services[0].LimitedServers = 2, 2
+	tb.SetLoads([]wheelgauge.RegionUsage{north, east})
 	if got := tb.Regions(service); !slices.Equal(got, []string{"east"}) {
 		t.Errorf("regions without limits are %v, want east", got)
 	}
--- a/peerset/warm.go
+++ b/peerset/warm.go
@@ -17,10 +17,10 @@
 	openTimeout = 400 * time.Millisecond
 )
 
-// Warm opens connections to other regions ahead of use: as many as requests had to open
+// OpenIdle opens connections to other regions ahead of use: as many as requests had to open
 // since the last call, and minIdleConns more. It returns when all are open or failed; silent
 // regions are skipped.
-func (t *Table) Warm(ctx context.Context) {
+func (t *Table) OpenIdle(ctx context.Context) {
 	openCtx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	var group sync.WaitGroup
@@ -28,7 +28,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			if p.pool.Open(openCtx) != nil {
+			if p.pool.OpenIdle(openCtx) != nil {
 				// The error is not examined: requests sent there later find its cause.
 				t.Pause(p)
 			}
@@ -47,7 +47,7 @@
 		if p.host.Leaving || t.now().Before(p.paused) || t.now().Before(t.silentUntil[region]) {
 			continue
 		}
-		idle[region] += p.pool.Resting()
+		idle[region] += p.pool.IdleCount()
 		if p.announced {
 			announced[region] = append(announced[region], p)
 		}
--- a/peerset/warm_test.go
+++ b/peerset/warm_test.go
@@ -37,15 +37,15 @@
 	l := listener(t)
 	tb, _ := table()
 	tb.SetHosts([]wheelgauge.FleetHost{
-		{Name: "n1", Region: "north", Peer: l.Addr().String(), Ready: true},
-		{Name: "s1", Region: "south", Peer: "127.0.0.1:1", Ready: true, Leaving: true},
+		{Name: "n1", Region: "north", PeerAddress: l.Addr().String(), Ready: true},
+		{Name: "s1", Region: "south", PeerAddress: "127.0.0.1:1", Ready: true, Leaving: true},
 	})
 	north := tb.peers["n1"].Pool()
-	tb.Warm(t.Context())
-	if north.Resting() != minIdleConns {
-		t.Fatalf("%d idle connections, want %d", north.Resting(), minIdleConns)
+	tb.OpenIdle(t.Context())
+	if north.IdleCount() != minIdleConns {
+		t.Fatalf("%d idle connections, want %d", north.IdleCount(), minIdleConns)
 	}
-	tb.Warm(t.Context())
+	tb.OpenIdle(t.Context())
 	if north.Dialed() != minIdleConns {
 		t.Errorf("%d connections opened in total, though none was used", north.Dialed())
 	}
@@ -56,16 +56,16 @@
 		}
 	}
 	// Two requests found no idle connection, so that two more are opened for the next wave.
-	tb.Warm(t.Context())
-	if north.Resting() != minIdleConns+2 {
-		t.Errorf("%d idle connections after a wave of requests, want %d", north.Resting(), minIdleConns+2)
+	tb.OpenIdle(t.Context())
+	if north.IdleCount() != minIdleConns+2 {
+		t.Errorf("%d idle connections after a wave of requests, want %d", north.IdleCount(), minIdleConns+2)
 	}
-	tb.Silent(tb.peers["n1"])
+	tb.PauseRegion(tb.peers["n1"])
 	if missing := tb.missingConns(); len(missing) != 0 {
 		t.Errorf("connections are to be opened to a silent region: %v", missing)
 	}
 	tb.Close()
-	if err := north.Open(t.Context()); err == nil {
+	if err := north.OpenIdle(t.Context()); err == nil {
 		t.Error("a closed pool opens a connection")
 	}
 }
--- a/permitclient/client.go
+++ b/permitclient/client.go
@@ -42,9 +42,9 @@
 	Stores func() []wheelgauge.RegionStore
 	// Sharers returns the hosts that share a limit while no store answers.
 	Sharers func() []string
-	// Ask sends a permit request to a store.
-	Ask func(ctx context.Context, address string, req wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error)
-	Now func() time.Time
+	// Request sends a permit request to a store.
+	Request func(ctx context.Context, address string, req wheelgauge.PermitRequest) (wheelgauge.PermitResponse, error)
+	Now     func() time.Time
 }
 
 // Client takes permits from stores. It is safe for concurrent use.
@@ -61,20 +61,20 @@
 	return &Client{options: o, shares: coldrate.New(o.Now), silentUntil: map[string]time.Time{}}
 }
 
-// Take implements wheelgauge.Permits.
-func (c *Client) Take(ctx context.Context, server string, maxWait time.Duration) (after time.Duration, ok bool) {
+// Acquire implements wheelgauge.Permits.
+func (c *Client) Acquire(ctx context.Context, server string, maxWait time.Duration) (after time.Duration, ok bool) {
 	rate, limited := c.options.Limits.Rate(server)
 	if !limited {
 		return 0, true
 	}
 	for i, store := range c.rankedStores(server) {
-		if !store.Answers || c.isSilent(store.Address) {
+		if !store.Reachable || c.isSilent(store.Address) {
 			continue
 		}
-		answer, err := c.request(ctx, store.Address, wheelgauge.PermitAsk{Limit: c.options.Limits.Get(server), PatienceMS: maxWait.Milliseconds(), Instead: i > 0})
+		answer, err := c.request(ctx, store.Address, wheelgauge.PermitRequest{Limit: c.options.Limits.Get(server), MaxWaitMS: maxWait.Milliseconds(), Fallback: i > 0})
 		if err == nil {
 			c.options.Limits.Merge([]wheelgauge.ServerLimit{answer.Limit})
-			return time.Duration(answer.AfterMS) * time.Millisecond, answer.Granted
+			return time.Duration(answer.DelayMS) * time.Millisecond, answer.Granted
 		}
 		if ctx.Err() != nil {
 			return 0, false // the request's deadline passed before the store's timeout
@@ -104,10 +104,10 @@
 	return stores
 }
 
-func (c *Client) request(ctx context.Context, address string, req wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error) {
+func (c *Client) request(ctx context.Context, address string, req wheelgauge.PermitRequest) (wheelgauge.PermitResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	return c.options.Ask(ctx, address, req)
+	return c.options.Request(ctx, address, req)
 }
 
 func (c *Client) isSilent(address string) bool {
--- a/permitclient/client_test.go
+++ b/permitclient/client_test.go
@@ -15,26 +15,26 @@
 
 func TestTake(t *testing.T) {
 	const server = "s"
-	granted := wheelgauge.PermitAnswer{Granted: true, Limit: wheelgauge.ServerLimit{Server: server, Rate: 2}}
-	refused := wheelgauge.PermitAnswer{AfterMS: 700, Limit: wheelgauge.ServerLimit{Server: server, Rate: 2}}
-	ended := wheelgauge.PermitAnswer{Granted: true, Limit: wheelgauge.ServerLimit{Server: server, None: true}}
-	all := []wheelgauge.RegionStore{{Address: "a", Answers: true}, {Address: "b", Answers: true}}
+	granted := wheelgauge.PermitResponse{Granted: true, Limit: wheelgauge.ServerLimit{Server: server, Rate: 2}}
+	refused := wheelgauge.PermitResponse{DelayMS: 700, Limit: wheelgauge.ServerLimit{Server: server, Rate: 2}}
+	ended := wheelgauge.PermitResponse{Granted: true, Limit: wheelgauge.ServerLimit{Server: server, Removed: true}}
+	all := []wheelgauge.RegionStore{{Address: "a", Reachable: true}, {Address: "b", Reachable: true}}
 	tests := []struct {
 		name    string
 		limited bool
 		stores  []wheelgauge.RegionStore
 		// answers by store; other stores do not answer.
-		answers   map[string]wheelgauge.PermitAnswer
+		answers   map[string]wheelgauge.PermitResponse
 		after     time.Duration
 		ok        bool
 		calls     int
 		fallbacks int
 	}{
 		{"no limit", false, all, nil, 0, true, 0, 0},
-		{"granted", true, all, map[string]wheelgauge.PermitAnswer{"a": granted, "b": granted}, 0, true, 1, 0},
-		{"refused", true, all, map[string]wheelgauge.PermitAnswer{"a": refused, "b": refused}, 700 * time.Millisecond, false, 1, 0},
-		{"the limit has ended", true, all, map[string]wheelgauge.PermitAnswer{"a": ended, "b": ended}, 0, true, 1, 0},
-		{"the server's store is silent", true, []wheelgauge.RegionStore{{Address: "a"}, {Address: "b"}, {Address: "c", Answers: true}}, map[string]wheelgauge.PermitAnswer{"c": granted}, 0, true, 1, 1},
+		{"granted", true, all, map[string]wheelgauge.PermitResponse{"a": granted, "b": granted}, 0, true, 1, 0},
+		{"refused", true, all, map[string]wheelgauge.PermitResponse{"a": refused, "b": refused}, 700 * time.Millisecond, false, 1, 0},
+		{"the limit has ended", true, all, map[string]wheelgauge.PermitResponse{"a": ended, "b": ended}, 0, true, 1, 0},
+		{"the server's store is silent", true, []wheelgauge.RegionStore{{Address: "a"}, {Address: "b"}, {Address: "c", Reachable: true}}, map[string]wheelgauge.PermitResponse{"c": granted}, 0, true, 1, 1},
 		{"no store answers, a share is left", true, all, nil, 0, true, 2, 1},
 		{"no store is known, a share is left", true, nil, nil, 0, true, 0, 0},
 	}
@@ -43,26 +43,26 @@
 			k := manualclock.New()
 			limits := serverlimit.New(k.Now)
 			if tt.limited {
-				limits.Named(server, 2)
+				limits.ObserveLimit(server, 2)
 			}
-			k.Pass(time.Second)
+			k.Advance(time.Second)
 			calls, fallbacks := 0, 0
 			c := New(Options{
 				Host: "h", Limits: limits, Now: k.Now,
 				Stores:  func() []wheelgauge.RegionStore { return append([]wheelgauge.RegionStore(nil), tt.stores...) },
 				Sharers: func() []string { return []string{"h"} },
-				Ask: func(_ context.Context, address string, req wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error) {
+				Request: func(_ context.Context, address string, req wheelgauge.PermitRequest) (wheelgauge.PermitResponse, error) {
 					calls++
-					if req.Instead {
+					if req.Fallback {
 						fallbacks++
 					}
 					if a, ok := tt.answers[address]; ok {
 						return a, nil
 					}
-					return wheelgauge.PermitAnswer{}, errUnreachable
+					return wheelgauge.PermitResponse{}, errUnreachable
 				},
 			})
-			after, ok := c.Take(context.Background(), server, 0)
+			after, ok := c.Acquire(context.Background(), server, 0)
 			if after != tt.after || ok != tt.ok || calls != tt.calls || fallbacks != tt.fallbacks {
 				t.Errorf("after %v, granted %v, %d requests, %d fallbacks; want %v, %v, %d, %d", after, ok, calls, fallbacks, tt.after, tt.ok, tt.calls, tt.fallbacks)
 			}
@@ -74,7 +74,7 @@
 			}
 			// The share is used up now, and stores that were silent are not tried for each
 			// request.
-			if after, ok := c.Take(context.Background(), server, 0); ok || after != standaloneRetryAfter || calls != tt.calls {
+			if after, ok := c.Acquire(context.Background(), server, 0); ok || after != standaloneRetryAfter || calls != tt.calls {
 				t.Errorf("second request: after %v, granted %v, %d requests in total", after, ok, calls)
 			}
 		})
--- a/permitclient/model_test.go
+++ b/permitclient/model_test.go
@@ -147,7 +147,7 @@
 		Host: h.name, Limits: h.limits, Now: m.now,
 		Stores:  func() []wheelgauge.RegionStore { return m.storesOf(h) },
 		Sharers: m.hostNames,
-		Ask: func(_ context.Context, address string, req wheelgauge.PermitAsk) (wheelgauge.PermitAnswer, error) {
+		Request: func(_ context.Context, address string, req wheelgauge.PermitRequest) (wheelgauge.PermitResponse, error) {
 			return m.answer(h, address, req)
 		},
 	})
@@ -157,7 +157,7 @@
 func (m *model) storesOf(h *modelHost) []wheelgauge.RegionStore {
 	var out []wheelgauge.RegionStore
 	for i, s := range m.stores {
-		out = append(out, wheelgauge.RegionStore{Address: s.address, Answers: m.reaches(h, i)})
+		out = append(out, wheelgauge.RegionStore{Address: s.address, Reachable: m.reaches(h, i)})
 	}
 	return out
 }
@@ -177,7 +177,7 @@
 }
 
 // answer answers a permit request as a store does.
-func (m *model) answer(h *modelHost, address string, req wheelgauge.PermitAsk) (a wheelgauge.PermitAnswer, err error) {
+func (m *model) answer(h *modelHost, address string, req wheelgauge.PermitRequest) (a wheelgauge.PermitResponse, err error) {
 	for i, s := range m.stores {
 		if s.address != address {
 			continue
@@ -199,7 +199,7 @@
 			continue
 		}
 		key := uint64(i)<<32 | s.boot
-		limits, last := h.limits.Heard(h.sentUpTo[key])
+		limits, last := h.limits.LocalSince(h.sentUpTo[key])
 		s.limits.Merge(limits)
 		h.sentUpTo[key] = last
 		if first {
@@ -247,7 +247,7 @@
 	if m.take != nil {
 		return 0, m.take(h, s)
 	}
-	return h.client.Take(context.Background(), s.name, max(0, left))
+	return h.client.Acquire(context.Background(), s.name, max(0, left))
 }
 
 func (m *model) send(s *modelServer, host int) {
@@ -259,9 +259,9 @@
 		switch {
 		case h.client != client:
 		case rate < 0:
-			h.limits.Absent(s.name, sent)
+			h.limits.ObserveNoLimit(s.name, sent)
 		default:
-			h.limits.Named(s.name, rate)
+			h.limits.ObserveLimit(s.name, rate)
 		}
 	})
 }
@@ -304,7 +304,7 @@
 		got = append(got, time.Unix(0, 0).Add(at))
 	}
 	bound, most := judge.ServerLimit(), 0.0
-	bound.Each(got, func(from, to time.Time, count int) {
+	bound.EachWindow(got, func(from, to time.Time, count int) {
 		first, last := from.Sub(time.Unix(0, 0)), to.Sub(time.Unix(0, 0))
 		if rate, limited := s.maxRate(max(limitFrom, first-lowerLimitDelay), last); limited {
 			most = max(most, float64(count)/bound.Allowed(rate))
--- a/permitissuer/issuer.go
+++ b/permitissuer/issuer.go
@@ -61,17 +61,17 @@
 }
 
 // Answer answers a permit request, and merges the limit that the host knows.
-func (i *Issuer) Answer(req wheelgauge.PermitAsk) wheelgauge.PermitAnswer {
+func (i *Issuer) Answer(req wheelgauge.PermitRequest) wheelgauge.PermitResponse {
 	server := req.Limit.Server
 	i.limits.Merge([]wheelgauge.ServerLimit{req.Limit})
-	a := wheelgauge.PermitAnswer{Limit: i.limits.Get(server)}
+	a := wheelgauge.PermitResponse{Limit: i.limits.Get(server)}
 	rate, limited := i.limits.Rate(server)
 	if !limited {
 		a.Granted = true // the server sent a later answer without the limit to another host
 		return a
 	}
-	after, ok := i.Take(server, rate, time.Duration(req.PatienceMS)*time.Millisecond, req.Instead)
-	a.Granted, a.AfterMS = ok, after.Milliseconds()
+	after, ok := i.Take(server, rate, time.Duration(req.MaxWaitMS)*time.Millisecond, req.Fallback)
+	a.Granted, a.DelayMS = ok, after.Milliseconds()
 	return a
 }
 
@@ -86,7 +86,7 @@
 	s.lastRequest = now
 	due := s.next.Add(-s.burstTolerance())
 	wait := max(0, due.Sub(now))
-	if wait > min(maxWait, wheelgauge.MostPermitWait) {
+	if wait > min(maxWait, wheelgauge.MaxPermitLead) {
 		return s.retryAfter(due, now), false
 	}
 	if s.next.Before(now) {
--- a/permitissuer/issuer_test.go
+++ b/permitissuer/issuer_test.go
@@ -16,7 +16,7 @@
 	for range 5 { // as from five hosts
 		after, ok := i.Take("server", 2, 0, false)
 		fmt.Println(after, ok)
-		c.Pass(200 * time.Millisecond)
+		c.Advance(200 * time.Millisecond)
 	}
 	// Output:
 	// 500ms false
@@ -54,7 +54,7 @@
 				if _, ok := i.Take("s", tt.rate, 0, tt.fallback); ok {
 					granted++
 				}
-				c.Pass(tt.every)
+				c.Advance(tt.every)
 			}
 			if granted < tt.least || granted > tt.most {
 				t.Errorf("%d permits granted in %v, want %d to %d", granted, span, tt.least, tt.most)
@@ -68,7 +68,7 @@
 	c := manualclock.New()
 	i := New(serverlimit.New(c.Now), c.Now)
 	i.Take("s", 10, 0, false)
-	c.Pass(time.Minute)
+	c.Advance(time.Minute)
 	var waits []time.Duration
 	for {
 		after, ok := i.Take("s", 10, 250*time.Millisecond, false)
@@ -94,7 +94,7 @@
 			if _, ok := i.Take("s", rate, 0, false); ok {
 				granted++
 			}
-			c.Pass(10 * time.Millisecond)
+			c.Advance(10 * time.Millisecond)
 		}
 		return granted
 	}
@@ -120,7 +120,7 @@
 	if len(seen) != 8 {
 		t.Errorf("8 hosts retry at %d different times: %v", len(seen), seen)
 	}
-	c.Pass(2 * idleTTL)
+	c.Advance(2 * idleTTL)
 	i.Prune()
 	if len(i.schedules) != 0 {
 		t.Error("a server without permit requests is kept")
@@ -133,12 +133,12 @@
 	c := manualclock.New()
 	limits := serverlimit.New(c.Now)
 	i := New(limits, c.Now)
-	var reqs []wheelgauge.PermitAsk
+	var reqs []wheelgauge.PermitRequest
 	for n := range 600 {
-		reqs = append(reqs, wheelgauge.PermitAsk{Limit: wheelgauge.ServerLimit{Server: fmt.Sprint("server-", n), Rate: 3}})
+		reqs = append(reqs, wheelgauge.PermitRequest{Limit: wheelgauge.ServerLimit{Server: fmt.Sprint("server-", n), Rate: 3}})
 	}
 	for n := 0; b.Loop(); n++ {
-		c.Pass(time.Millisecond)
+		c.Advance(time.Millisecond)
 		i.Answer(reqs[n%len(reqs)])
 	}
 }
--- a/program/routesmode.go
+++ b/program/routesmode.go
@@ -26,7 +26,7 @@
 		return nil
 	}
 	for _, name := range names {
-		if address := v.Text("listen", name); address != "" && !keypair.Loopback(address) {
+		if address := v.Text("listen", name); address != "" && !keypair.IsLoopback(address) {
 			return fmt.Errorf("[listen] %s: %s is not loopback, expected [listen] clear = true on a closed network", name, address)
 		}
 	}
--- a/prompt/prompt.go
+++ b/prompt/prompt.go
@@ -82,9 +82,9 @@
 	p.stated = true
 }
 
-// Counted returns the stated tokens of the prompt and of the most output, together;
+// StatedTokens returns the stated tokens of the prompt and of the most output, together;
 // stated is false without any.
-func (p Prompt) Counted() (tokens int, stated bool) { return p.statedTokens, p.stated }
+func (p Prompt) StatedTokens() (tokens int, stated bool) { return p.statedTokens, p.stated }
 
 // Tokens returns the length of the prompt.
 func (p Prompt) Tokens() int { return p.tokens }
@@ -100,18 +100,18 @@
 	return p.parts[:len(p.parts)-1]
 }
 
-// Subject returns the ID of the last shared part, which identifies the prefix and
+// PrefixID returns the ID of the last shared part, which identifies the prefix and
 // decides the server that should have it cached; 0 if nothing is shared.
-func (p Prompt) Subject() uint64 {
+func (p Prompt) PrefixID() uint64 {
 	if shared := p.Shared(); len(shared) > 0 {
 		return shared[len(shared)-1].id
 	}
 	return 0
 }
 
-// Own returns the ID of the last part, which no other request or session has; 0 if
+// OwnPartID returns the ID of the last part, which no other request or session has; 0 if
 // there is none.
-func (p Prompt) Own() uint64 {
+func (p Prompt) OwnPartID() uint64 {
 	if len(p.parts) == 0 {
 		return 0
 	}
--- a/prompt/prompt_test.go
+++ b/prompt/prompt_test.go
@@ -19,8 +19,8 @@
 	}
 	for _, tt := range tests {
 		p := Parse(tt.parts, tt.tokens, tt.hint)
-		if p.Tokens() != tt.total || p.SharedTokens() != tt.shared || p.Output() != tt.outputs || (p.Subject() != 0) != tt.subject {
-			t.Errorf("%s: got %d tokens, %d shared, %d out, prefix ID %d", tt.name, p.Tokens(), p.SharedTokens(), p.Output(), p.Subject())
+		if p.Tokens() != tt.total || p.SharedTokens() != tt.shared || p.Output() != tt.outputs || (p.PrefixID() != 0) != tt.subject {
+			t.Errorf("%s: got %d tokens, %d shared, %d out, prefix ID %d", tt.name, p.Tokens(), p.SharedTokens(), p.Output(), p.PrefixID())
 		}
 	}
 }
@@ -29,7 +29,7 @@
 // amount from the workspace's cap and so add to it.
 func TestStatedTokensNeverNegative(t *testing.T) {
 	p := Parse("", "4611686018427387904,4611686018427387904", "")
-	if tokens, stated := p.Counted(); !stated || tokens != 2*maxTokens {
+	if tokens, stated := p.StatedTokens(); !stated || tokens != 2*maxTokens {
 		t.Errorf("got %d tokens, stated %t, want %d", tokens, stated, 2*maxTokens)
 	}
 }
@@ -41,7 +41,7 @@
 	f.Add(":,::,a:-1,b:99999999999999999999", "-9223372036854775808,1e9", "NaN")
 	f.Fuzz(func(t *testing.T, parts, tokens, hint string) {
 		p := Parse(parts, tokens, hint)
-		counted, _ := p.Counted()
+		counted, _ := p.StatedTokens()
 		if p.SharedTokens() < 0 || p.Tokens() < p.SharedTokens() || p.Output() < 0 || p.Output() > maxTokens || counted < 0 || counted > 2*maxTokens {
 			t.Errorf("%d tokens, %d shared, %d out, %d counted", p.Tokens(), p.SharedTokens(), p.Output(), counted)
 		}
--- a/pushback/fuzz_test.go
+++ b/pushback/fuzz_test.go
@@ -18,8 +18,8 @@
 		}
 		var s State
 		now := time.Unix(1000, 0)
-		if s.BackOff(now, wait); s.Left(now) != wait || s.Allows(now) != (wait == 0) {
-			t.Fatalf("%q: %s left of a backoff of %s", text, s.Left(now), wait)
+		if s.BackOff(now, wait); s.Remaining(now) != wait || s.Allows(now) != (wait == 0) {
+			t.Fatalf("%q: %s left of a backoff of %s", text, s.Remaining(now), wait)
 		}
 	})
 }
--- a/pushback/state.go
+++ b/pushback/state.go
@@ -73,14 +73,14 @@
 // Leaving reports whether the server is leaving.
 func (s State) Leaving() bool { return !s.leavingAt.IsZero() }
 
-// Left returns the remaining time of the backoff; 0 when it is over.
-func (s State) Left(now time.Time) time.Duration { return max(0, s.backoffEnd.Sub(now)) }
+// Remaining returns the remaining time of the backoff; 0 when it is over.
+func (s State) Remaining(now time.Time) time.Duration { return max(0, s.backoffEnd.Sub(now)) }
 
 // BackedOff reports whether the server has ever requested a backoff.
 func (s State) BackedOff() bool { return !s.backoffEnd.IsZero() }
 
-// Over reports whether the state no longer matters and can be dropped.
-func (s State) Over(now time.Time) bool {
+// Expired reports whether the state no longer matters and can be dropped.
+func (s State) Expired(now time.Time) bool {
 	return now.Sub(s.backoffEnd) > leavingTTL && now.Sub(s.leavingAt) > leavingTTL
 }
 
--- a/pushback/state_test.go
+++ b/pushback/state_test.go
@@ -119,7 +119,7 @@
 			if got := s.Allows(at(tt.after)); got != tt.allows {
 				t.Errorf("allows requests: %t, want the opposite", got)
 			}
-			if got := s.Left(at(tt.after)); got != tt.left {
+			if got := s.Remaining(at(tt.after)); got != tt.left {
 				t.Errorf("%v of the backoff left, want %v", got, tt.left)
 			}
 		})
--- a/quarantine/attribution.go
+++ b/quarantine/attribution.go
@@ -24,10 +24,10 @@
 		if c.Cleared {
 			continue
 		}
-		if out[c.Request] == nil {
-			out[c.Request] = serverSet{}
+		if out[c.Fingerprint] == nil {
+			out[c.Fingerprint] = serverSet{}
 		}
-		out[c.Request][c.Server] = true
+		out[c.Fingerprint][c.Server] = true
 	}
 	return out
 }
@@ -80,7 +80,7 @@
 	byRequest := serversByRequest(crashes)
 	var out []wheelgauge.Crash
 	for _, c := range crashes {
-		if len(byRequest[c.Request]) >= crashThreshold {
+		if len(byRequest[c.Fingerprint]) >= crashThreshold {
 			out = append(out, c)
 		}
 	}
@@ -89,5 +89,5 @@
 }
 
 func compareCrashes(a, b wheelgauge.Crash) int {
-	return cmp.Or(cmp.Compare(a.Request, b.Request), cmp.Compare(a.Server, b.Server))
+	return cmp.Or(cmp.Compare(a.Fingerprint, b.Fingerprint), cmp.Compare(a.Server, b.Server))
 }
--- a/quarantine/attribution_test.go
+++ b/quarantine/attribution_test.go
@@ -13,7 +13,7 @@
 func crashesAt(request wheelgauge.Fingerprint, names string) []wheelgauge.Crash {
 	var out []wheelgauge.Crash
 	for _, name := range names {
-		out = append(out, wheelgauge.Crash{Request: request, Server: string(name)})
+		out = append(out, wheelgauge.Crash{Fingerprint: request, Server: string(name)})
 	}
 	return out
 }
@@ -62,7 +62,7 @@
 	many := func(request wheelgauge.Fingerprint, count int) []wheelgauge.Crash {
 		var out []wheelgauge.Crash
 		for n := range count {
-			out = append(out, wheelgauge.Crash{Request: request, Server: fmt.Sprint(n)})
+			out = append(out, wheelgauge.Crash{Fingerprint: request, Server: fmt.Sprint(n)})
 		}
 		return out
 	}
@@ -90,14 +90,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			before := slices.Clone(tt.persisted)
-			got, changed := Join(tt.persisted, tt.updates)
+			got, changed := MergePersisted(tt.persisted, tt.updates)
 			if len(got) != tt.length || changed != tt.changed {
 				t.Errorf("got %d crashes, changed %v, want %d, %v", len(got), changed, tt.length, tt.changed)
 			}
 			if !slices.Equal(before, tt.persisted) {
 				t.Error("Join changed its argument")
 			}
-			if _, changedAgain := Join(got, tt.updates); changedAgain {
+			if _, changedAgain := MergePersisted(got, tt.updates); changedAgain {
 				t.Error("the same updates change the result again")
 			}
 		})
@@ -106,10 +106,10 @@
 
 func TestForget(t *testing.T) {
 	persisted := slices.Concat(crashesAt("p", "abc"), crashesAt("q", "ab"))
-	if got, changed := Forget(persisted, []wheelgauge.Fingerprint{"p"}); !changed || !slices.Equal(got, crashesAt("q", "ab")) {
+	if got, changed := RemoveRequests(persisted, []wheelgauge.Fingerprint{"p"}); !changed || !slices.Equal(got, crashesAt("q", "ab")) {
 		t.Errorf("got %v, changed %v, want only the crashes of q and a change", got, changed)
 	}
-	if _, changed := Forget(persisted, []wheelgauge.Fingerprint{"r"}); changed {
+	if _, changed := RemoveRequests(persisted, []wheelgauge.Fingerprint{"r"}); changed {
 		t.Error("changed by a request without crashes")
 	}
 }
--- a/quarantine/join.go
+++ b/quarantine/join.go
@@ -15,20 +15,20 @@
 	maxPersisted = 2048
 )
 
-// Join returns the persisted crashes with updates merged in, and whether anything changed. It
+// MergePersisted returns the persisted crashes with updates merged in, and whether anything changed. It
 // changes neither list and is deterministic, so all replicas get the same result.
-func Join(persisted, updates []wheelgauge.Crash) ([]wheelgauge.Crash, bool) {
+func MergePersisted(persisted, updates []wheelgauge.Crash) ([]wheelgauge.Crash, bool) {
 	out, changed := persisted, false
 	perRequest := map[wheelgauge.Fingerprint]int{}
 	index := map[crashKey]int{}
 	for n, c := range persisted {
-		perRequest[c.Request]++
-		index[crashKey{request: c.Request, server: c.Server}] = n
+		perRequest[c.Fingerprint]++
+		index[crashKey{request: c.Fingerprint, server: c.Server}] = n
 	}
 	for _, c := range updates {
-		k := crashKey{request: c.Request, server: c.Server}
+		k := crashKey{request: c.Fingerprint, server: c.Server}
 		n, known := index[k]
-		if known && (out[n].Cleared || !c.Cleared) || !known && (perRequest[c.Request] >= maxCrashesPerRequest || len(out) >= maxPersisted) {
+		if known && (out[n].Cleared || !c.Cleared) || !known && (perRequest[c.Fingerprint] >= maxCrashesPerRequest || len(out) >= maxPersisted) {
 			continue
 		}
 		if !changed {
@@ -38,16 +38,16 @@
 			out[n].Cleared = true
 			continue
 		}
-		perRequest[c.Request]++
+		perRequest[c.Fingerprint]++
 		index[k] = len(out)
 		out = append(out, c)
 	}
 	return out, changed
 }
 
-// Forget returns the persisted crashes without those of some requests, and whether there were
+// RemoveRequests returns the persisted crashes without those of some requests, and whether there were
 // any.
-func Forget(persisted []wheelgauge.Crash, requests []wheelgauge.Fingerprint) ([]wheelgauge.Crash, bool) {
-	out := slices.DeleteFunc(slices.Clone(persisted), func(c wheelgauge.Crash) bool { return slices.Contains(requests, c.Request) })
+func RemoveRequests(persisted []wheelgauge.Crash, requests []wheelgauge.Fingerprint) ([]wheelgauge.Crash, bool) {
+	out := slices.DeleteFunc(slices.Clone(persisted), func(c wheelgauge.Crash) bool { return slices.Contains(requests, c.Fingerprint) })
 	return out, len(out) < len(persisted)
 }
--- a/quarantine/refusal.go
+++ b/quarantine/refusal.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// InquestLimit is how long a server that broke off a connection has to accept a new one.
+	// ProbeTimeout is how long a server that broke off a connection has to accept a new one.
 	// If it has crashed, its port refuses at once, and it is at most the link latency of a
 	// hall away.
-	InquestLimit = 25 * time.Millisecond
+	ProbeTimeout = 25 * time.Millisecond
 	// retryAfter is the retry delay for callers of a quarantined request. The request crashes
 	// the servers that run it, so retrying sooner gains nothing; a request that was only in
 	// flight at the same time and was blamed wrongly is released within seconds.
 	retryAfter = 30 * time.Second
 )
 
-// Refusal returns the error for a quarantined request.
-func Refusal() *wheelgauge.Error {
+// RejectionError returns the error for a quarantined request.
+func RejectionError() *wheelgauge.Error {
 	return wheelgauge.NewError(wheelgauge.ReasonQuarantined, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable,
 		"this request ended the backend servers that ran it").WithRetryAfter(retryAfter)
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -84,25 +84,25 @@
 	return t
 }
 
-// Holds reports whether a request is quarantined. The fingerprint is computed only if the
+// IsQuarantined reports whether a request is quarantined. The fingerprint is computed only if the
 // size matches: for 12 kB it takes 11 us, more than the rest of the decision.
-func (t *Table) Holds(size int, request func() wheelgauge.Fingerprint) bool {
+func (t *Table) IsQuarantined(size int, request func() wheelgauge.Fingerprint) bool {
 	s := t.snapshot.Load()
 	return s.quarantinedSizes[size] && s.quarantined[request()]
 }
 
-// Ended records that a server crashed with a request in flight, and returns how many crashes
+// RecordCrash records that a server crashed with a request in flight, and returns how many crashes
 // of the request are recorded here.
-func (t *Table) Ended(c wheelgauge.Crash) int {
+func (t *Table) RecordCrash(c wheelgauge.Crash) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.put(c)
 	t.reevaluate()
-	return t.crashCounts[c.Request]
+	return t.crashCounts[c.Fingerprint]
 }
 
-// Ran records that a request ran to a good end, which clears it of earlier crashes.
-func (t *Table) Ran(size int, request func() wheelgauge.Fingerprint) {
+// RecordSuccess records that a request ran to a good end, which clears it of earlier crashes.
+func (t *Table) RecordSuccess(size int, request func() wheelgauge.Fingerprint) {
 	suspected := t.snapshot.Load().suspectedSizes[size]
 	if !suspected && size > maxRememberedBody {
 		return
@@ -123,7 +123,7 @@
 // clear marks the crashes of matching requests as cleared. The caller holds the lock.
 func (t *Table) clear(crashes []wheelgauge.Crash, match func(wheelgauge.Fingerprint) bool) (changed bool) {
 	for _, c := range crashes {
-		if !c.Cleared && match(c.Request) {
+		if !c.Cleared && match(c.Fingerprint) {
 			c.Cleared = true
 			t.put(c)
 			changed = true
@@ -148,8 +148,8 @@
 	}
 }
 
-// Keep replaces the crashes persisted elsewhere.
-func (t *Table) Keep(crashes []wheelgauge.Crash) {
+// SetPersisted replaces the crashes persisted elsewhere.
+func (t *Table) SetPersisted(crashes []wheelgauge.Crash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if slices.Equal(t.persisted, crashes) {
@@ -159,12 +159,12 @@
 	t.reevaluate()
 }
 
-// KeepBesides adds to the crashes persisted elsewhere, from a source that may not have all of
+// AddPersisted adds to the crashes persisted elsewhere, from a source that may not have all of
 // them yet.
-func (t *Table) KeepBesides(crashes []wheelgauge.Crash) {
+func (t *Table) AddPersisted(crashes []wheelgauge.Crash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	merged, changed := Join(t.persisted, crashes)
+	merged, changed := MergePersisted(t.persisted, crashes)
 	if !changed {
 		return
 	}
@@ -195,9 +195,9 @@
 	return out, change
 }
 
-// Latest returns the crashes that changed within recentWindow, newest first, for receivers
+// Recent returns the crashes that changed within recentWindow, newest first, for receivers
 // that get them repeatedly.
-func (t *Table) Latest() []wheelgauge.Crash {
+func (t *Table) Recent() []wheelgauge.Crash {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var entries []*entry
@@ -215,22 +215,22 @@
 	return out
 }
 
-// Serious returns the crashes of requests that are quarantined or candidates for it, and a
+// Candidates returns the crashes of requests that are quarantined or candidates for it, and a
 // version number of that list. The caller must not change the list.
-func (t *Table) Serious() ([]wheelgauge.Crash, uint64) {
+func (t *Table) Candidates() ([]wheelgauge.Crash, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.candidates, t.candidatesVersion
 }
 
-// ToKeep returns the crashes to persist elsewhere: those that quarantine requests, and
+// CrashesToPersist returns the crashes to persist elsewhere: those that quarantine requests, and
 // persisted ones that have been cleared since.
-func (t *Table) ToKeep() []wheelgauge.Crash {
+func (t *Table) CrashesToPersist() []wheelgauge.Crash {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := slices.Clone(t.candidates)
 	for _, c := range t.persisted {
-		e := t.entries[crashKey{request: c.Request, server: c.Server}]
+		e := t.entries[crashKey{request: c.Fingerprint, server: c.Server}]
 		if e != nil && e.crash.Cleared && !c.Cleared {
 			out = append(out, e.crash)
 		}
@@ -238,8 +238,8 @@
 	return out
 }
 
-// Condemned returns the quarantined requests, sorted.
-func (t *Table) Condemned() []wheelgauge.Fingerprint {
+// Quarantined returns the quarantined requests, sorted.
+func (t *Table) Quarantined() []wheelgauge.Fingerprint {
 	s := t.snapshot.Load()
 	out := make([]wheelgauge.Fingerprint, 0, len(s.quarantined))
 	for request := range s.quarantined {
@@ -267,7 +267,7 @@
 
 // put adds a crash or marks it as cleared. The caller holds the lock.
 func (t *Table) put(c wheelgauge.Crash) {
-	k := crashKey{request: c.Request, server: c.Server}
+	k := crashKey{request: c.Fingerprint, server: c.Server}
 	e := t.entries[k]
 	if e != nil && (e.crash.Cleared || !c.Cleared) {
 		return
@@ -277,7 +277,7 @@
 		e = &entry{crash: wheelgauge.Crash{Cleared: true}}
 		t.entries[k] = e
 	}
-	t.updateCount(c.Request, e.crash.Cleared, c.Cleared)
+	t.updateCount(c.Fingerprint, e.crash.Cleared, c.Cleared)
 	t.changes++
 	e.crash, e.changedAt, e.change = c, t.now(), t.changes
 }
@@ -330,7 +330,7 @@
 	out := make([]wheelgauge.Crash, 0, len(t.entries)+len(t.persisted))
 	index := make(map[crashKey]int, len(t.persisted))
 	for _, c := range t.persisted {
-		index[crashKey{request: c.Request, server: c.Server}] = len(out)
+		index[crashKey{request: c.Fingerprint, server: c.Server}] = len(out)
 		out = append(out, c)
 	}
 	for k, e := range t.entries {
@@ -365,15 +365,15 @@
 	s := &snapshot{quarantined: attribute(candidates), quarantinedSizes: map[int]bool{}, suspectedSizes: map[int]bool{}}
 	for _, e := range t.entries {
 		if !e.crash.Cleared {
-			s.suspectedSizes[e.crash.Size] = true
+			s.suspectedSizes[e.crash.BodyBytes] = true
 		}
 	}
 	for _, c := range candidates {
 		if !c.Cleared {
-			s.suspectedSizes[c.Size] = true
+			s.suspectedSizes[c.BodyBytes] = true
 		}
-		if s.quarantined[c.Request] {
-			s.quarantinedSizes[c.Size] = true
+		if s.quarantined[c.Fingerprint] {
+			s.quarantinedSizes[c.BodyBytes] = true
 		}
 	}
 	t.snapshot.Store(s)
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -16,31 +16,31 @@
 func (c *clock) now() time.Time { return c.at }
 
 func (t *Table) quarantines(c wheelgauge.Crash) bool {
-	return t.Holds(c.Size, func() wheelgauge.Fingerprint { return c.Request })
+	return t.IsQuarantined(c.BodyBytes, func() wheelgauge.Fingerprint { return c.Fingerprint })
 }
 
 func (t *Table) recordRun(c wheelgauge.Crash) {
-	t.Ran(c.Size, func() wheelgauge.Fingerprint { return c.Request })
+	t.RecordSuccess(c.BodyBytes, func() wheelgauge.Fingerprint { return c.Fingerprint })
 }
 
 func TestFingerprintIsComputedOnlyIfNeeded(t *testing.T) {
 	table := New(time.Now)
 	const size = 12 << 10
 	for _, c := range crashesAt("p", "abc") {
-		c.Size = size
-		table.Ended(c)
+		c.BodyBytes = size
+		table.RecordCrash(c)
 	}
 	computed := 0
 	request := func() wheelgauge.Fingerprint {
 		computed++
 		return "q"
 	}
-	table.Holds(size-1, request)
-	table.Ran(size-1, request)
+	table.IsQuarantined(size-1, request)
+	table.RecordSuccess(size-1, request)
 	if computed > 0 {
 		t.Error("fingerprint computed for a request of another size")
 	}
-	if table.Holds(size, request); computed != 1 {
+	if table.IsQuarantined(size, request); computed != 1 {
 		t.Errorf("fingerprint computed %d times for a request of the same size, want once", computed)
 	}
 }
@@ -50,20 +50,20 @@
 	table := New(c.now)
 	crashes := crashesAt("p", "abcd")
 	for _, crash := range crashes[:2] {
-		table.Ended(crash)
+		table.RecordCrash(crash)
 	}
 	c.at = c.at.Add(crashTTL + time.Second)
 	table.Prune()
-	if count := table.Ended(crashes[2]); count != 1 {
+	if count := table.RecordCrash(crashes[2]); count != 1 {
 		t.Errorf("got %d crashes, want 1", count)
 	}
-	table.Keep(crashes)
+	table.SetPersisted(crashes)
 	c.at = c.at.Add(crashTTL + time.Second)
 	table.Prune()
 	if !table.quarantines(crashes[0]) {
 		t.Error("a request with persisted crashes is not quarantined after Prune")
 	}
-	table.Keep(nil)
+	table.SetPersisted(nil)
 	if table.quarantines(crashes[0]) {
 		t.Error("a request is quarantined by crashes that are no longer persisted")
 	}
@@ -72,7 +72,7 @@
 func TestSinceReturnsBatches(t *testing.T) {
 	table := New(time.Now)
 	for n := range maxReported + 10 {
-		table.Ended(wheelgauge.Crash{Request: "p", Server: fmt.Sprint(n)})
+		table.RecordCrash(wheelgauge.Crash{Fingerprint: "p", Server: fmt.Sprint(n)})
 	}
 	first, change := table.Since(0)
 	second, change := table.Since(change)
@@ -80,7 +80,7 @@
 	if len(first) != maxReported || len(second) != 10 || len(third) != 0 {
 		t.Errorf("got batches of %d, %d and %d crashes", len(first), len(second), len(third))
 	}
-	table.recordRun(wheelgauge.Crash{Request: "p"})
+	table.recordRun(wheelgauge.Crash{Fingerprint: "p"})
 	if cleared, _ := table.Since(change); len(cleared) == 0 || !cleared[0].Cleared {
 		t.Errorf("got %v after a good run, want cleared crashes", cleared)
 	}
@@ -89,7 +89,7 @@
 func TestOldestEntryIsEvicted(t *testing.T) {
 	table := New(time.Now)
 	for n := range maxEntries + 1 {
-		table.put(wheelgauge.Crash{Request: "p", Server: fmt.Sprint(n)})
+		table.put(wheelgauge.Crash{Fingerprint: "p", Server: fmt.Sprint(n)})
 	}
 	if len(table.entries) != maxEntries || table.entries[crashKey{request: "p", server: "0"}] != nil {
 		t.Errorf("%d crashes in the table, want the limit without the oldest", len(table.entries))
@@ -130,13 +130,13 @@
 			updates, change := host.Since(c.sentChanges[h][s])
 			store.Merge(updates)
 			c.sentChanges[h][s] = change
-			host.Keep(func() []wheelgauge.Crash { list, _ := store.Serious(); return list }())
+			host.SetPersisted(func() []wheelgauge.Crash { list, _ := store.Candidates(); return list }())
 		}
 	}
 	for _, store := range c.stores {
 		if quorum {
-			c.persisted, _ = Join(c.persisted, store.ToKeep())
-			store.Keep(c.persisted)
+			c.persisted, _ = MergePersisted(c.persisted, store.CrashesToPersist())
+			store.SetPersisted(c.persisted)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 // gets the others from the hosts again.
 func (c *cluster) restartStore(s int) {
 	c.stores[s] = New(time.Now)
-	c.stores[s].Keep(c.persisted)
+	c.stores[s].SetPersisted(c.persisted)
 	for h := range c.hosts {
 		c.sentChanges[h][s] = 0
 	}
@@ -155,8 +155,8 @@
 func (c *cluster) restartHost(h int) {
 	c.hosts[h] = New(time.Now)
 	clear(c.sentChanges[h])
-	list, _ := c.stores[c.rng.IntN(len(c.stores))].Serious()
-	c.hosts[h].Keep(list)
+	list, _ := c.stores[c.rng.IntN(len(c.stores))].Candidates()
+	c.hosts[h].SetPersisted(list)
 }
 
 // Runs seeded schedules of hosts and stores with lost calls, partitions, and restarts of
@@ -170,7 +170,7 @@
 	falsePositives, samples := 0, 0
 	for seed := range uint64(50) {
 		c := newCluster(seed, hosts, stores)
-		poison := wheelgauge.Crash{Request: "poison"}
+		poison := wheelgauge.Crash{Fingerprint: "poison"}
 		server, crashes := 0, 0
 		// Requests whose server crashed are retried and become bystanders again.
 		var retries []wheelgauge.Fingerprint
@@ -187,7 +187,7 @@
 				server++
 				crashes++
 				name := fmt.Sprint("server ", server)
-				host.Ended(wheelgauge.Crash{Request: poison.Request, Server: name})
+				host.RecordCrash(wheelgauge.Crash{Fingerprint: poison.Fingerprint, Server: name})
 				var next []wheelgauge.Fingerprint
 				for n := range concurrent {
 					request, attempts := wheelgauge.Fingerprint(fmt.Sprint("beside ", seed, round, h, n)), 0
@@ -195,7 +195,7 @@
 						request = retries[n]
 						attempts = sends[request]
 					}
-					c.hosts[c.rng.IntN(hosts)].Ended(wheelgauge.Crash{Request: request, Server: name})
+					c.hosts[c.rng.IntN(hosts)].RecordCrash(wheelgauge.Crash{Fingerprint: request, Server: name})
 					if sends[request] = attempts + 1; sends[request] < mostSends {
 						next = append(next, request)
 					}
@@ -214,7 +214,7 @@
 				c.restartStore(c.rng.IntN(stores))
 			}
 			for _, host := range c.hosts {
-				falsePositives += len(slices.DeleteFunc(host.Condemned(), func(f wheelgauge.Fingerprint) bool { return f == poison.Request }))
+				falsePositives += len(slices.DeleteFunc(host.Quarantined(), func(f wheelgauge.Fingerprint) bool { return f == poison.Fingerprint }))
 				samples += concurrent
 			}
 		}
@@ -222,7 +222,7 @@
 			if !host.quarantines(poison) {
 				t.Errorf("seed %d: host %d has not quarantined the request after %d crashes", seed, h, crashes)
 			}
-			if quarantined := host.Condemned(); len(quarantined) != 1 {
+			if quarantined := host.Quarantined(); len(quarantined) != 1 {
 				t.Errorf("seed %d: host %d quarantined %v, want one request", seed, h, quarantined)
 			}
 		}
@@ -239,17 +239,17 @@
 	c := &clock{at: time.Unix(1000, 0)}
 	store := New(c.now)
 	store.Merge(crashesAt("p", "abc"))
-	kept, _ := Join(nil, store.ToKeep())
-	store.Keep(kept)
+	kept, _ := MergePersisted(nil, store.CrashesToPersist())
+	store.SetPersisted(kept)
 	if !store.quarantines(kept[0]) {
 		t.Fatal("request with three crashes is not quarantined")
 	}
 	store.Merge(markCleared(crashesAt("p", "abc")))
-	kept, changed := Join(kept, store.ToKeep())
+	kept, changed := MergePersisted(kept, store.CrashesToPersist())
 	if !changed {
 		t.Error("no change to persist after crashes were cleared")
 	}
-	store.Keep(kept)
+	store.SetPersisted(kept)
 	c.at = c.at.Add(2 * crashTTL)
 	store.Prune()
 	if store.quarantines(kept[0]) {
@@ -270,22 +270,22 @@
 		crashes := map[wheelgauge.Fingerprint]int{}
 		for server := range 60 {
 			by := pair[r.IntN(2)]
-			if table.quarantines(wheelgauge.Crash{Request: by}) {
+			if table.quarantines(wheelgauge.Crash{Fingerprint: by}) {
 				continue
 			}
 			inFlight := []wheelgauge.Fingerprint{by}
 			for _, other := range pair {
-				if other != by && !table.quarantines(wheelgauge.Crash{Request: other}) && r.Float64() < 0.9 {
+				if other != by && !table.quarantines(wheelgauge.Crash{Fingerprint: other}) && r.Float64() < 0.9 {
 					inFlight = append(inFlight, other)
 				}
 			}
 			crashes[by]++
 			name := fmt.Sprint(server)
 			for _, request := range inFlight {
-				table.Ended(wheelgauge.Crash{Request: request, Server: name})
+				table.RecordCrash(wheelgauge.Crash{Fingerprint: request, Server: name})
 			}
 			for n := range 20 {
-				table.Ended(wheelgauge.Crash{Request: wheelgauge.Fingerprint(fmt.Sprint("beside ", server/3, n)), Server: name})
+				table.RecordCrash(wheelgauge.Crash{Fingerprint: wheelgauge.Fingerprint(fmt.Sprint("beside ", server/3, n)), Server: name})
 			}
 		}
 		for _, request := range pair {
@@ -294,7 +294,7 @@
 				t.Errorf("seed %d: %s crashed %d servers", seed, request, crashes[request])
 			}
 		}
-		if quarantined := table.Condemned(); !slices.Equal(quarantined, pair) {
+		if quarantined := table.Quarantined(); !slices.Equal(quarantined, pair) {
 			t.Errorf("seed %d: got %v in quarantine, want both", seed, quarantined)
 		}
 	}
@@ -308,12 +308,12 @@
 // more.
 func TestPopularRequestIsNotQuarantined(t *testing.T) {
 	c := newCluster(1, 4, 3)
-	popular := wheelgauge.Crash{Request: "popular"}
+	popular := wheelgauge.Crash{Fingerprint: "popular"}
 	c.hosts[3].recordRun(popular)
 	for n := range 3 {
 		crash := popular
 		crash.Server = fmt.Sprint(n)
-		c.hosts[n].Ended(crash)
+		c.hosts[n].RecordCrash(crash)
 	}
 	for range 3 {
 		c.round(1, true)
@@ -325,7 +325,7 @@
 	}
 	crash := popular
 	crash.Server = "3"
-	c.hosts[0].Ended(crash)
+	c.hosts[0].RecordCrash(crash)
 	c.round(1, true)
 	if c.hosts[1].quarantines(popular) {
 		t.Error("popular request is quarantined after another crash")
@@ -371,7 +371,7 @@
 	var all []wheelgauge.Crash
 	for server := range 64 {
 		for n := range 64 {
-			all = append(all, wheelgauge.Crash{Request: wheelgauge.Fingerprint(fmt.Sprint("request ", server, n)), Server: fmt.Sprint("server ", server), Size: n})
+			all = append(all, wheelgauge.Crash{Fingerprint: wheelgauge.Fingerprint(fmt.Sprint("request ", server, n)), Server: fmt.Sprint("server ", server), BodyBytes: n})
 		}
 	}
 	for b.Loop() {
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -132,7 +132,7 @@
 
 func (r *Registry) prepare(c wheelgauge.Change) (wheelgauge.Resource, json.RawMessage, *wheelgauge.Error) {
 	old := r.resources[key{c.Kind, c.Name}]
-	if c.Expected != nil && *c.Expected != old.Generation {
+	if c.ExpectedGeneration != nil && *c.ExpectedGeneration != old.Generation {
 		return old, nil, conflict(c, old)
 	}
 	if c.Op != wheelgauge.OpPut {
@@ -176,7 +176,7 @@
 		return wheelgauge.ChangeResult{}, nil
 	}
 	next.Pending, next.Spec = next.Spec, old.Spec
-	next.PendingGen = r.generation + 1
+	next.PendingGeneration = r.generation + 1
 	r.set(next)
 	return wheelgauge.ChangeResult{Pending: true}, nil
 }
@@ -219,10 +219,10 @@
 
 func (r *Registry) accept(c wheelgauge.Change) *wheelgauge.Error {
 	old := r.resources[key{c.Kind, c.Name}]
-	if len(old.Pending) == 0 || c.Expected == nil || *c.Expected != old.PendingGen {
+	if len(old.Pending) == 0 || c.ExpectedGeneration == nil || *c.ExpectedGeneration != old.PendingGeneration {
 		return conflict(c, old)
 	}
-	old.Spec, old.Pending, old.PendingGen = old.Pending, nil, 0
+	old.Spec, old.Pending, old.PendingGeneration = old.Pending, nil, 0
 	r.set(old)
 	return nil
 }
@@ -273,10 +273,10 @@
 
 // List returns all resources of a kind, or of every kind if it is empty, in
 // the order of Kinds and names.
-func (r *Registry) List(kind wheelgauge.Kind) wheelgauge.ListAnswer {
+func (r *Registry) List(kind wheelgauge.Kind) wheelgauge.ListResponse {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return wheelgauge.ListAnswer{Generation: r.generation, Resources: r.list(kind)}
+	return wheelgauge.ListResponse{Generation: r.generation, Resources: r.list(kind)}
 }
 
 func (r *Registry) list(kind wheelgauge.Kind) []wheelgauge.Resource {
@@ -315,7 +315,7 @@
 
 // Since returns the events after generation from, and a channel that is closed
 // at the next change. ok is false if those events are no longer stored.
-func (r *Registry) Since(from uint64) (response wheelgauge.WatchAnswer, changed <-chan struct{}, ok bool) {
+func (r *Registry) Since(from uint64) (response wheelgauge.WatchResponse, changed <-chan struct{}, ok bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	response.Generation = r.generation
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -27,7 +27,7 @@
 }
 
 func expecting(c wheelgauge.Change, generation uint64) wheelgauge.Change {
-	c.Expected = &generation
+	c.ExpectedGeneration = &generation
 	return c
 }
 
@@ -159,7 +159,7 @@
 }
 
 func acceptance(generation uint64) wheelgauge.Change {
-	return wheelgauge.Change{Op: wheelgauge.OpAccept, Kind: wheelgauge.KindResidencyRule, Name: "r", Expected: &generation}
+	return wheelgauge.Change{Op: wheelgauge.OpAccept, Kind: wheelgauge.KindResidencyRule, Name: "r", ExpectedGeneration: &generation}
 }
 
 func accept(t *testing.T, r *Registry, generation uint64) {
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -34,17 +34,17 @@
 )
 
 // Resume requests the rest of a stream after skip tokens.
-type Resume func(ctx context.Context, skip int) (*wheelgauge.Answer, error)
+type Resume func(ctx context.Context, skip int) (*wheelgauge.Response, error)
 
-// Ending is the outcome of a stream.
-type Ending struct {
+// Summary is the outcome of a stream.
+type Summary struct {
 	Tokens   int
 	Complete bool
-	// Left is true if the caller disconnected.
-	Left    bool
-	Resumes int
-	// FirstAfter is the time from the start of the request to the first token.
-	FirstAfter time.Duration
+	// CallerLeft is true if the caller disconnected.
+	CallerLeft bool
+	Resumes    int
+	// TimeToFirstToken is the time from the start of the request to the first token.
+	TimeToFirstToken time.Duration
 }
 
 // Stream is the body of a response to a caller. It implements io.ReadCloser.
@@ -53,7 +53,7 @@
 	cancel     context.CancelFunc
 	resume     Resume
 	serverDead func() bool
-	onEnd      func(Ending)
+	onEnd      func(Summary)
 	started    time.Time
 
 	events    chan []byte
@@ -62,9 +62,9 @@
 	errorSent bool
 
 	mu         sync.Mutex
-	answer     *wheelgauge.Answer
+	answer     *wheelgauge.Response
 	bodyClosed bool
-	ending     Ending
+	ending     Summary
 	closing    sync.Once
 	timer      *time.Timer
 }
@@ -75,18 +75,18 @@
 	Started time.Time
 	// Resume may be nil; the stream is then never resumed.
 	Resume Resume
-	// Dead reports whether the backend server is known to be dead. It is called
+	// ServerDead reports whether the backend server is known to be dead. It is called
 	// while the server is silent; may be nil.
-	Dead func() bool
+	ServerDead func() bool
 	// OnEnd is called once, from Close.
-	OnEnd func(Ending)
+	OnEnd func(Summary)
 }
 
 // New starts to relay the body of answer.
-func New(ctx context.Context, answer *wheelgauge.Answer, o Options) *Stream {
+func New(ctx context.Context, answer *wheelgauge.Response, o Options) *Stream {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &Stream{
-		ctx: ctx, cancel: cancel, resume: o.Resume, serverDead: o.Dead, onEnd: o.OnEnd, started: o.Started, answer: answer,
+		ctx: ctx, cancel: cancel, resume: o.Resume, serverDead: o.ServerDead, onEnd: o.OnEnd, started: o.Started, answer: answer,
 		events: make(chan []byte, eventBufferSize), done: make(chan error, 1), timer: time.NewTimer(keepAliveInterval),
 	}
 	go func() { s.done <- s.pump() }()
@@ -127,7 +127,7 @@
 // finish ends a complete stream. For a broken one it first returns an error event,
 // and then fails, which cuts the caller's connection.
 func (s *Stream) finish() error {
-	if s.Ending().Complete {
+	if s.Summary().Complete {
 		return io.EOF
 	}
 	if s.errorSent {
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// Ending returns the progress so far, and the outcome once the stream has ended.
-func (s *Stream) Ending() Ending {
+// Summary returns the progress so far, and the outcome once the stream has ended.
+func (s *Stream) Summary() Summary {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ending
@@ -160,8 +160,8 @@
 		}
 		err := <-s.done
 		s.timer.Stop()
-		e := s.Ending()
-		e.Left = !e.Complete && errors.Is(err, context.Canceled)
+		e := s.Summary()
+		e.CallerLeft = !e.Complete && errors.Is(err, context.Canceled)
 		s.onEnd(e)
 	})
 	return nil
@@ -204,7 +204,7 @@
 
 // tryResume replaces a broken response by one that continues after the last token.
 func (s *Stream) tryResume() bool {
-	e := s.Ending()
+	e := s.Summary()
 	if s.resume == nil || e.Resumes >= maxResumes {
 		return false
 	}
@@ -274,7 +274,7 @@
 			return true
 		case bytes.HasPrefix(event, dataPrefix):
 			if s.ending.Tokens == 0 {
-				s.ending.FirstAfter = time.Since(s.started)
+				s.ending.TimeToFirstToken = time.Since(s.started)
 			}
 			s.ending.Tokens++
 		}
--- a/relay/stream_test.go
+++ b/relay/stream_test.go
@@ -56,9 +56,9 @@
 
 func (s *scripted) Close() error { return nil }
 
-func answer(err error, pieces ...string) *wheelgauge.Answer {
+func answer(err error, pieces ...string) *wheelgauge.Response {
 	s := &scripted{pieces: pieces, err: err, abort: make(chan struct{})}
-	return &wheelgauge.Answer{Status: 200, Body: s, Abort: func() { s.once.Do(func() { close(s.abort) }) }}
+	return &wheelgauge.Response{Status: 200, Body: s, Abort: func() { s.once.Do(func() { close(s.abort) }) }}
 }
 
 var errCut = errors.New("cut")
@@ -67,23 +67,23 @@
 	whole := events(0, 4) + doneText
 	tests := []struct {
 		name    string
-		first   *wheelgauge.Answer
-		rest    []*wheelgauge.Answer
+		first   *wheelgauge.Response
+		rest    []*wheelgauge.Response
 		want    string
 		err     error
 		resumes int
 	}{
 		{"whole", answer(io.EOF, whole), nil, whole, nil, 0},
 		{"in odd pieces", answer(io.EOF, whole[:7], whole[7:20], whole[20:21], whole[21:]), nil, whole, nil, 0},
-		{"resumed after the last whole event", answer(errCut, events(0, 2)+"data: {\"t\""), []*wheelgauge.Answer{answer(io.EOF, events(2, 4)+doneText)}, whole, nil, 1},
-		{"ended early without its last event", answer(io.EOF, events(0, 2)), []*wheelgauge.Answer{answer(io.EOF, events(2, 4)+doneText)}, whole, nil, 1},
+		{"resumed after the last whole event", answer(errCut, events(0, 2)+"data: {\"t\""), []*wheelgauge.Response{answer(io.EOF, events(2, 4)+doneText)}, whole, nil, 1},
+		{"ended early without its last event", answer(io.EOF, events(0, 2)), []*wheelgauge.Response{answer(io.EOF, events(2, 4)+doneText)}, whole, nil, 1},
 		{"broken for good", answer(errCut, events(0, 2)), nil, events(0, 2) + "event: error\n", io.ErrUnexpectedEOF, 0},
-		{"resumed twice, then broken", answer(errCut, event(0)), []*wheelgauge.Answer{answer(errCut, event(1)), answer(errCut, event(2))}, events(0, 3) + "event: error\n", io.ErrUnexpectedEOF, 2},
+		{"resumed twice, then broken", answer(errCut, event(0)), []*wheelgauge.Response{answer(errCut, event(1)), answer(errCut, event(2))}, events(0, 3) + "event: error\n", io.ErrUnexpectedEOF, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var ending Ending
-			resume := func(_ context.Context, skip int) (*wheelgauge.Answer, error) {
+			var ending Summary
+			resume := func(_ context.Context, skip int) (*wheelgauge.Response, error) {
 				if len(tt.rest) == 0 {
 					return nil, errCut
 				}
@@ -94,7 +94,7 @@
 				}
 				return next, nil
 			}
-			s := New(context.Background(), tt.first, Options{Started: time.Now(), Resume: resume, OnEnd: func(e Ending) { ending = e }})
+			s := New(context.Background(), tt.first, Options{Started: time.Now(), Resume: resume, OnEnd: func(e Summary) { ending = e }})
 			got, err := io.ReadAll(s)
 			if err := s.Close(); err != nil {
 				t.Fatal(err)
@@ -114,8 +114,8 @@
 
 // TestCallerLeaves closes a stream while its backend server is silent.
 func TestCallerLeaves(t *testing.T) {
-	var ending Ending
-	s := New(context.Background(), answer(nil, event(0)), Options{OnEnd: func(e Ending) { ending = e }})
+	var ending Summary
+	s := New(context.Background(), answer(nil, event(0)), Options{OnEnd: func(e Summary) { ending = e }})
 	buf := make([]byte, 100)
 	if n, err := s.Read(buf); err != nil || string(buf[:n]) != event(0) {
 		t.Fatalf("got %q, %v, want the first event", buf[:n], err)
@@ -126,7 +126,7 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if !ending.Left || ending.Complete {
+	if !ending.CallerLeft || ending.Complete {
 		t.Fatalf("got ending %+v, want Left and not Complete", ending)
 	}
 }
@@ -134,8 +134,10 @@
 // TestDeadServer resumes at another server when the first is known to be dead although
 // its connection is still open.
 func TestDeadServer(t *testing.T) {
-	resume := func(context.Context, int) (*wheelgauge.Answer, error) { return answer(io.EOF, event(1)+doneText), nil }
-	s := New(context.Background(), answer(nil, event(0)), Options{Resume: resume, Dead: func() bool { return true }, OnEnd: func(Ending) {}})
+	resume := func(context.Context, int) (*wheelgauge.Response, error) {
+		return answer(io.EOF, event(1)+doneText), nil
+	}
+	s := New(context.Background(), answer(nil, event(0)), Options{Resume: resume, ServerDead: func() bool { return true }, OnEnd: func(Summary) {}})
 	got, err := io.ReadAll(s)
 	if err != nil || strings.ReplaceAll(string(got), string(keepAlive), "") != events(0, 2)+doneText {
 		t.Fatalf("got %q, %v, want the complete stream", got, err)
--- a/replica/bootstrap_test.go
+++ b/replica/bootstrap_test.go
@@ -81,7 +81,7 @@
 		Client: peerhttp.NewClient(nil, ""), Log: logr.Discard(),
 	}
 	if first {
-		o.Founders = g.seeds
+		o.InitialVoters = g.seeds
 	}
 	if g.editOptions != nil {
 		g.editOptions(&o)
@@ -119,7 +119,7 @@
 func (g *group) voters() int {
 	voters := 0
 	for _, n := range g.nodes {
-		if !n.replica.Leading() {
+		if !n.replica.IsLeader() {
 			continue
 		}
 		voters = 0
@@ -138,7 +138,7 @@
 	for !ok() {
 		if time.Now().After(deadline) {
 			for _, n := range g.nodes {
-				g.t.Logf("%s: disk unwritable %v, status %+v", n.address, n.replica.Refuses(), n.replica.Status())
+				g.t.Logf("%s: disk unwritable %v, status %+v", n.address, n.replica.DiskUnwritable(), n.replica.Status())
 			}
 			g.t.Fatalf("timed out waiting for %s", what)
 		}
--- a/replica/disk.go
+++ b/replica/disk.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Refuses reports whether the replica's disk is currently not writable.
-func (r *Replica) Refuses() bool { return r.disk.unwritable.Load() }
+// DiskUnwritable reports whether the replica's disk is currently not writable.
+func (r *Replica) DiskUnwritable() bool { return r.disk.unwritable.Load() }
 
 // suspendWrites continues without the disk: the core takes no part in elections
 // and commits, and pending proposals fail with an error that refers callers to
--- a/replica/disk_test.go
+++ b/replica/disk_test.go
@@ -65,7 +65,7 @@
 
 func (g *group) leader() *node {
 	for _, n := range g.nodes {
-		if n.replica.Leading() && !n.replica.Refuses() {
+		if n.replica.IsLeader() && !n.replica.DiskUnwritable() {
 			return n
 		}
 	}
@@ -111,7 +111,7 @@
 			disk.poisoned.Store(tt.poisoned)
 			disk.full.Store(true)
 			g.propose(oldLeader, "during")
-			g.waitFor("the full disk to be detected", oldLeader.replica.Refuses)
+			g.waitFor("the full disk to be detected", oldLeader.replica.DiskUnwritable)
 			g.waitFor("another leader", func() bool { return g.leader() != nil && g.leader() != oldLeader })
 			g.propose(oldLeader, "still")
 			g.waitFor("rejected writes", func() bool { return disk.rejectedWrites.Load() > 2 })
@@ -122,7 +122,7 @@
 				t.Fatal("the replica stopped because of a full disk")
 			}
 			disk.full.Store(false)
-			g.waitFor("the disk to be writable", func() bool { return !oldLeader.replica.Refuses() })
+			g.waitFor("the disk to be writable", func() bool { return !oldLeader.replica.DiskUnwritable() })
 			g.waitFor("the change on the replica with the full disk", func() bool { return oldLeader.machine.value() == `"still"` })
 			dir := oldLeader.dir
 			g.stop(oldLeader)
@@ -177,7 +177,7 @@
 	defer g.stopAll()
 	disk := useFullDisks(g)
 	n := g.start(a, t.TempDir(), true)
-	g.waitFor("a leader", n.replica.Leading)
+	g.waitFor("a leader", n.replica.IsLeader)
 	disk[a].rewriteFull.Store(true)
 	for range compactEntries + 1 {
 		g.propose(n, "filled")
@@ -201,7 +201,7 @@
 	defer g.stopAll()
 	disk := useFullDisks(g)
 	n := g.start(a, t.TempDir(), true)
-	g.waitFor("a leader", n.replica.Leading)
+	g.waitFor("a leader", n.replica.IsLeader)
 	disk[a].full.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
--- a/replica/handler.go
+++ b/replica/handler.go
@@ -42,16 +42,16 @@
 
 func reply(ctx *fasthttp.RequestCtx, v any, err error) {
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
-	peerhttp.Answer(ctx, v)
+	peerhttp.WriteJSON(ctx, v)
 }
 
 func (r *Replica) handleMessages(callCtx context.Context, ctx *fasthttp.RequestCtx) {
 	e, err := peerhttp.Decode[envelope](ctx)
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	r.net.learn(e.From)
@@ -98,7 +98,7 @@
 	}
 	m, err := peerhttp.Decode[raft.Member](ctx)
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	r.net.learn(m)
--- a/replica/members.go
+++ b/replica/members.go
@@ -63,7 +63,7 @@
 
 // Join adds a learner. Replicas other than the leader forward the request to it.
 func (r *Replica) Join(ctx context.Context, m raft.Member) error {
-	if !r.Leading() {
+	if !r.IsLeader() {
 		return r.callLeader(ctx, http.MethodPost, pathJoin, m, nil)
 	}
 	m.Voter = false
@@ -84,7 +84,7 @@
 
 // Remove removes a member from the group.
 func (r *Replica) Remove(ctx context.Context, name string) error {
-	if !r.Leading() {
+	if !r.IsLeader() {
 		return r.callLeader(ctx, http.MethodDelete, pathJoin+"?name="+name, nil, nil)
 	}
 	return r.changeMembers(ctx, func(members []raft.Member) ([]raft.Member, error) {
--- a/replica/progress.go
+++ b/replica/progress.go
@@ -47,14 +47,14 @@
 
 // Status is a replica's view of itself and its group.
 type Status struct {
-	Self    raft.Member   `json:"self"`
-	Role    string        `json:"role"`
-	Term    uint64        `json:"term"`
-	Leader  uint64        `json:"leader"`
-	Commit  uint64        `json:"commit"`
-	Applied uint64        `json:"applied"`
-	Bytes   int64         `json:"log_bytes"`
-	Members []raft.Member `json:"members"`
+	Self     raft.Member   `json:"self"`
+	Role     string        `json:"role"`
+	Term     uint64        `json:"term"`
+	Leader   uint64        `json:"leader"`
+	Commit   uint64        `json:"commit"`
+	Applied  uint64        `json:"applied"`
+	LogBytes int64         `json:"log_bytes"`
+	Members  []raft.Member `json:"members"`
 }
 
 // statusView holds the last published status, for readers outside the run loop.
@@ -76,7 +76,7 @@
 func (r *Replica) publish() {
 	s := Status{
 		Self: r.self(), Role: roleNames[r.core.Role()], Term: r.core.Term(), Leader: r.core.Leader(),
-		Commit: r.core.Commit(), Applied: r.core.Applied(), Bytes: r.storage.log.Size(), Members: r.core.Members(),
+		Commit: r.core.Commit(), Applied: r.core.Applied(), LogBytes: r.storage.log.Size(), Members: r.core.Members(),
 	}
 	i := slices.IndexFunc(s.Members, func(m raft.Member) bool { return m.ID == s.Self.ID })
 	s.Self.Voter = i >= 0 && s.Members[i].Voter
@@ -94,8 +94,8 @@
 // Status returns the last published status.
 func (r *Replica) Status() Status { return r.view.get() }
 
-// Leading reports whether this replica is the leader.
-func (r *Replica) Leading() bool {
+// IsLeader reports whether this replica is the leader.
+func (r *Replica) IsLeader() bool {
 	s := r.view.get()
 	return s.Leader == s.Self.ID
 }
--- a/replica/propose.go
+++ b/replica/propose.go
@@ -34,7 +34,7 @@
 // Propose implements wheelgauge.Proposer. Replicas other than the leader forward
 // the command to it.
 func (r *Replica) Propose(ctx context.Context, command []byte) ([]byte, error) {
-	if r.Leading() {
+	if r.IsLeader() {
 		p, err := r.proposeLocal(ctx, command)
 		return p.Response, err
 	}
@@ -83,7 +83,7 @@
 func (r *Replica) ReadBarrier(ctx context.Context) error {
 	var p leaderResult
 	var err error
-	if r.Leading() {
+	if r.IsLeader() {
 		p, err = r.barrierLocal(ctx)
 	} else {
 		err = r.callLeader(ctx, http.MethodGet, pathBarrier, nil, &p)
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -48,10 +48,10 @@
 	Voters int
 	// Peers are the addresses of the stores that a join request is sent to.
 	Peers []string
-	// Founders are the addresses of the initial voters when a whole new group
+	// InitialVoters are the addresses of the initial voters when a whole new group
 	// starts at once, the same on each replica; empty at any other start. An
 	// initial voter on a blank disk bootstraps the group together with the others.
-	Founders []string
+	InitialVoters []string
 	// Tick is the unit of the election and heartbeat timeouts; 0 means 50 ms.
 	Tick   time.Duration
 	Client *peerhttp.Client
@@ -112,7 +112,7 @@
 			return nil, errors.Join(fmt.Errorf("restore state: %w", err), s.log.Close())
 		}
 	}
-	if blank && slices.Contains(options.Founders, options.Address) {
+	if blank && slices.Contains(options.InitialVoters, options.Address) {
 		if state, openErr = s.bootstrapGroup(options); openErr != nil && !wal.IsNoSpace(openErr) {
 			return nil, errors.Join(openErr, s.log.Close())
 		}
--- a/replica/storage.go
+++ b/replica/storage.go
@@ -183,10 +183,10 @@
 	return nil
 }
 
-// Found creates a new group whose only replica is in dir. It fails if dir
+// Bootstrap creates a new group whose only replica is in dir. It fails if dir
 // holds a replica already. A running store never calls it: with a blank disk it
 // joins a group instead.
-func Found(dir, name, address string) error {
+func Bootstrap(dir, name, address string) error {
 	s, state, blank, err := openStorage(dir)
 	if s == nil {
 		return err
--- a/resource.go
+++ b/resource.go
@@ -31,24 +31,24 @@
 // generation of its last change. Pending holds a spec that removes rights
 // and is not accepted yet; until then gateways enforce both specs.
 type Resource struct {
-	Kind       Kind            `json:"kind"`
-	Name       string          `json:"name"`
-	Generation uint64          `json:"generation"`
-	Operator   string          `json:"operator,omitempty"`
-	Spec       json.RawMessage `json:"spec,omitempty"`
-	Pending    json.RawMessage `json:"pending,omitempty"`
-	PendingGen uint64          `json:"pending_generation,omitempty"`
+	Kind              Kind            `json:"kind"`
+	Name              string          `json:"name"`
+	Generation        uint64          `json:"generation"`
+	Operator          string          `json:"operator,omitempty"`
+	Spec              json.RawMessage `json:"spec,omitempty"`
+	Pending           json.RawMessage `json:"pending,omitempty"`
+	PendingGeneration uint64          `json:"pending_generation,omitempty"`
 }
 
 // RegionSpec describes a region.
 type RegionSpec struct {
 	// Price is the cost per 1,000 generated tokens, in the operator's currency.
 	Price float64 `json:"price"`
-	// Links maps other regions to the one-way delay to them, in milliseconds.
-	Links map[string]float64 `json:"links_ms,omitempty"`
-	// Claims names the host whose store keeps the claims of clients whose home region is
+	// LinkDelaysMS maps other regions to the one-way delay to them, in milliseconds.
+	LinkDelaysMS map[string]float64 `json:"links_ms,omitempty"`
+	// ClaimHost names the host whose store keeps the claims of clients whose home region is
 	// this one.
-	Claims string `json:"claims,omitempty"`
+	ClaimHost string `json:"claims,omitempty"`
 }
 
 // HallSpec describes a hall.
@@ -61,10 +61,10 @@
 	Region string `json:"region"`
 	Hall   string `json:"hall"`
 	// Addresses (IP:port) of the listeners for callers and for peers.
-	Caller string `json:"caller"`
-	Peer   string `json:"peer"`
-	// Store is the peer address of the store on this host, if there is one.
-	Store string `json:"store,omitempty"`
+	CallerAddress string `json:"caller"`
+	PeerAddress   string `json:"peer"`
+	// StoreAddress is the peer address of the store on this host, if there is one.
+	StoreAddress string `json:"store,omitempty"`
 	// Weight scales the host's share of callers; zero means 1.
 	Weight  float64 `json:"weight,omitempty"`
 	Leaving bool    `json:"leaving,omitempty"`
--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -70,17 +70,17 @@
 	return b.hosts
 }
 
-// First counts a first send.
-func (b *Budget) First(service string) {
+// RecordFirst counts a first send.
+func (b *Budget) RecordFirst(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, at := b.window(service)
 	w.at(at).firsts++
 }
 
-// Repeat takes one retry; false means that none is left. The whole budget of a window may be
+// TryRetry takes one retry; false means that none is left. The whole budget of a window may be
 // spent at once: when a server fails, all requests that it ran are retried at the same time.
-func (b *Budget) Repeat(service string) bool {
+func (b *Budget) TryRetry(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, at := b.window(service)
--- a/retrybudget/budget_test.go
+++ b/retrybudget/budget_test.go
@@ -32,10 +32,10 @@
 				at = at.Add(100 * time.Millisecond)
 				for i, b := range budgets {
 					for range tt.first[i] {
-						b.First("s")
+						b.RecordFirst("s")
 						firsts++
 					}
-					for b.Repeat("s") {
+					for b.TryRetry("s") {
 						retries++
 					}
 				}
@@ -56,7 +56,7 @@
 	b.SetHosts(6)
 	spend := func() int {
 		n := 0
-		for b.Repeat("s") {
+		for b.TryRetry("s") {
 			n++
 		}
 		return n
@@ -64,7 +64,7 @@
 	for range 95 {
 		at = at.Add(100 * time.Millisecond)
 		for range 5 {
-			b.First("s")
+			b.RecordFirst("s")
 		}
 	}
 	steps := []struct {
@@ -106,11 +106,11 @@
 				load, failing = rnd.IntN(30), rnd.IntN(3) == 0
 			}
 			for range load {
-				budgets[rnd.IntN(hosts)].First("s")
+				budgets[rnd.IntN(hosts)].RecordFirst("s")
 				firsts[i]++
 			}
 			for _, b := range budgets {
-				for failing && b.Repeat("s") {
+				for failing && b.TryRetry("s") {
 					retries[i]++
 				}
 			}
@@ -150,7 +150,7 @@
 	spend := func() int {
 		n := 0
 		for _, b := range budgets {
-			for b.Repeat("s") {
+			for b.TryRetry("s") {
 				n++
 			}
 		}
--- a/rollout/director/director.go
+++ b/rollout/director/director.go
@@ -54,12 +54,12 @@
 	Score float64
 	// Proof is the evidence that the version is as good, as a fraction of what shows it.
 	Proof float64
-	// Detects is the smallest failure rate that the answers so far would have shown.
-	Detects float64
-	// Answers counts the answers of the target version, Waiting the hosts that are not
+	// MinDetectableRate is the smallest failure rate that the answers so far would have shown.
+	MinDetectableRate float64
+	// Answers counts the answers of the target version, IncompleteHosts the hosts that are not
 	// complete.
-	Answers uint64
-	Waiting int
+	Answers         uint64
+	IncompleteHosts int
 }
 
 // hostState is the last report of one instance (boot) of an entry host.
@@ -72,30 +72,30 @@
 // tracker accumulates the reports on one rollout.
 type tracker struct {
 	number    uint64
-	evaluator wheelgauge.VersionJudge
+	evaluator wheelgauge.VersionEvaluator
 	hosts     map[string]*hostState
 	// targetAnswers and otherAnswers count answers by route.
 	targetAnswers, otherAnswers map[string]uint64
 	sent                        uint64
 }
 
-// Director tracks all running rollouts. It is safe for concurrent use.
-type Director struct {
+// Controller tracks all running rollouts. It is safe for concurrent use.
+type Controller struct {
 	mu           sync.Mutex
-	newEvaluator func() wheelgauge.VersionJudge
+	newEvaluator func() wheelgauge.VersionEvaluator
 	now          func() time.Time
 	trackers     map[string]*tracker
 }
 
 // New returns a director without any reports. newEvaluator creates the evaluator of each
 // rollout.
-func New(newEvaluator func() wheelgauge.VersionJudge, now func() time.Time) *Director {
-	return &Director{newEvaluator: newEvaluator, now: now, trackers: map[string]*tracker{}}
+func New(newEvaluator func() wheelgauge.VersionEvaluator, now func() time.Time) *Controller {
+	return &Controller{newEvaluator: newEvaluator, now: now, trackers: map[string]*tracker{}}
 }
 
 // Take adds the reports of one instance of a host on all rollouts that it knows to be
 // running.
-func (d *Director) Take(host string, boot uint64, reports []wheelgauge.RolloutReport) {
+func (d *Controller) Take(host string, boot uint64, reports []wheelgauge.RolloutReport) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -119,7 +119,7 @@
 
 // tracker returns the tracker of a rollout, or nil if a later rollout is known. The caller
 // holds the lock.
-func (d *Director) tracker(service string, number uint64) *tracker {
+func (d *Controller) tracker(service string, number uint64) *tracker {
 	t := d.trackers[service]
 	if t != nil && t.number > number {
 		return nil
@@ -134,44 +134,44 @@
 // addReport adds what changed since the host's previous report.
 func (t *tracker) addReport(now time.Time, prev, r wheelgauge.RolloutReport) {
 	t.sent += r.Sent - prev.Sent
-	var counts []wheelgauge.VersionCount
-	for _, c := range r.Counts {
-		diff := countsSince(prev.Counts, c)
-		if diff.Answers == 0 {
+	var counts []wheelgauge.VersionStats
+	for _, c := range r.Stats {
+		diff := countsSince(prev.Stats, c)
+		if diff.Responses == 0 {
 			continue
 		}
 		counts = append(counts, diff)
 		if c.Target {
-			t.targetAnswers[c.Route] += diff.Answers
+			t.targetAnswers[c.Route] += diff.Responses
 		} else {
-			t.otherAnswers[c.Route] += diff.Answers
+			t.otherAnswers[c.Route] += diff.Responses
 		}
 	}
 	t.evaluator.Add(now, counts)
 }
 
 // countsSince returns c less the counts of an earlier report.
-func countsSince(prev []wheelgauge.VersionCount, c wheelgauge.VersionCount) wheelgauge.VersionCount {
+func countsSince(prev []wheelgauge.VersionStats, c wheelgauge.VersionStats) wheelgauge.VersionStats {
 	for _, p := range prev {
 		if p.Route != c.Route || p.Target != c.Target {
 			continue
 		}
-		c.Answers, c.Failed, c.Timed, c.Slow = saturatingSub(c.Answers, p.Answers), saturatingSub(c.Failed, p.Failed), saturatingSub(c.Timed, p.Timed), saturatingSub(c.Slow, p.Slow)
-		c.Faults = faultsSince(p.Faults, c.Faults)
+		c.Responses, c.Failed, c.Compared, c.Slow = saturatingSub(c.Responses, p.Responses), saturatingSub(c.Failed, p.Failed), saturatingSub(c.Compared, p.Compared), saturatingSub(c.Slow, p.Slow)
+		c.WorstServers = faultsSince(p.WorstServers, c.WorstServers)
 	}
 	return c
 }
 
-func faultsSince(prev, faults []wheelgauge.ServerFaults) []wheelgauge.ServerFaults {
-	byServer := map[string]wheelgauge.ServerFaults{}
+func faultsSince(prev, faults []wheelgauge.ServerFailures) []wheelgauge.ServerFailures {
+	byServer := map[string]wheelgauge.ServerFailures{}
 	for _, f := range prev {
 		byServer[f.Server] = f
 	}
-	var out []wheelgauge.ServerFaults
+	var out []wheelgauge.ServerFailures
 	for _, f := range faults {
 		b := byServer[f.Server]
-		f.Count, f.Answers = saturatingSub(f.Count, b.Count), saturatingSub(f.Answers, b.Answers)
-		if f.Count > 0 || f.Answers > 0 {
+		f.Failures, f.Responses = saturatingSub(f.Failures, b.Failures), saturatingSub(f.Responses, b.Responses)
+		if f.Failures > 0 || f.Responses > 0 {
 			out = append(out, f)
 		}
 	}
@@ -180,37 +180,37 @@
 
 func saturatingSub(a, b uint64) uint64 { return a - min(a, b) }
 
-// View is what else a store knows about a running rollout.
-type View struct {
-	// Left is the time until the time limit, negative once it has passed.
-	Left time.Duration
-	// Live maps the names of the hosts that the store receives heartbeats from to their
+// FleetView is what else a store knows about a running rollout.
+type FleetView struct {
+	// Remaining is the time until the time limit, negative once it has passed.
+	Remaining time.Duration
+	// LiveHosts maps the names of the hosts that the store receives heartbeats from to their
 	// boots.
-	Live map[string]uint64
-	// Servers is how many servers of the target version are listed.
-	Servers int
+	LiveHosts map[string]uint64
+	// TargetServers is how many servers of the target version are listed.
+	TargetServers int
 }
 
 // Decide returns the next step of a rollout.
-func (d *Director) Decide(r wheelgauge.Rollout, v View) Decision {
+func (d *Controller) Decide(r wheelgauge.Rollout, v FleetView) Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t := d.tracker(r.Service, r.Number)
 	if t == nil || !r.Running() {
 		return Decision{}
 	}
-	verdict := t.evaluator.Verdict(v.Servers)
-	out := Decision{Score: verdict.Score, Proof: verdict.Proof, Detects: verdict.Detects, Answers: sum(t.targetAnswers), Waiting: t.incompleteHosts(v, d.now())}
+	verdict := t.evaluator.Evaluate(v.TargetServers)
+	out := Decision{Score: verdict.RegressionScore, Proof: verdict.EquivalenceScore, MinDetectableRate: verdict.DetectableFailureShare, Answers: sum(t.targetAnswers), IncompleteHosts: t.incompleteHosts(v, d.now())}
 	switch {
-	case verdict.Bad:
+	case verdict.Worse:
 		out.Step, out.Cause = RollBack, verdict.Cause
-	case !r.Shifting && v.Left <= -noAnswerGrace && out.Answers == 0 && t.sent > 0:
+	case !r.Shifting && v.Remaining <= -noAnswerGrace && out.Answers == 0 && t.sent > 0:
 		out.Step, out.Cause = RollBack, fmt.Sprintf("no answer of version %s within its time", r.Version)
-	case !r.Shifting && v.Left <= -inconclusiveGrace && out.Proof < 0:
+	case !r.Shifting && v.Remaining <= -inconclusiveGrace && out.Proof < 0:
 		out.Step, out.Cause = RollBack, fmt.Sprintf("%d answers of version %s have not shown that it is as good", out.Answers, r.Version)
-	case !r.Shifting && t.readyToShift(v.Left, out):
+	case !r.Shifting && t.readyToShift(v.Remaining, out):
 		out.Step = Shift
-	case r.Shifting && out.Waiting == 0:
+	case r.Shifting && out.IncompleteHosts == 0:
 		out.Step = Complete
 	}
 	return out
@@ -239,26 +239,26 @@
 
 // incompleteHosts counts the hosts that may still send requests to other versions or have
 // some in flight there.
-func (t *tracker) incompleteHosts(v View, now time.Time) int {
+func (t *tracker) incompleteHosts(v FleetView, now time.Time) int {
 	incomplete := 0
-	for name, boot := range v.Live {
-		if h := t.hosts[name]; h == nil || h.boot != boot || !h.report.Settled {
+	for name, boot := range v.LiveHosts {
+		if h := t.hosts[name]; h == nil || h.boot != boot || !h.report.Complete {
 			incomplete++
 		}
 	}
 	for name, h := range t.hosts {
-		if _, ok := v.Live[name]; ok || h.report.Settled {
+		if _, ok := v.LiveHosts[name]; ok || h.report.Complete {
 			continue
 		}
-		if v.Left > 0 || now.Sub(h.reportedAt) < silentHostTimeout {
+		if v.Remaining > 0 || now.Sub(h.reportedAt) < silentHostTimeout {
 			incomplete++
 		}
 	}
 	return incomplete
 }
 
-// Keep drops the state of rollouts that are not running.
-func (d *Director) Keep(running map[string]uint64) {
+// Retain drops the state of rollouts that are not running.
+func (d *Controller) Retain(running map[string]uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for service, t := range d.trackers {
--- a/rollout/director/director_test.go
+++ b/rollout/director/director_test.go
@@ -12,17 +12,17 @@
 // against versions that pass on a few answers of a route.
 func TestDecide(t *testing.T) {
 	const service, route, boot = "s", "r", 7
-	running := wheelgauge.Rollout{RolloutOrder: wheelgauge.RolloutOrder{Service: service, Version: "v2", DurationMS: 10_000}, Number: 1, State: wheelgauge.RolloutRunning}
+	running := wheelgauge.Rollout{RolloutRequest: wheelgauge.RolloutRequest{Service: service, Version: "v2", DurationMS: 10_000}, Number: 1, State: wheelgauge.RolloutRunning}
 	shifting := running
 	shifting.Shifting = true
 	reportOf := func(complete bool, target, others uint64) wheelgauge.RolloutReport {
-		return wheelgauge.RolloutReport{Service: service, Number: 1, Sent: target + others, SentTarget: target, Settled: complete, Counts: []wheelgauge.VersionCount{
-			{Route: route, Target: true, Answers: target, Timed: target}, {Route: route, Answers: others, Timed: others}, {Route: "other", Target: true, Answers: 100, Timed: 100},
+		return wheelgauge.RolloutReport{Service: service, Number: 1, Sent: target + others, SentTarget: target, Complete: complete, Stats: []wheelgauge.VersionStats{
+			{Route: route, Target: true, Responses: target, Compared: target}, {Route: route, Responses: others, Compared: others}, {Route: "other", Target: true, Responses: 100, Compared: 100},
 		}}
 	}
 	// failing has failures on a busy route, but not enough to call the version bad.
 	failing := reportOf(false, 30, 400)
-	failing.Counts[0].Failed = 3
+	failing.Stats[0].Failed = 3
 	live := map[string]uint64{"a": boot}
 	tests := []struct {
 		name    string
@@ -55,12 +55,12 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			d := New(func() wheelgauge.VersionJudge { return sequential.New() }, func() time.Time { return now })
+			d := New(func() wheelgauge.VersionEvaluator { return sequential.New() }, func() time.Time { return now })
 			for host, r := range tt.reports {
 				d.Take(host, boot, []wheelgauge.RolloutReport{r})
 			}
 			now = now.Add(tt.silent)
-			if got := d.Decide(tt.rollout, View{Left: tt.left, Live: tt.live, Servers: 3}); got.Step != tt.want {
+			if got := d.Decide(tt.rollout, FleetView{Remaining: tt.left, LiveHosts: tt.live, TargetServers: 3}); got.Step != tt.want {
 				t.Errorf("got %+v, want step %q", got, tt.want)
 			}
 		})
--- a/rollout/director/simulation_test.go
+++ b/rollout/director/simulation_test.go
@@ -149,7 +149,7 @@
 	// events holds the scheduled events by tick.
 	events  map[int64][]func()
 	hosts   []*simHost
-	stores  []*director.Director
+	stores  []*director.Controller
 	rollout wheelgauge.Rollout
 	pending bool
 	// inFlight and answers are by server.
@@ -171,7 +171,7 @@
 type simHost struct {
 	name              string
 	boot              uint64
-	ledger            *ledger.Ledger
+	ledger            *ledger.Selector
 	tally             *tally.Tally
 	disconnectedUntil time.Duration
 	suspendedUntil    time.Duration
@@ -189,11 +189,11 @@
 	s.events[tick] = append(s.events[tick], event)
 }
 
-func newSimulation(seed uint64, v version, d disturbance, limit time.Duration, newEvaluator func() wheelgauge.VersionJudge) *simulation {
+func newSimulation(seed uint64, v version, d disturbance, limit time.Duration, newEvaluator func() wheelgauge.VersionEvaluator) *simulation {
 	return newSimulationOf(simDeployment, seed, v, d, limit, newEvaluator)
 }
 
-func newSimulationOf(d deployment, seed uint64, v version, dist disturbance, limit time.Duration, newEvaluator func() wheelgauge.VersionJudge) *simulation {
+func newSimulationOf(d deployment, seed uint64, v version, dist disturbance, limit time.Duration, newEvaluator func() wheelgauge.VersionEvaluator) *simulation {
 	s := &simulation{deployment: d, rng: rand.New(rand.NewPCG(seed, 1)), version: v, disturbance: dist, limit: limit, events: map[int64][]func(){}, inFlight: map[string]int{}, answers: map[string]int{}, evidentAt: -1}
 	for n := range d.hosts {
 		h := &simHost{name: fmt.Sprint("h", n)}
@@ -215,7 +215,7 @@
 	h.tally = tally.New()
 	h.reportedChanges = 0
 	if s.rollout.Number > 0 {
-		h.ledger.Set([]wheelgauge.Rollout{s.currentRollout()})
+		h.ledger.SetRollouts([]wheelgauge.Rollout{s.currentRollout()})
 	}
 }
 
@@ -251,7 +251,7 @@
 
 func (s *simulation) startRollout() {
 	s.rollout = wheelgauge.Rollout{
-		RolloutOrder: wheelgauge.RolloutOrder{Service: service, Version: newVersion, DurationMS: s.limit.Milliseconds()}, Number: 1, State: wheelgauge.RolloutRunning,
+		RolloutRequest: wheelgauge.RolloutRequest{Service: service, Version: newVersion, DurationMS: s.limit.Milliseconds()}, Number: 1, State: wheelgauge.RolloutRunning,
 	}
 	s.announceState()
 }
@@ -270,7 +270,7 @@
 		return
 	}
 	if !s.injected.missesRollback || s.rollout.Running() {
-		h.ledger.Set([]wheelgauge.Rollout{s.currentRollout()})
+		h.ledger.SetRollouts([]wheelgauge.Rollout{s.currentRollout()})
 	}
 }
 
@@ -339,7 +339,7 @@
 		v = only
 	}
 	server := fmt.Sprint(v, "-", s.rng.IntN(s.deployment.servers))
-	h.ledger.Sent(service, r.name, v)
+	h.ledger.RecordSent(service, r.name, v)
 	s.countRequest(v, h)
 	s.inFlight[server]++
 	s.answers[server]++
@@ -350,7 +350,7 @@
 		percent := time.Duration(cmp.Or(s.version.slowFactor, 4) * 100)
 		firstByte, duration = percent*firstByte/100, duration+(percent-100)*firstByte/100
 	}
-	boot, number, fresh := h.boot, h.ledger.Runs()[service], v == newVersion && s.elapsed < warmUpTime
+	boot, number, fresh := h.boot, h.ledger.RunningRollouts()[service], v == newVersion && s.elapsed < warmUpTime
 	s.schedule(duration, func() {
 		release()
 		s.inFlight[server]--
@@ -362,7 +362,7 @@
 			s.countBadAnswer()
 		}
 		if h.boot == boot {
-			h.tally.Add(tally.Answer{Service: service, Route: r.name, Server: server, Target: v == newVersion, Number: number, Failed: failed, Fresh: fresh, First: firstByte})
+			h.tally.Add(tally.Answer{Service: service, Route: r.name, Server: server, Target: v == newVersion, RolloutNumber: number, Failed: failed, Fresh: fresh, FirstByte: firstByte})
 		}
 		if failed && !retry && h.boot == boot {
 			s.dispatch(h, r, true)
@@ -433,7 +433,7 @@
 		urgent := changes != h.reportedChanges
 		h.reportedChanges = changes
 		if s.elapsed%(150*time.Millisecond) == 0 {
-			h.ledger.Confirm()
+			h.ledger.ConfirmState()
 		}
 		for i, store := range s.stores {
 			if urgent || i == n%simStores && s.elapsed%(150*time.Millisecond) == 0 || (s.elapsed+time.Duration(n)*50*time.Millisecond)%time.Second == 0 {
@@ -443,10 +443,10 @@
 	}
 }
 
-func (s *simulation) sendReport(h *simHost, store *director.Director) {
+func (s *simulation) sendReport(h *simHost, store *director.Controller) {
 	reports := h.ledger.Reports()
 	for i, r := range reports {
-		reports[i].Counts = h.tally.Counts(service, r.Number)
+		reports[i].Stats = h.tally.Counts(service, r.Number)
 	}
 	name, boot := h.name, h.boot
 	s.schedule(time.Duration(20+s.rng.IntN(60))*time.Millisecond, func() { store.Take(name, boot, reports) })
@@ -478,7 +478,7 @@
 			live[h.name] = h.boot
 		}
 	}
-	d := s.stores[n].Decide(s.rollout, director.View{Left: s.limit - s.elapsed, Live: live, Servers: s.deployment.servers})
+	d := s.stores[n].Decide(s.rollout, director.FleetView{Remaining: s.limit - s.elapsed, LiveHosts: live, TargetServers: s.deployment.servers})
 	switch {
 	case s.injected.neverRollsBack && d.Step == director.RollBack:
 		d.Step = director.Wait
@@ -529,10 +529,10 @@
 	return out
 }
 
-func evaluators() map[string]func() wheelgauge.VersionJudge {
-	return map[string]func() wheelgauge.VersionJudge{
-		"sequential": func() wheelgauge.VersionJudge { return sequential.New() },
-		"fixed":      func() wheelgauge.VersionJudge { return fixed.New() },
+func evaluators() map[string]func() wheelgauge.VersionEvaluator {
+	return map[string]func() wheelgauge.VersionEvaluator{
+		"sequential": func() wheelgauge.VersionEvaluator { return sequential.New() },
+		"fixed":      func() wheelgauge.VersionEvaluator { return fixed.New() },
 	}
 }
 
--- a/rollout/fixed/evaluator.go
+++ b/rollout/fixed/evaluator.go
@@ -22,7 +22,7 @@
 
 type sample struct {
 	at     time.Time
-	counts []wheelgauge.VersionCount
+	counts []wheelgauge.VersionStats
 }
 
 // Evaluator implements wheelgauge.VersionJudge with fixed thresholds. It is not safe for
@@ -35,15 +35,15 @@
 func New() *Evaluator { return &Evaluator{} }
 
 // Add implements wheelgauge.VersionJudge.
-func (e *Evaluator) Add(at time.Time, counts []wheelgauge.VersionCount) {
+func (e *Evaluator) Add(at time.Time, counts []wheelgauge.VersionStats) {
 	e.samples = append(e.samples, sample{at, counts})
 	for at.Sub(e.samples[0].at) > window {
 		e.samples = e.samples[1:]
 	}
 }
 
-// Verdict implements wheelgauge.VersionJudge.
-func (e *Evaluator) Verdict(int) wheelgauge.Verdict {
+// Evaluate implements wheelgauge.VersionJudge.
+func (e *Evaluator) Evaluate(int) wheelgauge.Verdict {
 	type tally struct{ answers, bad uint64 }
 	routes := map[string]*[2]tally{}
 	for _, s := range e.samples {
@@ -56,7 +56,7 @@
 				side = 1
 			}
 			t := &routes[c.Route][side]
-			t.answers, t.bad = t.answers+c.Answers, t.bad+c.Failed+c.Slow
+			t.answers, t.bad = t.answers+c.Responses, t.bad+c.Failed+c.Slow
 		}
 	}
 	for route, s := range routes {
@@ -66,8 +66,8 @@
 		}
 		otherRate := float64(others.bad) / float64(max(1, others.answers))
 		if rate := float64(target.bad) / float64(target.answers); rate > rateFactor*otherRate+rateIncrease {
-			return wheelgauge.Verdict{Bad: true, Score: 1, Cause: fmt.Sprintf("%s: %d of %d answers are bad, %.1f in 100 of other versions", route, target.bad, target.answers, 100*otherRate)}
+			return wheelgauge.Verdict{Worse: true, RegressionScore: 1, Cause: fmt.Sprintf("%s: %d of %d answers are bad, %.1f in 100 of other versions", route, target.bad, target.answers, 100*otherRate)}
 		}
 	}
-	return wheelgauge.Verdict{Proof: 1}
+	return wheelgauge.Verdict{EquivalenceScore: 1}
 }
--- a/rollout/ledger/choose.go
+++ b/rollout/ledger/choose.go
@@ -11,7 +11,7 @@
 // for the given time. A retry goes to versions that are known to work. The choice is tracked
 // until release is called, which happens once: when the request has ended, or when it is not
 // sent to a server of this region.
-func (l *Ledger) Choose(name, route string, expected time.Duration, retry bool) (c wheelgauge.VersionChoice, release func()) {
+func (l *Selector) Choose(name, route string, expected time.Duration, retry bool) (c wheelgauge.VersionFilter, release func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.service(name)
@@ -19,10 +19,10 @@
 	return c, l.trackChoice(s, c)
 }
 
-// Otherwise returns the versions to use if no server of the chosen version takes the request;
+// ChooseFallback returns the versions to use if no server of the chosen version takes the request;
 // ok is false if no other version may serve it. listed reports whether the chosen version has
 // servers in the region.
-func (l *Ledger) Otherwise(name string, prev wheelgauge.VersionChoice, listed bool) (c wheelgauge.VersionChoice, release func(), ok bool) {
+func (l *Selector) ChooseFallback(name string, prev wheelgauge.VersionFilter, listed bool) (c wheelgauge.VersionFilter, release func(), ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.service(name)
@@ -39,7 +39,7 @@
 }
 
 // trackChoice counts a choice as open until release is called. The caller holds the lock.
-func (l *Ledger) trackChoice(s *service, c wheelgauge.VersionChoice) (release func()) {
+func (l *Selector) trackChoice(s *service, c wheelgauge.VersionFilter) (release func()) {
 	version, only := c.Only()
 	if !only {
 		version = ""
@@ -54,15 +54,15 @@
 	}
 }
 
-func (l *Ledger) choose(s *service, route string, expected time.Duration, retry bool) wheelgauge.VersionChoice {
+func (l *Selector) choose(s *service, route string, expected time.Duration, retry bool) wheelgauge.VersionFilter {
 	if !s.hasRollout {
-		return wheelgauge.VersionChoice{}
+		return wheelgauge.VersionFilter{}
 	}
 	target, others := wheelgauge.OnlyVersion(s.rollout.Version), wheelgauge.ExceptVersion(s.rollout.Version)
 	now := l.options.Now()
 	switch {
-	case s.rollout.State == wheelgauge.RolloutCompleted && now.After(s.deadline.Add(wheelgauge.RetiredAfter)):
-		return wheelgauge.VersionChoice{}
+	case s.rollout.State == wheelgauge.RolloutCompleted && now.After(s.deadline.Add(wheelgauge.OldVersionGracePeriod)):
+		return wheelgauge.VersionFilter{}
 	case s.rollout.State == wheelgauge.RolloutCompleted:
 		return target
 	case !s.rollout.Running():
@@ -86,14 +86,14 @@
 
 // allowsTarget reports whether one more request may go to the target version: always after
 // the time limit, within this host's share before it.
-func (l *Ledger) allowsTarget(s *service, now time.Time) bool {
+func (l *Selector) allowsTarget(s *service, now time.Time) bool {
 	return s.rollout.Shifting && !now.Before(s.deadline) || l.remainingShare(s) >= 1
 }
 
 // allowsSlackCanary reports whether a request may be a canary from the slack. These canaries
 // are spread over the rollout's time and go to the routes with the fewest canaries so far.
 // The caller holds the lock.
-func (l *Ledger) allowsSlackCanary(s *service, route string, now time.Time) bool {
+func (l *Selector) allowsSlackCanary(s *service, route string, now time.Time) bool {
 	if !s.sawStart || s.rollout.Shifting || !now.Before(s.deadline) {
 		return false
 	}
@@ -111,10 +111,10 @@
 }
 
 // hostSlack returns this host's share of the slack.
-func (l *Ledger) hostSlack() float64 { return slackRatio * l.options.Slack / float64(l.hostCount) }
+func (l *Selector) hostSlack() float64 { return slackRatio * l.options.Slack / float64(l.hostCount) }
 
 // remainingShare returns how many more requests this host may send to the target version.
-func (l *Ledger) remainingShare(s *service) float64 {
+func (l *Selector) remainingShare(s *service) float64 {
 	allowed := usedShareRatio * l.options.Share * float64(s.sent+1)
 	if s.sawStart {
 		allowed += l.hostSlack()
@@ -124,7 +124,7 @@
 
 // closeOthers closes the other versions once this host needs to send nothing to them any
 // more.
-func (l *Ledger) closeOthers(s *service, now time.Time) {
+func (l *Selector) closeOthers(s *service, now time.Time) {
 	if s.othersClosed || !s.rollout.Shifting || s.sent > 0 && s.sentTarget == 0 {
 		return // no server of the target version is known to answer here
 	}
--- a/rollout/ledger/ledger.go
+++ b/rollout/ledger/ledger.go
@@ -60,8 +60,8 @@
 	Now   func() time.Time
 }
 
-// Ledger tracks the rollouts of all services on one host. It is safe for concurrent use.
-type Ledger struct {
+// Selector tracks the rollouts of all services on one host. It is safe for concurrent use.
+type Selector struct {
 	options   Options
 	mu        sync.Mutex
 	hostCount int
@@ -100,19 +100,19 @@
 }
 
 // New returns a ledger without rollouts.
-func New(o Options) *Ledger {
-	return &Ledger{options: o, hostCount: 1, services: map[string]*service{}}
+func New(o Options) *Selector {
+	return &Selector{options: o, hostCount: 1, services: map[string]*service{}}
 }
 
 // SetHosts sets how many hosts divide the slack.
-func (l *Ledger) SetHosts(count int) {
+func (l *Selector) SetHosts(count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hostCount = max(1, count)
 }
 
-// Set applies the rollouts of the state in force, with the time elapsed of each.
-func (l *Ledger) Set(rollouts []wheelgauge.Rollout) {
+// SetRollouts applies the rollouts of the state in force, with the time elapsed of each.
+func (l *Selector) SetRollouts(rollouts []wheelgauge.Rollout) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Now()
@@ -135,15 +135,15 @@
 	s.credit, s.canaries, s.slackUsed = map[string]float64{}, map[string]int{}, 0
 }
 
-// Confirm records that no newer state is known now.
-func (l *Ledger) Confirm() {
+// ConfirmState records that no newer state is known now.
+func (l *Selector) ConfirmState() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.confirmedAt = l.options.Now()
 }
 
 // service returns the state of a service, creating it if needed. The caller holds the lock.
-func (l *Ledger) service(name string) *service {
+func (l *Selector) service(name string) *service {
 	s := l.services[name]
 	if s == nil {
 		s = &service{open: map[string]int{}}
@@ -154,7 +154,7 @@
 
 // routeCredit returns the credit of a route. The initial value is spread over 0 to 1 by a
 // hash, so that hosts with few requests neither all start late nor all start at once.
-func (l *Ledger) routeCredit(s *service, route string) float64 {
+func (l *Selector) routeCredit(s *service, route string) float64 {
 	credit, ok := s.credit[route]
 	if !ok {
 		hash := rendezvous.Score(rendezvous.Hash(l.options.Host)+s.rollout.Number, rendezvous.Hash(route))
@@ -164,8 +164,8 @@
 	return credit
 }
 
-// Sent counts a request of a route that is sent to a server of a version.
-func (l *Ledger) Sent(name, route, version string) {
+// RecordSent counts a request of a route that is sent to a server of a version.
+func (l *Selector) RecordSent(name, route, version string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s := l.service(name); s.hasRollout && s.rollout.Running() {
@@ -173,7 +173,7 @@
 	}
 }
 
-func (l *Ledger) countSent(s *service, route, version string) {
+func (l *Selector) countSent(s *service, route, version string) {
 	s.sent++
 	s.rate.Add(1, l.options.Now())
 	ratio := canaryRatio
--- a/rollout/ledger/ledger_test.go
+++ b/rollout/ledger/ledger_test.go
@@ -22,14 +22,14 @@
 
 func (c *clock) now() time.Time { return c.at }
 
-func newLedger(share, slack float64) (*Ledger, *clock) {
+func newLedger(share, slack float64) (*Selector, *clock) {
 	c := &clock{time.Unix(1000, 0)}
 	return New(Options{Host: "h", Share: share, Slack: slack, Now: c.now}), c
 }
 
 func rollout(state wheelgauge.RolloutState, shifting bool, elapsed time.Duration) []wheelgauge.Rollout {
 	return []wheelgauge.Rollout{{
-		RolloutOrder: wheelgauge.RolloutOrder{Service: name, Version: target, DurationMS: 20_000}, Number: 3, State: state,
+		RolloutRequest: wheelgauge.RolloutRequest{Service: name, Version: target, DurationMS: 20_000}, Number: 3, State: state,
 		Shifting: shifting, ElapsedMS: elapsed.Milliseconds(),
 	}}
 }
@@ -44,12 +44,12 @@
 		unconfirmed time.Duration
 		expected    time.Duration
 		retry       bool
-		want        wheelgauge.VersionChoice
+		want        wheelgauge.VersionFilter
 	}{
-		{"no rollout", nil, 0, 0, false, wheelgauge.VersionChoice{}},
+		{"no rollout", nil, 0, 0, false, wheelgauge.VersionFilter{}},
 		{"completed", rollout(wheelgauge.RolloutCompleted, true, 0), time.Minute, 0, true, only},
-		{"completed long ago", rollout(wheelgauge.RolloutCompleted, true, 0), time.Hour, 0, true, wheelgauge.VersionChoice{}},
-		{"completed long before this host started", rollout(wheelgauge.RolloutCompleted, true, time.Hour), 0, 0, false, wheelgauge.VersionChoice{}},
+		{"completed long ago", rollout(wheelgauge.RolloutCompleted, true, 0), time.Hour, 0, true, wheelgauge.VersionFilter{}},
+		{"completed long before this host started", rollout(wheelgauge.RolloutCompleted, true, time.Hour), 0, 0, false, wheelgauge.VersionFilter{}},
 		{"rolled back long ago", rollout(wheelgauge.RolloutRolledBack, true, time.Hour), time.Hour, 0, false, others},
 		{"rolled back", rollout(wheelgauge.RolloutRolledBack, true, 0), 0, 0, false, others},
 		{"not proved good", rollout(wheelgauge.RolloutRunning, false, 0), 0, time.Hour, false, others},
@@ -66,9 +66,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			l, c := newLedger(1, 50)
 			if len(tt.rollouts) > 0 {
-				l.Set(rollout(wheelgauge.RolloutRunning, false, 0))
+				l.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
 			}
-			l.Set(tt.rollouts)
+			l.SetRollouts(tt.rollouts)
 			c.at = c.at.Add(tt.unconfirmed)
 			got, release := l.Choose(name, "r", tt.expected, tt.retry)
 			if got != tt.want {
@@ -87,13 +87,13 @@
 		t.Run(fmt.Sprint(count, " hosts"), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(uint64(count), 2))
 			at := time.Unix(1000, 0)
-			start := func(n int) *Ledger {
+			start := func(n int) *Selector {
 				l := New(Options{Host: fmt.Sprint(n), Share: share, Slack: slack, Now: func() time.Time { return at }})
 				l.SetHosts(count)
-				l.Set(rollout(wheelgauge.RolloutRunning, true, at.Sub(time.Unix(1000, 0))))
+				l.SetRollouts(rollout(wheelgauge.RolloutRunning, true, at.Sub(time.Unix(1000, 0))))
 				return l
 			}
-			hosts, restartableAt := make([]*Ledger, count), make([]time.Time, count)
+			hosts, restartableAt := make([]*Selector, count), make([]time.Time, count)
 			for n := range hosts {
 				hosts[n] = start(n)
 			}
@@ -106,14 +106,14 @@
 					restartableAt[n] = at.Add(minRestartInterval)
 				}
 				l := hosts[n]
-				l.Confirm()
+				l.ConfirmState()
 				choice, release := l.Choose(name, fmt.Sprint(rng.IntN(3)), time.Duration(rng.IntN(30))*time.Second, rng.IntN(20) == 0)
 				version := "v1"
 				if only, ok := choice.Only(); ok {
 					version = only
 				}
 				if choice.Allows(version) {
-					l.Sent(name, "r", version)
+					l.RecordSent(name, "r", version)
 					sent++
 					if version == target {
 						sentTarget++
@@ -134,19 +134,19 @@
 func TestHostComplete(t *testing.T) {
 	l, c := newLedger(0.1, 1000)
 	_, releaseEarlier := l.Choose(name, "r", 0, false)
-	l.Set(rollout(wheelgauge.RolloutRunning, false, 0))
-	complete := func() bool { return l.Reports()[0].Settled }
+	l.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
+	complete := func() bool { return l.Reports()[0].Complete }
 	if complete() {
 		t.Error("complete before the version proved good")
 	}
 	choice, releaseCanary := l.Choose(name, "r", 0, false)
-	l.Sent(name, "r", target)
-	l.Set(rollout(wheelgauge.RolloutRunning, true, 19*time.Second))
+	l.RecordSent(name, "r", target)
+	l.SetRollouts(rollout(wheelgauge.RolloutRunning, true, 19*time.Second))
 	if complete() {
 		t.Errorf("complete long before the limit; the choice was %+v", choice)
 	}
 	c.at = c.at.Add(900 * time.Millisecond)
-	l.Confirm()
+	l.ConfirmState()
 	changes := l.Changes()
 	releaseCanary()
 	if complete() {
@@ -167,15 +167,15 @@
 // A complete host whose share is used up rejects requests until the time limit.
 func TestCompleteHostWithoutShare(t *testing.T) {
 	l, c := newLedger(0.1, 40)
-	l.Set(rollout(wheelgauge.RolloutRunning, false, 0))
-	l.Set(rollout(wheelgauge.RolloutRunning, true, 19_500*time.Millisecond))
+	l.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
+	l.SetRollouts(rollout(wheelgauge.RolloutRunning, true, 19_500*time.Millisecond))
 	_, release := l.Choose(name, "r", 0, false)
 	release()
-	if !l.Reports()[0].Settled {
+	if !l.Reports()[0].Complete {
 		t.Fatal("not complete shortly before the limit")
 	}
 	for range 40 {
-		l.Sent(name, "r", target)
+		l.RecordSent(name, "r", target)
 	}
 	choice, _ := l.Choose(name, "r", 0, false)
 	if choice.Allows(target) || choice.Allows("v1") {
@@ -194,21 +194,21 @@
 	tests := []struct {
 		name     string
 		rollouts []wheelgauge.Rollout
-		prev     wheelgauge.VersionChoice
+		prev     wheelgauge.VersionFilter
 		listed   bool
-		want     wheelgauge.VersionChoice
+		want     wheelgauge.VersionFilter
 		ok       bool
 	}{
 		{"a canary", rollout(wheelgauge.RolloutRunning, false, 0), only, true, wheelgauge.ExceptVersion(target), true},
-		{"other versions were allowed", rollout(wheelgauge.RolloutRunning, false, 0), wheelgauge.ExceptVersion(target), true, wheelgauge.VersionChoice{}, false},
-		{"completed, target servers are busy", rollout(wheelgauge.RolloutCompleted, true, 0), only, true, wheelgauge.VersionChoice{}, false},
-		{"completed, target servers are gone", rollout(wheelgauge.RolloutCompleted, true, 0), only, false, wheelgauge.VersionChoice{}, true},
-		{"rolled back in the meantime", rollout(wheelgauge.RolloutRolledBack, true, 0), only, true, wheelgauge.VersionChoice{}, false},
+		{"other versions were allowed", rollout(wheelgauge.RolloutRunning, false, 0), wheelgauge.ExceptVersion(target), true, wheelgauge.VersionFilter{}, false},
+		{"completed, target servers are busy", rollout(wheelgauge.RolloutCompleted, true, 0), only, true, wheelgauge.VersionFilter{}, false},
+		{"completed, target servers are gone", rollout(wheelgauge.RolloutCompleted, true, 0), only, false, wheelgauge.VersionFilter{}, true},
+		{"rolled back in the meantime", rollout(wheelgauge.RolloutRolledBack, true, 0), only, true, wheelgauge.VersionFilter{}, false},
 	}
 	for _, tt := range tests {
 		l, _ := newLedger(0.1, 50)
-		l.Set(tt.rollouts)
-		got, _, ok := l.Otherwise(name, tt.prev, tt.listed)
+		l.SetRollouts(tt.rollouts)
+		got, _, ok := l.ChooseFallback(name, tt.prev, tt.listed)
 		if got != tt.want || ok != tt.ok {
 			t.Errorf("%s: got %+v, %t, want %+v, %t", tt.name, got, ok, tt.want, tt.ok)
 		}
@@ -217,11 +217,11 @@
 
 func BenchmarkChoose(b *testing.B) {
 	l, _ := newLedger(0.1, 50)
-	l.Set(rollout(wheelgauge.RolloutRunning, true, 0))
+	l.SetRollouts(rollout(wheelgauge.RolloutRunning, true, 0))
 	b.ReportAllocs()
 	for b.Loop() {
 		_, release := l.Choose(name, "r", time.Second, false)
-		l.Sent(name, "r", "v1")
+		l.RecordSent(name, "r", "v1")
 		release()
 	}
 }
@@ -231,11 +231,11 @@
 func TestSlackCanariesCoverRareRoutes(t *testing.T) {
 	const share, slack = 0.1, 60.0
 	l, c := newLedger(share, slack)
-	l.Set(rollout(wheelgauge.RolloutRunning, false, 0))
+	l.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
 	sent, canaries := 0, map[string]int{}
 	early := 0
 	for ; c.at.Before(time.Unix(1020, 0)); c.at = c.at.Add(10 * time.Millisecond) {
-		l.Confirm()
+		l.ConfirmState()
 		route := "often"
 		if sent%20 == 0 {
 			route = "seldom"
@@ -247,7 +247,7 @@
 			version = only
 			canaries[route]++
 		}
-		l.Sent(name, route, version)
+		l.RecordSent(name, route, version)
 		release()
 		if c.at.Before(time.Unix(1002, 0)) {
 			early = canaries["often"] + canaries["seldom"]
--- a/rollout/ledger/report.go
+++ b/rollout/ledger/report.go
@@ -8,8 +8,8 @@
 	"wheelgauge"
 )
 
-// Runs returns the numbers of the running rollouts by service.
-func (l *Ledger) Runs() map[string]uint64 {
+// RunningRollouts returns the numbers of the running rollouts by service.
+func (l *Selector) RunningRollouts() map[string]uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[string]uint64{}
@@ -23,7 +23,7 @@
 
 // Target returns the target version and the number of the rollout of a service; ok is false
 // if none is running.
-func (l *Ledger) Target(name string) (version string, number uint64, ok bool) {
+func (l *Selector) Target(name string) (version string, number uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.services[name]
@@ -34,7 +34,7 @@
 }
 
 // Reports returns a report on each running rollout, without counts of answers.
-func (l *Ledger) Reports() []wheelgauge.RolloutReport {
+func (l *Selector) Reports() []wheelgauge.RolloutReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []wheelgauge.RolloutReport
@@ -44,7 +44,7 @@
 			continue
 		}
 		l.updateComplete(s, now)
-		out = append(out, wheelgauge.RolloutReport{Service: name, Number: s.rollout.Number, Sent: s.sent, SentTarget: s.sentTarget, Settled: s.reportedComplete})
+		out = append(out, wheelgauge.RolloutReport{Service: name, Number: s.rollout.Number, Sent: s.sent, SentTarget: s.sentTarget, Complete: s.reportedComplete})
 	}
 	slices.SortFunc(out, func(a, b wheelgauge.RolloutReport) int { return cmp.Compare(a.Service, b.Service) })
 	return out
@@ -65,7 +65,7 @@
 }
 
 // updateComplete updates whether this host is complete. The caller holds the lock.
-func (l *Ledger) updateComplete(s *service, now time.Time) {
+func (l *Selector) updateComplete(s *service, now time.Time) {
 	l.closeOthers(s, now)
 	if complete := s.complete(); complete != s.reportedComplete {
 		s.reportedComplete = complete
@@ -74,7 +74,7 @@
 }
 
 // Changes returns a number that grows when this host should report to the stores at once.
-func (l *Ledger) Changes() uint64 {
+func (l *Selector) Changes() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Now()
--- a/rollout/sequential/evaluator.go
+++ b/rollout/sequential/evaluator.go
@@ -69,15 +69,15 @@
 	tolerance float64
 	threshold float64
 	// counts returns how many answers the metric applies to and how many of them are bad.
-	counts func(c wheelgauge.VersionCount) (all, bad float64)
+	counts func(c wheelgauge.VersionStats) (all, bad float64)
 }
 
 var metrics = []metric{
-	{"failed", failIncrease, failTolerance, failThreshold, func(c wheelgauge.VersionCount) (float64, float64) {
-		return float64(c.Answers), float64(c.Failed)
+	{"failed", failIncrease, failTolerance, failThreshold, func(c wheelgauge.VersionStats) (float64, float64) {
+		return float64(c.Responses), float64(c.Failed)
 	}},
-	{"slow", slowIncrease, slowTolerance, slowThreshold, func(c wheelgauge.VersionCount) (float64, float64) {
-		return float64(c.Timed), float64(c.Slow)
+	{"slow", slowIncrease, slowTolerance, slowThreshold, func(c wheelgauge.VersionStats) (float64, float64) {
+		return float64(c.Compared), float64(c.Slow)
 	}},
 }
 
@@ -129,7 +129,7 @@
 
 // add adds answers that are bad with probability baseRate if the version is as good, and
 // worseRate if it is not.
-func (s *support) add(answers, bad, baseRate, worseRate float64, reports []wheelgauge.ServerFaults) {
+func (s *support) add(answers, bad, baseRate, worseRate float64, reports []wheelgauge.ServerFailures) {
 	s.weight = math.Log(worseRate / baseRate)
 	s.evidence -= bad*s.weight + (answers-bad)*math.Log((1-worseRate)/(1-baseRate))
 	s.evidence = min(maxSupport, s.evidence)
@@ -142,18 +142,18 @@
 }
 
 // addTarget adds answers of the target version.
-func (t *routeTest) addTarget(answers, bad float64, c wheelgauge.VersionCount) {
+func (t *routeTest) addTarget(answers, bad float64, c wheelgauge.VersionStats) {
 	if answers <= 0 {
 		return
 	}
 	baseRate := t.baseline.badRate()
-	t.totals.add(answers, answers*baseRate, bad, c.Faults)
+	t.totals.add(answers, answers*baseRate, bad, c.WorstServers)
 	increase := t.metric.tolerance
 	if t.route != allRoutes {
 		increase = t.metric.increase
 	}
 	if rate := min(maxBadRate, max(baseRate+increase, minWorseFactor*baseRate)); rate > baseRate {
-		t.support.add(answers, bad, baseRate, rate, c.Faults)
+		t.support.add(answers, bad, baseRate, rate, c.WorstServers)
 	}
 	worseRate := min(maxBadRate, max(baseRate+t.metric.increase, minWorseFactor*baseRate))
 	if worseRate <= baseRate {
@@ -162,14 +162,14 @@
 	t.weight = math.Log(worseRate / baseRate)
 	t.evidence += bad*t.weight + (answers-bad)*math.Log((1-worseRate)/(1-baseRate))
 	t.answers, t.bad = t.answers+answers, t.bad+bad
-	t.faults.add(answers, c.Faults)
+	t.faults.add(answers, c.WorstServers)
 	if t.evidence <= 0 {
 		t.evidence, t.answers, t.bad = 0, 0, 0
 		t.faults = faults{}
 	}
 }
 
-func (t *totals) add(answers, expectedBad, bad float64, reports []wheelgauge.ServerFaults) {
+func (t *totals) add(answers, expectedBad, bad float64, reports []wheelgauge.ServerFailures) {
 	t.answers, t.expectedBad, t.bad = t.answers+answers, t.expectedBad+expectedBad, t.bad+bad
 	t.faults.add(answers, reports)
 }
@@ -202,7 +202,7 @@
 func New() *Evaluator { return &Evaluator{tests: map[string][]*routeTest{}} }
 
 // Add implements wheelgauge.VersionJudge.
-func (e *Evaluator) Add(at time.Time, counts []wheelgauge.VersionCount) {
+func (e *Evaluator) Add(at time.Time, counts []wheelgauge.VersionStats) {
 	elapsed := max(0, at.Sub(e.at))
 	e.at = at
 	for _, tests := range e.tests {
@@ -222,7 +222,7 @@
 	}
 }
 
-func (e *Evaluator) addCount(route string, c wheelgauge.VersionCount) {
+func (e *Evaluator) addCount(route string, c wheelgauge.VersionStats) {
 	tests := e.tests[route]
 	if tests == nil {
 		for _, m := range metrics {
@@ -241,8 +241,8 @@
 	}
 }
 
-// Verdict implements wheelgauge.VersionJudge.
-func (e *Evaluator) Verdict(servers int) wheelgauge.Verdict {
+// Evaluate implements wheelgauge.VersionJudge.
+func (e *Evaluator) Evaluate(servers int) wheelgauge.Verdict {
 	var worst *routeTest
 	for _, tests := range e.tests {
 		for _, t := range tests {
@@ -252,10 +252,10 @@
 		}
 	}
 	if worst == nil {
-		return wheelgauge.Verdict{Detects: 1}
+		return wheelgauge.Verdict{DetectableFailureShare: 1}
 	}
-	v := wheelgauge.Verdict{Score: worst.score(servers), Proof: e.proof(servers), Detects: e.tests[allRoutes][0].minDetectableRate()}
-	if v.Bad = v.Score >= 1; v.Bad {
+	v := wheelgauge.Verdict{RegressionScore: worst.score(servers), EquivalenceScore: e.proof(servers), DetectableFailureShare: e.tests[allRoutes][0].minDetectableRate()}
+	if v.Worse = v.RegressionScore >= 1; v.Worse {
 		v.Cause = worst.cause()
 	}
 	return v
--- a/rollout/sequential/evaluator_test.go
+++ b/rollout/sequential/evaluator_test.go
@@ -11,18 +11,18 @@
 // phase is a time in which the same counts arrive each tick of 100 ms.
 type phase struct {
 	ticks   int
-	target  wheelgauge.VersionCount
-	others  wheelgauge.VersionCount
+	target  wheelgauge.VersionStats
+	others  wheelgauge.VersionStats
 	servers []string
 }
 
-func (p phase) counts(tick int) []wheelgauge.VersionCount {
+func (p phase) counts(tick int) []wheelgauge.VersionStats {
 	target, others := p.target, p.others
 	target.Route, others.Route, target.Target = "r", "r", true
 	if bad := target.Failed + target.Slow; bad > 0 {
-		target.Faults = []wheelgauge.ServerFaults{{Server: p.servers[tick%len(p.servers)], Count: bad, Answers: target.Answers}}
+		target.WorstServers = []wheelgauge.ServerFailures{{Server: p.servers[tick%len(p.servers)], Failures: bad, Responses: target.Responses}}
 	}
-	return []wheelgauge.VersionCount{target, others}
+	return []wheelgauge.VersionStats{target, others}
 }
 
 // The smallest rate of bad answers that a rollout can detect follows from how many answers it
@@ -36,8 +36,8 @@
 	}
 	for _, tt := range tests {
 		e := New()
-		e.Add(time.Unix(1000, 0), []wheelgauge.VersionCount{{Route: "r", Answers: 10_000}, {Route: "r", Target: true, Answers: tt.answers, Timed: tt.answers}})
-		if got := e.Verdict(3).Detects; got < tt.want-0.01 || got > tt.want+0.01 {
+		e.Add(time.Unix(1000, 0), []wheelgauge.VersionStats{{Route: "r", Responses: 10_000}, {Route: "r", Target: true, Responses: tt.answers, Compared: tt.answers}})
+		if got := e.Evaluate(3).DetectableFailureShare; got < tt.want-0.01 || got > tt.want+0.01 {
 			t.Errorf("after %d answers: got %.3f, want %.3f", tt.answers, got, tt.want)
 		}
 	}
@@ -46,13 +46,13 @@
 // A version is compared with the others, and a single faulty server of several does not make
 // it bad.
 func TestVerdict(t *testing.T) {
-	healthy := wheelgauge.VersionCount{Answers: 100, Failed: 1, Timed: 100, Slow: 1}
-	failingOthers := wheelgauge.VersionCount{Answers: 100, Failed: 40, Timed: 60, Slow: 30}
-	good := wheelgauge.VersionCount{Answers: 5, Timed: 5}
-	failing := wheelgauge.VersionCount{Answers: 5, Failed: 2, Timed: 3}
-	slow := wheelgauge.VersionCount{Answers: 5, Timed: 5, Slow: 4}
-	slightlyWorse := wheelgauge.VersionCount{Answers: 25, Failed: 1, Timed: 24}
-	oneInEight := wheelgauge.VersionCount{Answers: 8, Failed: 1, Timed: 7}
+	healthy := wheelgauge.VersionStats{Responses: 100, Failed: 1, Compared: 100, Slow: 1}
+	failingOthers := wheelgauge.VersionStats{Responses: 100, Failed: 40, Compared: 60, Slow: 30}
+	good := wheelgauge.VersionStats{Responses: 5, Compared: 5}
+	failing := wheelgauge.VersionStats{Responses: 5, Failed: 2, Compared: 3}
+	slow := wheelgauge.VersionStats{Responses: 5, Compared: 5, Slow: 4}
+	slightlyWorse := wheelgauge.VersionStats{Responses: 25, Failed: 1, Compared: 24}
+	oneInEight := wheelgauge.VersionStats{Responses: 8, Failed: 1, Compared: 7}
 	two, nine := []string{"a", "b"}, strings.Split("abcdefghi", "")
 	tests := []struct {
 		name    string
@@ -83,8 +83,8 @@
 					e.Add(now, p.counts(tick))
 				}
 			}
-			v := e.Verdict(tt.servers)
-			if v.Bad != tt.bad || !strings.Contains(v.Cause, tt.cause) || v.Bad != (v.Score >= 1) {
+			v := e.Evaluate(tt.servers)
+			if v.Worse != tt.bad || !strings.Contains(v.Cause, tt.cause) || v.Worse != (v.RegressionScore >= 1) {
 				t.Errorf("got %+v, want bad %t for %q", v, tt.bad, tt.cause)
 			}
 		})
--- a/rollout/sequential/faults.go
+++ b/rollout/sequential/faults.go
@@ -20,7 +20,7 @@
 }
 
 // add adds answers, and the reports on servers with bad ones.
-func (f *faults) add(answers float64, reports []wheelgauge.ServerFaults) {
+func (f *faults) add(answers float64, reports []wheelgauge.ServerFailures) {
 	f.answers += answers
 	for _, r := range reports {
 		if f.servers == nil {
@@ -31,7 +31,7 @@
 			s = &serverAnswers{}
 			f.servers[r.Server] = s
 		}
-		s.answers, s.bad = s.answers+float64(r.Answers), s.bad+float64(r.Count)
+		s.answers, s.bad = s.answers+float64(r.Responses), s.bad+float64(r.Failures)
 	}
 }
 
--- a/rollout/tally/tally.go
+++ b/rollout/tally/tally.go
@@ -33,18 +33,18 @@
 	Service string
 	Route   string
 	Server  string
-	// Target is set for a server of the target version. Number is the number of the rollout,
+	// Target is set for a server of the target version. RolloutNumber is the number of the rollout,
 	// 0 if there is none.
-	Target bool
-	Number uint64
+	Target        bool
+	RolloutNumber uint64
 	// Failed is set for a failure or an answer that broke off.
 	Failed bool
 	// Fresh is set for a server that started recently; its latency is not counted.
 	Fresh bool
-	// First is the time to the first byte or event, Step the time for each further event, 0
+	// FirstByte is the time to the first byte or event, EventInterval the time for each further event, 0
 	// if there was none.
-	First time.Duration
-	Step  time.Duration
+	FirstByte     time.Duration
+	EventInterval time.Duration
 }
 
 // runningMean is an exponentially weighted mean of latencies.
@@ -77,9 +77,9 @@
 // routeCount counts the answers of one countKey.
 type routeCount struct {
 	number uint64
-	totals wheelgauge.VersionCount
+	totals wheelgauge.VersionStats
 	// servers counts the answers of each server of the target version.
-	servers map[string]*wheelgauge.ServerFaults
+	servers map[string]*wheelgauge.ServerFailures
 }
 
 // baseline holds the usual latencies of a route of a service.
@@ -117,7 +117,7 @@
 	if !a.Failed && !a.Target && !a.Fresh {
 		b.add(a)
 	}
-	if a.Number != 0 {
+	if a.RolloutNumber != 0 {
 		t.count(a, slow, timed)
 	}
 }
@@ -126,29 +126,29 @@
 	if a.Failed || a.Fresh {
 		return false, false
 	}
-	slow, timed = b.first.isSlow(a.First, slowMargin)
-	if a.Step > 0 && !slow {
-		stepSlow, ok := b.step.isSlow(a.Step, 0)
+	slow, timed = b.first.isSlow(a.FirstByte, slowMargin)
+	if a.EventInterval > 0 && !slow {
+		stepSlow, ok := b.step.isSlow(a.EventInterval, 0)
 		slow = ok && stepSlow
 	}
 	return slow, timed
 }
 
 func (b *baseline) add(a Answer) {
-	b.first.add(a.First)
-	if a.Step > 0 {
-		b.step.add(a.Step)
+	b.first.add(a.FirstByte)
+	if a.EventInterval > 0 {
+		b.step.add(a.EventInterval)
 	}
 }
 
 func (t *Tally) count(a Answer, slow, timed bool) {
 	k := countKey{a.Service, a.Route, a.Target}
 	c := t.counts[k]
-	if c == nil || c.number != a.Number {
-		c = &routeCount{number: a.Number, totals: wheelgauge.VersionCount{Route: a.Route, Target: a.Target}, servers: map[string]*wheelgauge.ServerFaults{}}
+	if c == nil || c.number != a.RolloutNumber {
+		c = &routeCount{number: a.RolloutNumber, totals: wheelgauge.VersionStats{Route: a.Route, Target: a.Target}, servers: map[string]*wheelgauge.ServerFailures{}}
 		t.counts[k] = c
 	}
-	c.totals.Answers++
+	c.totals.Responses++
 	switch {
 	case a.Failed:
 		c.totals.Failed++
@@ -156,56 +156,56 @@
 		c.totals.Slow++
 	}
 	if timed {
-		c.totals.Timed++
+		c.totals.Compared++
 	}
 	if !a.Target {
 		return
 	}
 	s := c.servers[a.Server]
 	if s == nil {
-		s = &wheelgauge.ServerFaults{Server: a.Server}
+		s = &wheelgauge.ServerFailures{Server: a.Server}
 		c.servers[a.Server] = s
 	}
-	s.Answers++
+	s.Responses++
 	if a.Failed || slow {
-		s.Count++
+		s.Failures++
 	}
 }
 
 // Counts returns the counts of a rollout by route.
-func (t *Tally) Counts(service string, number uint64) []wheelgauge.VersionCount {
+func (t *Tally) Counts(service string, number uint64) []wheelgauge.VersionStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []wheelgauge.VersionCount
+	var out []wheelgauge.VersionStats
 	for k, c := range t.counts {
 		if k.service == service && c.number == number {
 			totals := c.totals
-			totals.Faults = worstServers(c.servers)
+			totals.WorstServers = worstServers(c.servers)
 			out = append(out, totals)
 		}
 	}
-	slices.SortFunc(out, func(a, b wheelgauge.VersionCount) int {
-		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(len(a.Faults), len(b.Faults)))
+	slices.SortFunc(out, func(a, b wheelgauge.VersionStats) int {
+		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(len(a.WorstServers), len(b.WorstServers)))
 	})
 	return out
 }
 
 // worstServers returns the servers with the most bad answers.
-func worstServers(servers map[string]*wheelgauge.ServerFaults) []wheelgauge.ServerFaults {
-	var out []wheelgauge.ServerFaults
+func worstServers(servers map[string]*wheelgauge.ServerFailures) []wheelgauge.ServerFailures {
+	var out []wheelgauge.ServerFailures
 	for _, s := range servers {
-		if s.Count > 0 {
+		if s.Failures > 0 {
 			out = append(out, *s)
 		}
 	}
-	slices.SortFunc(out, func(a, b wheelgauge.ServerFaults) int {
-		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Server, b.Server))
+	slices.SortFunc(out, func(a, b wheelgauge.ServerFailures) int {
+		return cmp.Or(cmp.Compare(b.Failures, a.Failures), cmp.Compare(a.Server, b.Server))
 	})
 	return out[:min(maxFaultyServers, len(out))]
 }
 
-// Keep drops the counts of all rollouts but the running ones, given by service.
-func (t *Tally) Keep(runs map[string]uint64) {
+// Retain drops the counts of all rollouts but the running ones, given by service.
+func (t *Tally) Retain(runs map[string]uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for k, c := range t.counts {
--- a/rollout/tally/tally_test.go
+++ b/rollout/tally/tally_test.go
@@ -10,25 +10,25 @@
 // Failures, freshly started servers and the target version do not change the baseline of a
 // route.
 func TestCounts(t *testing.T) {
-	baselineAnswer := Answer{Service: "s", Route: "r", Server: "old", First: 100 * time.Millisecond, Step: 10 * time.Millisecond}
+	baselineAnswer := Answer{Service: "s", Route: "r", Server: "old", FirstByte: 100 * time.Millisecond, EventInterval: 10 * time.Millisecond}
 	with := func(change func(a *Answer)) Answer {
 		a := baselineAnswer
-		a.Server, a.Target, a.Number = "new", true, 7
+		a.Server, a.Target, a.RolloutNumber = "new", true, 7
 		change(&a)
 		return a
 	}
 	tests := []struct {
 		name string
 		add  Answer
-		want wheelgauge.VersionCount
+		want wheelgauge.VersionStats
 	}{
-		{"as the baseline", with(func(*Answer) {}), wheelgauge.VersionCount{Answers: 1, Timed: 1}},
-		{"failed", with(func(a *Answer) { a.Failed = true }), wheelgauge.VersionCount{Answers: 1, Failed: 1}},
-		{"slow first byte", with(func(a *Answer) { a.First *= 3 }), wheelgauge.VersionCount{Answers: 1, Timed: 1, Slow: 1}},
-		{"slow between events", with(func(a *Answer) { a.Step *= 3 }), wheelgauge.VersionCount{Answers: 1, Timed: 1, Slow: 1}},
-		{"a little slower", with(func(a *Answer) { a.First *= 2 }), wheelgauge.VersionCount{Answers: 1, Timed: 1}},
-		{"slow, server just started", with(func(a *Answer) { a.First *= 3; a.Fresh = true }), wheelgauge.VersionCount{Answers: 1}},
-		{"route without a baseline", with(func(a *Answer) { a.Route = "x" }), wheelgauge.VersionCount{Answers: 1}},
+		{"as the baseline", with(func(*Answer) {}), wheelgauge.VersionStats{Responses: 1, Compared: 1}},
+		{"failed", with(func(a *Answer) { a.Failed = true }), wheelgauge.VersionStats{Responses: 1, Failed: 1}},
+		{"slow first byte", with(func(a *Answer) { a.FirstByte *= 3 }), wheelgauge.VersionStats{Responses: 1, Compared: 1, Slow: 1}},
+		{"slow between events", with(func(a *Answer) { a.EventInterval *= 3 }), wheelgauge.VersionStats{Responses: 1, Compared: 1, Slow: 1}},
+		{"a little slower", with(func(a *Answer) { a.FirstByte *= 2 }), wheelgauge.VersionStats{Responses: 1, Compared: 1}},
+		{"slow, server just started", with(func(a *Answer) { a.FirstByte *= 3; a.Fresh = true }), wheelgauge.VersionStats{Responses: 1}},
+		{"route without a baseline", with(func(a *Answer) { a.Route = "x" }), wheelgauge.VersionStats{Responses: 1}},
 	}
 	for _, tt := range tests {
 		tl := New()
@@ -42,7 +42,7 @@
 		}
 		got := counts[0]
 		bad := got.Failed+got.Slow > 0
-		if got.Answers != tt.want.Answers || got.Failed != tt.want.Failed || got.Timed != tt.want.Timed || got.Slow != tt.want.Slow || (len(got.Faults) > 0) != bad {
+		if got.Responses != tt.want.Responses || got.Failed != tt.want.Failed || got.Compared != tt.want.Compared || got.Slow != tt.want.Slow || (len(got.WorstServers) > 0) != bad {
 			t.Errorf("%s: got %+v, want %+v", tt.name, got, tt.want)
 		}
 	}
@@ -53,13 +53,13 @@
 	tl := New()
 	for n := range 100 {
 		for range n {
-			tl.Add(Answer{Service: "s", Route: "r", Server: string(rune('a' + n)), Target: true, Number: 7, Failed: true})
+			tl.Add(Answer{Service: "s", Route: "r", Server: string(rune('a' + n)), Target: true, RolloutNumber: 7, Failed: true})
 		}
 	}
-	if faults := tl.Counts("s", 7)[0].Faults; len(faults) != maxFaultyServers || faults[0].Count != 99 {
+	if faults := tl.Counts("s", 7)[0].WorstServers; len(faults) != maxFaultyServers || faults[0].Failures != 99 {
 		t.Errorf("got faults %v, want the servers with the most", faults)
 	}
-	tl.Keep(map[string]uint64{"s": 8})
+	tl.Retain(map[string]uint64{"s": 8})
 	if counts := tl.Counts("s", 7); len(counts) > 0 {
 		t.Errorf("counts of an ended rollout were kept: %+v", counts)
 	}
--- a/rollouts.go
+++ b/rollouts.go
@@ -18,13 +18,13 @@
 	RolloutRolledBack RolloutState = "rolled-back"
 )
 
-// RetiredAfter is how long after the time limit of a completed rollout servers of other versions
+// OldVersionGracePeriod is how long after the time limit of a completed rollout servers of other versions
 // are treated as leftovers of it. Those still listed after that were added since and may receive
 // requests.
-const RetiredAfter = time.Minute
+const OldVersionGracePeriod = time.Minute
 
-// RolloutOrder is an order to move the requests of a service to servers of another version.
-type RolloutOrder struct {
+// RolloutRequest is an order to move the requests of a service to servers of another version.
+type RolloutRequest struct {
 	Service string `json:"service"`
 	// Version is the target version.
 	Version string `json:"version"`
@@ -34,7 +34,7 @@
 
 // Rollout is the last rollout of a service.
 type Rollout struct {
-	RolloutOrder
+	RolloutRequest
 	// Number identifies this rollout: it is the generation of the state that started it.
 	Number uint64       `json:"number"`
 	State  RolloutState `json:"state"`
@@ -47,8 +47,8 @@
 	Cause string `json:"cause,omitempty"`
 }
 
-// RolloutOf returns the rollout of a service; ok is false if there is none.
-func RolloutOf(all []Rollout, service string) (r Rollout, ok bool) {
+// FindRollout returns the rollout of a service; ok is false if there is none.
+func FindRollout(all []Rollout, service string) (r Rollout, ok bool) {
 	at := slices.IndexFunc(all, func(r Rollout) bool { return r.Service == service })
 	if at < 0 {
 		return Rollout{}, false
@@ -64,52 +64,52 @@
 	return time.Duration(r.DurationMS-r.ElapsedMS) * time.Millisecond
 }
 
-// VersionChoice selects the versions of a service that may receive a request. The zero value
+// VersionFilter selects the versions of a service that may receive a request. The zero value
 // allows all.
-type VersionChoice struct {
+type VersionFilter struct {
 	version string
 	only    bool
 	none    bool
 }
 
 // NoVersion allows no version.
-func NoVersion() VersionChoice { return VersionChoice{none: true} }
+func NoVersion() VersionFilter { return VersionFilter{none: true} }
 
 // OnlyVersion allows one version.
-func OnlyVersion(version string) VersionChoice { return VersionChoice{version: version, only: true} }
+func OnlyVersion(version string) VersionFilter { return VersionFilter{version: version, only: true} }
 
 // ExceptVersion allows all versions except one.
-func ExceptVersion(version string) VersionChoice { return VersionChoice{version: version} }
+func ExceptVersion(version string) VersionFilter { return VersionFilter{version: version} }
 
 // Allows reports whether a server of the given version may receive the request.
-func (c VersionChoice) Allows(version string) bool {
+func (c VersionFilter) Allows(version string) bool {
 	return !c.none && (c.version == "" || (version == c.version) == c.only)
 }
 
 // Only returns the version if it is the only one allowed.
-func (c VersionChoice) Only() (version string, ok bool) { return c.version, c.only }
+func (c VersionFilter) Only() (version string, ok bool) { return c.version, c.only }
 
-// ServerFaults counts the failed or slow responses of one server, and all its responses.
-type ServerFaults struct {
-	Server  string `json:"s"`
-	Count   uint64 `json:"n"`
-	Answers uint64 `json:"a,omitempty"`
+// ServerFailures counts the failed or slow responses of one server, and all its responses.
+type ServerFailures struct {
+	Server    string `json:"s"`
+	Failures  uint64 `json:"n"`
+	Responses uint64 `json:"a,omitempty"`
 }
 
-// VersionCount counts the responses of one side of a rollout on one route.
-type VersionCount struct {
+// VersionStats counts the responses of one side of a rollout on one route.
+type VersionStats struct {
 	Route string `json:"r"`
 	// Target is set for the servers of the target version, unset for those of all other versions.
-	Target  bool   `json:"t,omitempty"`
-	Answers uint64 `json:"a"`
+	Target    bool   `json:"t,omitempty"`
+	Responses uint64 `json:"a"`
 	// Failed counts responses that were errors or were cut off.
 	Failed uint64 `json:"f,omitempty"`
-	// Timed counts responses whose latency could be compared with the usual one, Slow those of
+	// Compared counts responses whose latency could be compared with the usual one, Slow those of
 	// them that took several times as long.
-	Timed uint64 `json:"m,omitempty"`
-	Slow  uint64 `json:"l,omitempty"`
-	// Faults lists the servers with the most failed and slow responses.
-	Faults []ServerFaults `json:"x,omitempty"`
+	Compared uint64 `json:"m,omitempty"`
+	Slow     uint64 `json:"l,omitempty"`
+	// WorstServers lists the servers with the most failed and slow responses.
+	WorstServers []ServerFailures `json:"x,omitempty"`
 }
 
 // RolloutReport is what one host did and observed in a rollout since it first knew of it.
@@ -121,33 +121,33 @@
 	// went to the target version.
 	Sent       uint64 `json:"c"`
 	SentTarget uint64 `json:"t,omitempty"`
-	// Settled is set once the rollout is complete for this host: it sends nothing to other
+	// Complete is set once the rollout is complete for this host: it sends nothing to other
 	// versions and has nothing in flight there.
-	Settled bool           `json:"e,omitempty"`
-	Counts  []VersionCount `json:"v,omitempty"`
+	Complete bool           `json:"e,omitempty"`
+	Stats    []VersionStats `json:"v,omitempty"`
 }
 
 // Verdict is the evaluation of the target version of a rollout.
 type Verdict struct {
-	// Bad is set if the target version is worse than the versions that it replaces.
-	Bad bool
+	// Worse is set if the target version is worse than the versions that it replaces.
+	Worse bool
 	// Cause describes the route and what is worse there, with figures.
 	Cause string
-	// Score is the evidence against the version, as a fraction of what would make it bad.
-	Score float64
-	// Proof is the evidence that the version is as good, as a fraction of what is required to
+	// RegressionScore is the evidence against the version, as a fraction of what would make it bad.
+	RegressionScore float64
+	// EquivalenceScore is the evidence that the version is as good, as a fraction of what is required to
 	// show it. Below 0 the version is more likely to be worse.
-	Proof float64
-	// Detects is the smallest fraction of failing responses that would have been detected by now
+	EquivalenceScore float64
+	// DetectableFailureShare is the smallest fraction of failing responses that would have been detected by now
 	// if the version had failed at that rate from the beginning, given the requests that it
 	// received; 1 if it received none.
-	Detects float64
+	DetectableFailureShare float64
 }
 
-// VersionJudge compares the target version of a rollout with the versions that it replaces.
-type VersionJudge interface {
+// VersionEvaluator compares the target version of a rollout with the versions that it replaces.
+type VersionEvaluator interface {
 	// Add records the responses counted since the last call.
-	Add(at time.Time, counts []VersionCount)
-	// Verdict evaluates everything added so far, for a version with the given number of servers.
-	Verdict(servers int) Verdict
+	Add(at time.Time, counts []VersionStats)
+	// Evaluate evaluates everything added so far, for a version with the given number of servers.
+	Evaluate(servers int) Verdict
 }
--- a/routegate/call.go
+++ b/routegate/call.go
@@ -71,7 +71,7 @@
 
 	// versionChoice holds the versions that may get the request; releaseChoice ends that
 	// choice.
-	versionChoice wheelgauge.VersionChoice
+	versionChoice wheelgauge.VersionFilter
 	releaseChoice func()
 	// sentVersion is the version of the last server that the request was sent to.
 	sentVersion string
@@ -117,7 +117,7 @@
 			continue // taking cap units used up the remaining time
 		}
 		if firstDispatch && !c.forwarded {
-			c.gate.options.Budget.First(c.service)
+			c.gate.options.Budget.RecordFirst(c.service)
 		}
 		firstDispatch = false
 		runsBefore := c.runs
@@ -134,7 +134,7 @@
 			if ctx.Err() != nil || c.expired() {
 				continue
 			}
-			if c.sends >= maxSends || c.sends > 0 && !c.gate.options.Budget.Repeat(c.service) {
+			if c.sends >= maxSends || c.sends > 0 && !c.gate.options.Budget.TryRetry(c.service) {
 				c.fail("servers refuse", "no backend server took the request")
 				return
 			}
@@ -155,7 +155,7 @@
 // the budget. A forwarded request is retried only by the host that the caller connected to, as
 // no other knows on how many servers it ran.
 func (c *call) mayRetry() bool {
-	return !c.forwarded && c.route.Repeatable() && c.runs < c.route.Attempts && c.sends < maxSends && c.gate.options.Budget.Repeat(c.service)
+	return !c.forwarded && c.route.Repeatable() && c.runs < c.route.MaxAttempts && c.sends < maxSends && c.gate.options.Budget.TryRetry(c.service)
 }
 
 // dispatch sends the request once, to where the shortest wait is predicted.
@@ -187,9 +187,9 @@
 // fail ends the request with an error, or closes the connection if the answer has begun.
 func (c *call) fail(cause, detail string) {
 	c.cause = cause
-	if c.request.Begun() {
+	if c.request.Started() {
 		c.status = -1
-		c.request.Cut()
+		c.request.Abort()
 		return
 	}
 	switch {
@@ -217,7 +217,7 @@
 // refusal, that is when they allow requests again.
 func (c *call) overloadRetryAfter() time.Duration {
 	latest := min(maxOverloadRetryAfter, max(minOverloadRetryAfter, time.Until(c.connDeadline())/overloadRetryDivisor))
-	earliest, limited := c.gate.options.Servers.Soonest(c.job())
+	earliest, limited := c.gate.options.Servers.NextDeferred(c.job())
 	if !limited {
 		return latest
 	}
@@ -235,14 +235,14 @@
 	if c.forwarded {
 		e = e.WithSends(c.sends)
 	}
-	c.request.Refuse(e.WithRequestID(c.id))
+	c.request.RespondError(e.WithRequestID(c.id))
 }
 
 // endCallerLeft ends a request whose caller disconnected.
 func (c *call) endCallerLeft() {
 	c.callerLeft = true
 	c.cause = "caller left"
-	c.request.Cut()
+	c.request.Abort()
 }
 
 // close returns unused cap units, and records and logs the result of the request.
@@ -267,8 +267,8 @@
 		g.options.Meter.Count("requests.failed")
 	}
 	if c.workspace != nil && !c.forwarded {
-		inTime := ok && c.firstAfter <= c.route.Objective
-		g.options.Meter.Workspace(c.workspace.Name, ok, inTime, c.status == http.StatusTooManyRequests, elapsed)
+		inTime := ok && c.firstAfter <= c.route.LatencyObjective
+		g.options.Meter.CountWorkspace(c.workspace.Name, ok, inTime, c.status == http.StatusTooManyRequests, elapsed)
 	}
 	if ok && c.sends < 2 && g.successes.Add(1)%successLogInterval != 0 {
 		return
@@ -286,7 +286,7 @@
 	if c.lastPick == nil {
 		return ""
 	}
-	l := c.lastPick.Before()
-	limit, _ := c.gate.options.Limits.Rate(c.lastPick.Server().Life())
-	return fmt.Sprintf("running=%d tokens=%d missing=%d source=%s age_ms=%d limit=%g", l.Running(), l.Tokens(), c.lastPick.Missing(), c.lastPick.Source(), l.Age().Milliseconds(), limit)
+	l := c.lastPick.LoadBefore()
+	limit, _ := c.gate.options.Limits.Rate(c.lastPick.Server().InstanceKey())
+	return fmt.Sprintf("running=%d tokens=%d missing=%d source=%s age_ms=%d limit=%g", l.Running(), l.Tokens(), c.lastPick.MissingTokens(), c.lastPick.Source(), l.Age().Milliseconds(), limit)
 }
--- a/routegate/caps.go
+++ b/routegate/caps.go
@@ -12,14 +12,14 @@
 // connected to.
 func (c *call) takeCapUnits(ctx context.Context) *wheelgauge.Error {
 	caps := c.gate.options.Caps
-	if caps == nil || c.forwarded || c.capUnits > 0 || c.workspace == nil || !c.workspace.Cap.Bounds() {
+	if caps == nil || c.forwarded || c.capUnits > 0 || c.workspace == nil || !c.workspace.Cap.HasLimit() {
 		return nil
 	}
-	units := c.workspace.Cap.Units(c.prompt.Counted())
+	units := c.workspace.Cap.Units(c.prompt.StatedTokens())
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
 	began := time.Now()
-	apiErr := caps.Take(ctx, c.workspace, units)
+	apiErr := caps.Acquire(ctx, c.workspace, units)
 	c.capWait += time.Since(began)
 	if apiErr == nil {
 		c.capUnits = units
@@ -32,7 +32,7 @@
 	switch {
 	case ctx.Err() != nil:
 		c.endCallerLeft()
-	case c.runs == 0 && !c.request.Begun():
+	case c.runs == 0 && !c.request.Started():
 		c.refuse(apiErr)
 	default:
 		c.fail(c.cause, "a backend server failed, and the cap allows no repeat: "+c.cause)
@@ -42,7 +42,7 @@
 // returnCapUnits returns units that were taken for a request that did not run.
 func (c *call) returnCapUnits() {
 	if c.capUnits > 0 {
-		c.gate.options.Caps.Return(c.workspace, c.capUnits)
+		c.gate.options.Caps.Refund(c.workspace, c.capUnits)
 		c.capUnits = 0
 	}
 }
--- a/routegate/caps_test.go
+++ b/routegate/caps_test.go
@@ -20,7 +20,7 @@
 	returned  float64
 }
 
-func (l *fakeLimiter) Take(ctx context.Context, _ *wheelgauge.Workspace, units float64) *wheelgauge.Error {
+func (l *fakeLimiter) Acquire(ctx context.Context, _ *wheelgauge.Workspace, units float64) *wheelgauge.Error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.blocks {
@@ -38,7 +38,7 @@
 // returnPause lets an answer that does not wait for Return arrive before it.
 const returnPause = 20 * time.Millisecond
 
-func (l *fakeLimiter) Return(_ *wheelgauge.Workspace, units float64) {
+func (l *fakeLimiter) Refund(_ *wheelgauge.Workspace, units float64) {
 	time.Sleep(returnPause)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,13 +97,13 @@
 func withCaps(g *Gate, l wheelgauge.CapLimiter) {
 	g.options.Caps = l
 	g.SetTable(routetable.New(&wheelgauge.RouteSet{
-		Version: 2, Routes: routes(), Services: []wheelgauge.Service{{Name: "s", Conns: 100}},
+		Version: 2, Routes: routes(), Services: []wheelgauge.Service{{Name: "s", MaxConns: 100}},
 		Workspaces: []wheelgauge.Workspace{
-			{Name: "capped", Keys: []string{"capped-key"}, Cap: wheelgauge.Cap{Rate: 1, Burst: 1, Unit: wheelgauge.CapTokens, Plain: 70}},
+			{Name: "capped", Keys: []string{"capped-key"}, Cap: wheelgauge.Cap{Rate: 1, Burst: 1, Unit: wheelgauge.CapTokens, DefaultTokens: 70}},
 			{Name: "free", Keys: []string{"free-key"}},
 		},
 	}))
-	g.Confirm()
+	g.ConfirmConfig()
 }
 
 // A request whose units no store grants in time is answered at its deadline.
--- a/routegate/crash.go
+++ b/routegate/crash.go
@@ -29,14 +29,14 @@
 // quarantined reports whether the request is quarantined: every server that began to run it
 // crashed, and further servers would too.
 func (c *call) quarantined() bool {
-	return c.gate.options.Quarantine.Holds(len(c.request.Body()), c.fingerprint)
+	return c.gate.options.Quarantine.IsQuarantined(len(c.request.Body()), c.fingerprint)
 }
 
 // refuseQuarantined refuses a quarantined request at once.
 func (c *call) refuseQuarantined() {
 	c.gate.options.Meter.Count("requests.held")
-	apiErr := quarantine.Refusal()
-	if c.runs > 0 || c.request.Begun() {
+	apiErr := quarantine.RejectionError()
+	if c.runs > 0 || c.request.Started() {
 		c.fail("held back", apiErr.Detail())
 		return
 	}
@@ -46,7 +46,9 @@
 
 // recordSuccess records that the request ran to completion. A failure proves nothing: a server
 // that fails some requests may have failed this one before it began to run it.
-func (c *call) recordSuccess() { c.gate.options.Quarantine.Ran(len(c.request.Body()), c.fingerprint) }
+func (c *call) recordSuccess() {
+	c.gate.options.Quarantine.RecordSuccess(len(c.request.Body()), c.fingerprint)
+}
 
 // attributeCrash records a crash of the server with the request in flight. A server that
 // accepts a new connection did not crash, it only closed this one.
@@ -54,15 +56,15 @@
 	if ctx.Err() != nil || !closedByServer(x.err) {
 		return
 	}
-	limit, cancel := context.WithTimeout(ctx, quarantine.InquestLimit)
+	limit, cancel := context.WithTimeout(ctx, quarantine.ProbeTimeout)
 	defer cancel()
-	if s.Pool().Open(limit) == nil {
+	if s.Pool().OpenIdle(limit) == nil {
 		return
 	}
-	crashes := c.gate.options.Quarantine.Ended(wheelgauge.Crash{Request: c.fingerprint(), Size: len(c.request.Body()), Server: s.Life()})
+	crashes := c.gate.options.Quarantine.RecordCrash(wheelgauge.Crash{Fingerprint: c.fingerprint(), BodyBytes: len(c.request.Body()), Server: s.InstanceKey()})
 	c.gate.options.Meter.Count("servers.ended")
 	if crashes >= minLoggedCrashes {
-		c.gate.options.Log.Info("A server ended with a request in flight.", "id", c.id, "request", c.fingerprint(), "server", s.Life(), "ends", crashes)
+		c.gate.options.Log.Info("A server ended with a request in flight.", "id", c.id, "request", c.fingerprint(), "server", s.InstanceKey(), "ends", crashes)
 	}
 }
 
--- a/routegate/crash_test.go
+++ b/routegate/crash_test.go
@@ -101,9 +101,9 @@
 func quarantineRequest(g *Gate, path string) {
 	var crashes []wheelgauge.Crash
 	for n := range 3 {
-		crashes = append(crashes, wheelgauge.Crash{Request: requestFingerprint(path), Server: strconv.Itoa(n)})
+		crashes = append(crashes, wheelgauge.Crash{Fingerprint: requestFingerprint(path), Server: strconv.Itoa(n)})
 	}
-	g.options.Quarantine.Keep(crashes)
+	g.options.Quarantine.SetPersisted(crashes)
 }
 
 func TestQuarantinedRequestIsRefused(t *testing.T) {
@@ -144,7 +144,7 @@
 	if want := []int{502, 502, 503}; !slices.Equal(got, want) {
 		t.Errorf("got statuses %v, want %v", got, want)
 	}
-	if quarantined := g.options.Quarantine.Condemned(); len(quarantined) != 1 {
+	if quarantined := g.options.Quarantine.Quarantined(); len(quarantined) != 1 {
 		t.Errorf("quarantined requests: %v, want one", quarantined)
 	}
 }
@@ -166,7 +166,7 @@
 			q := g.options.Quarantine
 			request := requestFingerprint("/once/x")
 			for n := range 2 {
-				q.Ended(wheelgauge.Crash{Request: request, Server: fmt.Sprint(n)})
+				q.RecordCrash(wheelgauge.Crash{Fingerprint: request, Server: fmt.Sprint(n)})
 			}
 			// The second answer comes after the gate has recorded the first.
 			for _, path := range []string{"/once/x", "/once/y"} {
@@ -174,7 +174,7 @@
 					t.Fatal(err)
 				}
 			}
-			if crashes := q.Ended(wheelgauge.Crash{Request: request, Server: "2"}); crashes != tt.crashes {
+			if crashes := q.RecordCrash(wheelgauge.Crash{Fingerprint: request, Server: "2"}); crashes != tt.crashes {
 				t.Errorf("%d crashes count, want %d", crashes, tt.crashes)
 			}
 		})
--- a/routegate/dispatch.go
+++ b/routegate/dispatch.go
@@ -54,8 +54,8 @@
 		return notSent
 	}
 	if !c.stillAccepted(k) {
-		s.Pool().Return(conn)
-		k.Done(serverset.Left)
+		s.Pool().PutUnused(conn)
+		k.Done(serverset.Abandoned)
 		return notSent
 	}
 	x := &exchange{call: c, conn: conn, pool: s.Pool(), pick: k, sentAt: time.Now(), sentClock: c.gate.options.Clock.Now()}
@@ -74,19 +74,19 @@
 		set = append(set, [2]string{n.Workspace, c.workspace.Name})
 	}
 	if from := k.Source(); from != "" {
-		set = append(set, [2]string{n.Fetch, from})
+		set = append(set, [2]string{n.CacheSource, from})
 	}
 	head := c.requestHead(set)
 	c.sends++
 	c.runs++
 	x.eventsBefore = c.splitter.Events()
 	c.sentVersion = k.Version()
-	c.gate.options.Versions.Sent(c.service, c.route.Name, c.sentVersion)
+	c.gate.options.Versions.RecordSent(c.service, c.route.Name, c.sentVersion)
 	defer c.recordAnswer(ctx, x, k)
 	if err := x.roundTrip(head); err != nil {
 		x.err = err
 		c.cause = err.Error()
-		if _, ok := errors.AsType[*answerhead.ForeignError](err); ok {
+		if _, ok := errors.AsType[*answerhead.MalformedError](err); ok {
 			c.gate.options.Meter.Count("answers.foreign")
 		}
 		// The true wait is longer still; the next predictions have to account for it.
@@ -97,7 +97,7 @@
 	c.observeLimit(x, s)
 	x.pushedBack = c.observePushback(x, k)
 	notRun := len(httpfield.Value(x.head, n.NotRun)) > 0
-	if r, ok := serverset.ParseReported(string(httpfield.Value(x.head, n.Load))); ok {
+	if r, ok := serverset.ParseLoadReport(string(httpfield.Value(x.head, n.Load))); ok {
 		k.Report(r, notRun && x.head.StatusCode() == http.StatusServiceUnavailable)
 	}
 	if status := x.head.StatusCode(); notRun || status == http.StatusMisdirectedRequest {
@@ -110,14 +110,14 @@
 	if errors.Is(err, serverconn.ErrNoConns) {
 		return serverset.Shed
 	}
-	return serverset.Unreached
+	return serverset.Unreachable
 }
 
 // failureOutcome separates a failure of the server from a caller that disconnected and from an
 // expired deadline, which say little about the server.
 func (c *call) failureOutcome(ctx context.Context) serverset.Outcome {
 	if ctx.Err() != nil {
-		return serverset.Left
+		return serverset.Abandoned
 	}
 	return serverset.Failed
 }
@@ -128,7 +128,7 @@
 	c.cause = "server answered " + strconv.Itoa(status) + " as not run"
 	_ = x.discard() // a connection that breaks here is not kept
 	if status == http.StatusMisdirectedRequest {
-		k.Done(serverset.Gone)
+		k.Done(serverset.AddressReused)
 		return notRun
 	}
 	k.Done(x.pushbackOr(serverset.Shed))
@@ -161,7 +161,7 @@
 		}
 		k.Done(serverset.Served)
 	case ctx.Err() != nil || c.callerLeft:
-		k.Done(serverset.Left)
+		k.Done(serverset.Abandoned)
 	default:
 		k.Done(serverset.Failed)
 	}
@@ -235,7 +235,7 @@
 	}
 	c.gate.options.Peers.Pause(p)
 	if timeout, ok := errors.AsType[net.Error](err); ok && timeout.Timeout() || errors.Is(err, syscall.ETIMEDOUT) {
-		c.gate.options.Peers.Silent(p)
+		c.gate.options.Peers.PauseRegion(p)
 	}
 }
 
@@ -263,7 +263,7 @@
 	}
 	if x.pick != nil && !x.begun {
 		x.begun = true
-		x.pick.Began()
+		x.pick.FirstEvent()
 		x.recordWait()
 	}
 }
--- a/routegate/gate.go
+++ b/routegate/gate.go
@@ -65,10 +65,10 @@
 	// Limits are the request rates announced by servers; a table private to the gate when nil.
 	Limits *serverlimit.Table
 	// Permits enforces the limits of servers across hosts; nil enforces none.
-	Permits wheelgauge.Permits
+	Permits wheelgauge.PermitSource
 	// Versions chooses the service versions that may get a request during a rollout, and Tally
 	// counts how they answer. When nil, the gate uses empty ones of its own.
-	Versions *ledger.Ledger
+	Versions *ledger.Selector
 	Tally    *tally.Tally
 	Meter    *meter.Meter
 	Log      logr.Logger
@@ -118,7 +118,7 @@
 		o.Tally = tally.New()
 	}
 	if o.Clock == nil {
-		o.Clock = wheelgauge.SteadyClock{}
+		o.Clock = wheelgauge.MonotonicClock{}
 	}
 	return &Gate{
 		options: o, reservedHeaders: reservedNames(o.Names), ready: make(chan struct{}),
@@ -156,8 +156,8 @@
 	}
 }
 
-// Confirm records that no newer configuration is known now.
-func (g *Gate) Confirm() {
+// ConfirmConfig records that no newer configuration is known now.
+func (g *Gate) ConfirmConfig() {
 	now := g.options.Clock.Now()
 	g.confirmedAt.Store(&now)
 }
@@ -172,8 +172,8 @@
 	return g.options.Clock.Now().Sub(*at)
 }
 
-// SetListed records that the list of servers has arrived.
-func (g *Gate) SetListed() {
+// SetServersKnown records that the list of servers has arrived.
+func (g *Gate) SetServersKnown() {
 	g.serversKnown.Store(true)
 	g.signalReady()
 }
@@ -181,15 +181,15 @@
 // Ready reports whether requests can be placed.
 func (g *Gate) Ready() bool { return g.table.Load() != nil && g.serversKnown.Load() }
 
-// Table returns the active configuration; nil when there is none.
-func (g *Gate) Table() *routetable.Table { return g.table.Load() }
+// RouteTable returns the active configuration; nil when there is none.
+func (g *Gate) RouteTable() *routetable.Table { return g.table.Load() }
 
 // Limits returns the limits on callers' connections and requests.
-func (g *Gate) Limits() wheelgauge.Limits {
+func (g *Gate) Limits() wheelgauge.CallerLimits {
 	if t := g.table.Load(); t != nil {
 		return t.Limits()
 	}
-	return wheelgauge.Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
+	return wheelgauge.CallerLimits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 }
 
 // Serve answers a caller's request.
@@ -222,8 +222,8 @@
 	h, n := r.Header(), g.options.Names
 	c := &call{gate: g, request: r, forwarded: forwarded, id: string(httpfield.Value(h, n.RequestID)), started: r.Arrived()}
 	c.suspendedBefore = g.suspendedFor()
-	c.prompt = prompt.Parse(string(httpfield.Value(h, n.Prompt)), string(httpfield.Value(h, n.Tokens)), string(httpfield.Value(h, n.Hint)))
-	c.lastEventID = string(httpfield.Value(h, n.LastEvent))
+	c.prompt = prompt.Parse(string(httpfield.Value(h, n.PromptParts)), string(httpfield.Value(h, n.TokenCounts)), string(httpfield.Value(h, n.OutputHint)))
+	c.lastEventID = string(httpfield.Value(h, n.LastEventID))
 	if timeout, ok := parseTimeout(string(httpfield.Value(h, n.Deadline))); ok {
 		c.deadline = r.Arrived().Add(timeout)
 	}
@@ -259,7 +259,7 @@
 	if !g.serversKnown.Load() {
 		return refusal(wheelgauge.ReasonNoServer, http.StatusServiceUnavailable, "no servers are known yet").WithRetryAfter(startupRetryAfter)
 	}
-	c.service = routetable.Pick(c.route)
+	c.service = routetable.PickService(c.route)
 	return nil
 }
 
--- a/routegate/gate_test.go
+++ b/routegate/gate_test.go
@@ -129,7 +129,7 @@
 // connection of a caller.
 func newGate(t testing.TB, routes []wheelgauge.PathRoute, backends ...*backend) (*Gate, net.Conn) {
 	t.Helper()
-	service := &wheelgauge.Service{Name: "s", Conns: 100}
+	service := &wheelgauge.Service{Name: "s", MaxConns: 100}
 	servers := serverset.New(serverset.Place{Host: "g", Hall: "h", Peers: []string{"g"}}, func(string) *wheelgauge.Service { return service }, time.Now)
 	var list []wheelgauge.Server
 	for i, b := range backends {
@@ -141,9 +141,9 @@
 		Budget: retrybudget.New(retrybudget.Options{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, time.Now),
 		Meter:  meter.New(), Log: logr.Discard(),
 	})
-	g.SetListed()
+	g.SetServersKnown()
 	g.SetTable(routetable.New(&wheelgauge.RouteSet{Version: 1, Routes: routes, Services: []wheelgauge.Service{*service}}))
-	s, err := callerhttp.Listen("127.0.0.1:0", callerhttp.Options{Limits: g.Limits, Serve: g.Serve, Conns: 8})
+	s, err := callerhttp.Listen("127.0.0.1:0", callerhttp.Options{Limits: g.Limits, Serve: g.Serve, MaxConns: 8})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,13 +163,13 @@
 }
 
 func routes() []wheelgauge.PathRoute {
-	shares := []wheelgauge.Share{{Service: "s", Weight: 1}}
+	shares := []wheelgauge.TrafficShare{{Service: "s", Weight: 1}}
 	return []wheelgauge.PathRoute{
-		{Name: "safe", Host: "h", Prefix: "/safe/", Kind: wheelgauge.RouteRepeatable, Timeout: testLimit, Attempts: 2, Shares: shares, Priority: 3},
-		{Name: "once", Host: "h", Prefix: "/once/", Kind: wheelgauge.RouteOnce, Timeout: testLimit, Attempts: 1, Shares: shares},
-		{Name: "stream", Host: "h", Prefix: "/stream/", Kind: wheelgauge.RouteStream, Timeout: testLimit, Attempts: 1, Shares: shares},
-		{Name: "resume", Host: "h", Prefix: "/resume/", Kind: wheelgauge.RouteStream, Timeout: testLimit, Attempts: 2, Shares: shares, Resumable: true},
-		{Name: "away", Host: "h", Prefix: "/away/", Kind: wheelgauge.RouteRepeatable, Timeout: testLimit, Attempts: 2, Shares: shares, Homes: []string{"there"}},
+		{Name: "safe", Host: "h", Prefix: "/safe/", Kind: wheelgauge.RouteRepeatable, Timeout: testLimit, MaxAttempts: 2, Shares: shares, Priority: 3},
+		{Name: "once", Host: "h", Prefix: "/once/", Kind: wheelgauge.RouteOnce, Timeout: testLimit, MaxAttempts: 1, Shares: shares},
+		{Name: "stream", Host: "h", Prefix: "/stream/", Kind: wheelgauge.RouteStream, Timeout: testLimit, MaxAttempts: 1, Shares: shares},
+		{Name: "resume", Host: "h", Prefix: "/resume/", Kind: wheelgauge.RouteStream, Timeout: testLimit, MaxAttempts: 2, Shares: shares, Resumable: true},
+		{Name: "away", Host: "h", Prefix: "/away/", Kind: wheelgauge.RouteRepeatable, Timeout: testLimit, MaxAttempts: 2, Shares: shares, HomeRegions: []string{"there"}},
 	}
 }
 
@@ -360,7 +360,7 @@
 	g, c := newGate(t, routes(), b)
 	g.durations.observe("stream", 3*time.Second)
 	g.durations.observe("safe", time.Millisecond)
-	g.LeaveBy(time.Now().Add(5 * time.Second))
+	g.ShutDownBy(time.Now().Add(5 * time.Second))
 	leaving := g.leaving.Load()
 	if g.mayOutlastProcess("stream", testLimit, 0) {
 		t.Error("a request that usually completes in time is refused while callers cannot know of the shutdown")
@@ -381,7 +381,7 @@
 // peerConn returns a connection as another gateway opens it.
 func peerConn(t *testing.T, g *Gate) net.Conn {
 	t.Helper()
-	s, err := callerhttp.Listen("127.0.0.1:0", callerhttp.Options{Limits: g.Limits, Serve: g.ServePeer, Conns: 8})
+	s, err := callerhttp.Listen("127.0.0.1:0", callerhttp.Options{Limits: g.Limits, Serve: g.ServePeer, MaxConns: 8})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -416,11 +416,11 @@
 // A leaving host refuses a request that would complete in time only if it ran in this region.
 func TestLeavingHostCountsLinkLatency(t *testing.T) {
 	g, c := newGate(t, routes())
-	g.options.Peers.SetHosts([]wheelgauge.FleetHost{{Name: "far", Region: "there", Peer: "127.0.0.1:1", Ready: true}})
-	g.options.Peers.SetUses([]wheelgauge.RegionUse{{Region: "there", Uses: []wheelgauge.ServiceUse{{Service: "s", Servers: 1, Slots: 4}}}})
-	g.options.Peers.Reached("there", testLimit)
+	g.options.Peers.SetHosts([]wheelgauge.FleetHost{{Name: "far", Region: "there", PeerAddress: "127.0.0.1:1", Ready: true}})
+	g.options.Peers.SetLoads([]wheelgauge.RegionUsage{{Region: "there", Services: []wheelgauge.ServiceUsage{{Service: "s", Servers: 1, Slots: 4}}}})
+	g.options.Peers.ObserveRoundTrip("there", testLimit)
 	g.durations.observe("away", time.Millisecond)
-	g.LeaveBy(time.Now().Add(testLimit / 2))
+	g.ShutDownBy(time.Now().Add(testLimit / 2))
 	leaving := g.leaving.Load()
 	leaving.announcedAt = leaving.announcedAt.Add(-leavePropagation)
 	resp, body, err := get(t, c, "/away/", "")
--- a/routegate/headers.go
+++ b/routegate/headers.go
@@ -21,7 +21,7 @@
 // gateway.
 func reservedNames(n wheelgauge.HeaderNames) map[string]bool {
 	out := map[string]bool{}
-	for _, name := range append([]string{n.Deadline, n.Target, n.Priority, n.Fetch, n.Key, n.Workspace, wheelgauge.HeaderForwardedFrom, wheelgauge.HeaderWorkspace}, n.Reserved...) {
+	for _, name := range append([]string{n.Deadline, n.Target, n.Priority, n.CacheSource, n.APIKey, n.Workspace, wheelgauge.HeaderForwardedFrom, wheelgauge.HeaderWorkspace}, n.Reserved...) {
 		if name != "" {
 			out[strings.ToLower(name)] = true
 		}
@@ -59,7 +59,7 @@
 	dst = append(dst, h.RequestURI()...)
 	dst = append(dst, " HTTP/1.1\r\n"...)
 	connectionHeaders := connectionTokens(h.Peek("Connection"))
-	lastEvent := strings.ToLower(c.gate.options.Names.LastEvent)
+	lastEvent := strings.ToLower(c.gate.options.Names.LastEventID)
 	for name, value := range h.All() {
 		lower := strings.ToLower(string(name))
 		if hopByHop[lower] || c.gate.reservedHeaders[lower] || connectionHeaders[lower] || lower == lastEvent {
@@ -71,7 +71,7 @@
 		dst = appendHeader(dst, "Content-Length", strconv.Itoa(len(body)))
 	}
 	if c.lastEventID != "" {
-		dst = appendHeader(dst, c.gate.options.Names.LastEvent, c.lastEventID)
+		dst = appendHeader(dst, c.gate.options.Names.LastEventID, c.lastEventID)
 	}
 	for _, s := range set {
 		if s[0] != "" {
--- a/routegate/identify.go
+++ b/routegate/identify.go
@@ -27,15 +27,15 @@
 	if c.forwarded {
 		return g.identifyForwarded(c, t)
 	}
-	if !t.KeysNeeded() {
+	if !t.KeysRequired() {
 		return nil
 	}
 	key, count := g.callerKey(c.request.Header())
-	if count == 0 && c.route.Open {
+	if count == 0 && c.route.AllowAnonymous {
 		return nil
 	}
 	if count == 1 {
-		c.workspace = t.ByKey(key)
+		c.workspace = t.WorkspaceByKey(key)
 	}
 	if c.workspace != nil {
 		return nil
@@ -61,7 +61,7 @@
 
 // callerKey returns the last key that the caller sent, and how many it sent.
 func (g *Gate) callerKey(h *fasthttp.RequestHeader) (key []byte, count int) {
-	keys := httpfield.Values(h, g.options.Names.Key)
+	keys := httpfield.Values(h, g.options.Names.APIKey)
 	if len(keys) == 0 {
 		return nil, 0
 	}
@@ -77,10 +77,10 @@
 // noCommonHome reports whether the request may run nowhere because its route and its workspace
 // share no home region.
 func (c *call) noCommonHome() bool {
-	if c.workspace == nil || len(c.route.Homes) == 0 || len(c.workspace.Homes) == 0 {
+	if c.workspace == nil || len(c.route.HomeRegions) == 0 || len(c.workspace.HomeRegions) == 0 {
 		return false
 	}
-	for _, home := range c.route.Homes {
+	for _, home := range c.route.HomeRegions {
 		if c.workspace.AllowedIn(home) {
 			return false
 		}
--- a/routegate/inflight.go
+++ b/routegate/inflight.go
@@ -23,10 +23,10 @@
 	delete(f.calls, c)
 }
 
-// Wake ends the requests that have expired, and returns how many. Connection deadlines use the
+// EndExpired ends the requests that have expired, and returns how many. Connection deadlines use the
 // monotonic clock, which stops during suspension, so without Wake these requests would wait on
 // for answers that no caller expects any more.
-func (g *Gate) Wake() int {
+func (g *Gate) EndExpired() int {
 	g.active.mu.Lock()
 	defer g.active.mu.Unlock()
 	ended := 0
@@ -34,7 +34,7 @@
 		if !c.expired() {
 			continue
 		}
-		c.request.Interrupt()
+		c.request.Cancel()
 		ended++
 	}
 	return ended
--- a/routegate/leaving.go
+++ b/routegate/leaving.go
@@ -65,9 +65,9 @@
 	endsAt      time.Time
 }
 
-// LeaveBy announces that the process exits at a time of the gate's clock. Requests that may
+// ShutDownBy announces that the process exits at a time of the gate's clock. Requests that may
 // take longer are refused from now on.
-func (g *Gate) LeaveBy(end time.Time) {
+func (g *Gate) ShutDownBy(end time.Time) {
 	g.leaving.Store(&departure{announcedAt: g.options.Clock.Now(), endsAt: end})
 }
 
--- a/routegate/limit.go
+++ b/routegate/limit.go
@@ -21,17 +21,17 @@
 	if name == "" || x.head.StatusCode() == http.StatusMisdirectedRequest {
 		return // another server answered
 	}
-	server, values := s.Life(), httpfield.Values(x.head, name)
+	server, values := s.InstanceKey(), httpfield.Values(x.head, name)
 	rate, ok := smallestLimit(values)
 	switch {
 	case ok:
-		if c.gate.options.Limits.Named(server, rate) {
+		if c.gate.options.Limits.ObserveLimit(server, rate) {
 			c.gate.options.Meter.Count("servers.limited")
 			c.gate.options.Log.Info("A server names a limit.", "id", c.id, "server", server, "rate", rate, "status", x.head.StatusCode())
 		}
 	case len(values) > 0:
 		c.gate.options.Meter.Count("servers.limit.unreadable")
-	case isSuccess(x.head.StatusCode()) && c.gate.options.Limits.Absent(server, x.sentClock):
+	case isSuccess(x.head.StatusCode()) && c.gate.options.Limits.ObserveNoLimit(server, x.sentClock):
 		c.gate.options.Log.Info("A server's limit ends.", "id", c.id, "server", server)
 	}
 }
@@ -67,7 +67,7 @@
 		return p
 	}
 	// No server accepts it now: waiting for a rate-limited one is better than refusing.
-	maxWait := min(wheelgauge.MostPermitWait, time.Duration(permitWaitShare*float64(c.route.Objective)))
+	maxWait := min(wheelgauge.MaxPermitLead, time.Duration(permitWaitShare*float64(c.route.LatencyObjective)))
 	for k := c.chooseLimited(maxWait); k != nil && ctx.Err() == nil; k = c.chooseLimited(maxWait) {
 		if c.takePermit(ctx, k, maxWait) {
 			return placement{pick: k}
@@ -81,13 +81,13 @@
 	if c.gate.options.Permits == nil || !c.allowedIn(c.gate.options.Region) {
 		return nil
 	}
-	return c.gate.options.Servers.ChooseLimited(c.job(), maxWait)
+	return c.gate.options.Servers.ChooseDeferred(c.job(), maxWait)
 }
 
 // takePermit reports whether the request may be sent to the chosen server, and waits until it
 // may.
 func (c *call) takePermit(ctx context.Context, k *serverset.Pick, maxWait time.Duration) bool {
-	server := k.Server().Life()
+	server := k.Server().InstanceKey()
 	if _, limited := c.gate.options.Limits.Rate(server); !limited || c.gate.options.Permits == nil {
 		return true
 	}
@@ -97,7 +97,7 @@
 	defer func() { c.permitWait += time.Since(began) }()
 	for ctx.Err() == nil {
 		rate, _ := c.gate.options.Limits.Rate(server)
-		after, ok := c.gate.options.Permits.Take(ctx, server, maxWait)
+		after, ok := c.gate.options.Permits.Acquire(ctx, server, maxWait)
 		if !ok {
 			c.gate.options.Meter.Count("permits.refused")
 			k.Defer(after)
@@ -110,7 +110,7 @@
 		}
 		maxWait = max(0, maxWait-after)
 	}
-	k.Done(serverset.Left)
+	k.Done(serverset.Abandoned)
 	return false
 }
 
--- a/routegate/limit_test.go
+++ b/routegate/limit_test.go
@@ -66,7 +66,7 @@
 	maxWaits  []time.Duration
 }
 
-func (p *fakePermits) Take(_ context.Context, _ string, maxWait time.Duration) (time.Duration, bool) {
+func (p *fakePermits) Acquire(_ context.Context, _ string, maxWait time.Duration) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxWaits = append(p.maxWaits, maxWait)
@@ -96,12 +96,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			list := routes()
 			for i := range list {
-				list[i].Objective = objective
+				list[i].LatencyObjective = objective
 			}
 			b := newBackend(t)
 			g, c := newGate(t, list, b)
 			g.options.Permits = tt.permits
-			g.options.Limits.Named("i0", 1)
+			g.options.Limits.ObserveLimit("i0", 1)
 			resp, _, err := get(t, c, "/once/", "")
 			if err != nil {
 				t.Fatal(err)
@@ -144,7 +144,7 @@
 				leave()
 			}
 			limits := serverlimit.New(time.Now)
-			limits.Named("s", tt.rate)
+			limits.ObserveLimit("s", tt.rate)
 			c := &call{gate: New(Options{Limits: limits})}
 			if usable := c.waitForPermit(ctx, "s", 2, tt.after); usable != tt.usable {
 				t.Errorf("permit usable: %v, want %v", usable, tt.usable)
--- a/routegate/place.go
+++ b/routegate/place.go
@@ -39,7 +39,7 @@
 	wait := c.gate.waits.correct(c.route.Name, local.Wait())
 	region, remote := c.bestRemote(ok)
 	away := region != "" && (!ok || remote.Cost() < local.Cost()+c.excess(wait-local.Wait()) || c.tooLate(wait))
-	if away && c.gate.mayOutlastProcess(c.route.Name, c.route.Timeout, c.gate.options.Peers.Way(region)) {
+	if away && c.gate.mayOutlastProcess(c.route.Name, c.route.Timeout, c.gate.options.Peers.RoundTrip(region)) {
 		if !ok {
 			return placement{leaving: true}
 		}
@@ -97,7 +97,7 @@
 }
 
 func (c *call) job() serverset.Job {
-	return serverset.NewJob(c.service, c.prompt, c.rank, c.triedServers).Within(c.allowedIn).Of(c.versionChoice)
+	return serverset.NewJob(c.service, c.prompt, c.rank, c.triedServers).WithRegions(c.allowedIn).WithVersions(c.versionChoice)
 }
 
 // excess returns how much longer than predicted a request would wait here than elsewhere;
@@ -112,19 +112,19 @@
 // tooLate reports whether a request that was not sent anywhere yet should be refused now:
 // served late, it would delay the requests behind it as well.
 func (c *call) tooLate(wait time.Duration) bool {
-	if c.forwarded || c.sends > 0 || c.route.Objective <= 0 {
+	if c.forwarded || c.sends > 0 || c.route.LatencyObjective <= 0 {
 		return false
 	}
 	factor := maxWaitFactor
 	if c.congested(congestedShare) {
 		factor = congestedWaitFactor
 	}
-	return wait > time.Duration(factor*float64(c.route.Objective))
+	return wait > time.Duration(factor*float64(c.route.LatencyObjective))
 }
 
 // congested reports whether the mean wait of the route here exceeds a share of its objective.
 func (c *call) congested(share float64) bool {
-	return c.gate.waits.mean(c.route.Name) > time.Duration(share*float64(c.route.Objective))
+	return c.gate.waits.mean(c.route.Name) > time.Duration(share*float64(c.route.LatencyObjective))
 }
 
 // bestRegion returns the region with the lowest predicted cost; empty when the request may not
@@ -139,7 +139,7 @@
 		if !c.allowedIn(region) {
 			continue
 		}
-		e := c.predictRemote(o.Peers.Load(region, c.service)).Over(o.Peers.Way(region))
+		e := c.predictRemote(o.Peers.Load(region, c.service)).AddLatency(o.Peers.RoundTrip(region))
 		if best == "" || e.Cost() < lowest.Cost() {
 			best, lowest = region, e
 		}
@@ -148,8 +148,8 @@
 }
 
 // predictRemote estimates the wait and cost in a region from its aggregate load.
-func (c *call) predictRemote(u wheelgauge.ServiceUse) serverset.Estimate {
-	s := c.gate.Table().Service(c.service)
+func (c *call) predictRemote(u wheelgauge.ServiceUsage) serverset.Estimate {
+	s := c.gate.RouteTable().Service(c.service)
 	if s == nil {
 		return serverset.Estimate{}
 	}
@@ -159,6 +159,6 @@
 // release gives back a chosen server that the request is not sent to.
 func (p placement) release() {
 	if p.pick != nil {
-		p.pick.Done(serverset.Left)
+		p.pick.Done(serverset.Abandoned)
 	}
 }
--- a/routegate/pushback.go
+++ b/routegate/pushback.go
@@ -33,7 +33,7 @@
 	case ok && wait > 0:
 		c.gate.options.Meter.Count("servers.backoffs")
 		if k.BackOff(wait) {
-			c.gate.options.Log.Info("A server asks to back off.", "id", c.id, "server", k.Server().Life(), "backoff_ms", wait.Milliseconds(), "status", status, "forwarded", c.forwarded)
+			c.gate.options.Log.Info("A server asks to back off.", "id", c.id, "server", k.Server().InstanceKey(), "backoff_ms", wait.Milliseconds(), "status", status, "forwarded", c.forwarded)
 		}
 	}
 	return ok && wait > 0
@@ -48,9 +48,9 @@
 	if !ok {
 		c.gate.options.Meter.Count("servers.leaving.unreadable")
 	}
-	if leaving && k.Leave() {
+	if leaving && k.MarkLeaving() {
 		c.gate.options.Meter.Count("servers.leaving")
-		c.gate.options.Log.Info("A server says that it leaves.", "id", c.id, "server", k.Server().Life(), "status", x.head.StatusCode(), "forwarded", c.forwarded)
+		c.gate.options.Log.Info("A server says that it leaves.", "id", c.id, "server", k.Server().InstanceKey(), "status", x.head.StatusCode(), "forwarded", c.forwarded)
 	}
 }
 
@@ -62,8 +62,8 @@
 	}
 	state, now := k.Pushback(), c.gate.options.Clock.Now()
 	c.gate.options.Meter.Count("servers.pushback.kept")
-	c.gate.options.Log.V(1).Info("A server pushed back after it was chosen for a request.", "id", c.id, "server", k.Server().Life(),
-		"backoff_left_ms", state.Left(now).Milliseconds(), "leaving", state.Leaving(), "forwarded", c.forwarded, "sends", c.sends, "resumed", c.request.Begun())
+	c.gate.options.Log.V(1).Info("A server pushed back after it was chosen for a request.", "id", c.id, "server", k.Server().InstanceKey(),
+		"backoff_left_ms", state.Remaining(now).Milliseconds(), "leaving", state.Leaving(), "forwarded", c.forwarded, "sends", c.sends, "resumed", c.request.Started())
 	return false
 }
 
@@ -84,7 +84,7 @@
 func (c *call) backoffLeft() (after time.Duration, ok bool) {
 	o := c.gate.options
 	if c.allowedIn(o.Region) {
-		job := serverset.NewJob(c.service, c.prompt, c.rank, nil).Within(c.allowedIn).Of(c.versionChoice)
+		job := serverset.NewJob(c.service, c.prompt, c.rank, nil).WithRegions(c.allowedIn).WithVersions(c.versionChoice)
 		if after, ok = o.Servers.BackoffEnds(job); ok && after == 0 {
 			return 0, false
 		}
@@ -92,7 +92,7 @@
 	if c.forwarded {
 		return after, ok
 	}
-	if remote, backsOff := o.Peers.BackoffEnds(c.service, c.allowedIn); backsOff && (!ok || remote < after) {
+	if remote, backsOff := o.Peers.BackoffRemaining(c.service, c.allowedIn); backsOff && (!ok || remote < after) {
 		return remote, true
 	}
 	return after, ok
--- a/routegate/pushback_test.go
+++ b/routegate/pushback_test.go
@@ -60,7 +60,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			g, c := newGate(t, routes(), newBackend(t, tt.answer))
 			k := g.options.Servers.Choose(anyJob())
-			defer k.Done(serverset.Left)
+			defer k.Done(serverset.Abandoned)
 			if _, _, err := get(t, c, "/once/", ""); err != nil {
 				t.Fatal(err)
 			}
@@ -107,15 +107,15 @@
 				}
 				pushBack := func() {
 					k := pickInstance(t, g, "i0")
-					defer k.Done(serverset.Left)
+					defer k.Done(serverset.Abandoned)
 					if kind == "rest" {
 						k.BackOff(testLimit)
 						return
 					}
-					k.Leave()
+					k.MarkLeaving()
 				}
 				if tt.permits {
-					g.options.Limits.Named("i0", 1)
+					g.options.Limits.ObserveLimit("i0", 1)
 					g.options.Permits = permitHook(pushBack)
 				} else {
 					pushBack()
@@ -147,7 +147,7 @@
 		if k.Server().Instance() == instance {
 			return k
 		}
-		k.Done(serverset.Left)
+		k.Done(serverset.Abandoned)
 		tried = append(tried, k.Server().Instance())
 	}
 }
@@ -155,7 +155,7 @@
 // permitHook grants every permit at once, after a callback.
 type permitHook func()
 
-func (w permitHook) Take(context.Context, string, time.Duration) (time.Duration, bool) {
+func (w permitHook) Acquire(context.Context, string, time.Duration) (time.Duration, bool) {
 	w()
 	return 0, true
 }
@@ -253,8 +253,8 @@
 			remote.options.Region = "there"
 			g, c := newGate(t, routes(), newBackend(t))
 			at := peerConn(t, remote).RemoteAddr().String()
-			g.options.Peers.SetHosts([]wheelgauge.FleetHost{{Name: "far", Region: "there", Peer: at, Ready: true}})
-			g.options.Peers.SetUses([]wheelgauge.RegionUse{{Region: "there", Uses: []wheelgauge.ServiceUse{{Service: "s", Servers: 1, Slots: 4}}}})
+			g.options.Peers.SetHosts([]wheelgauge.FleetHost{{Name: "far", Region: "there", PeerAddress: at, Ready: true}})
+			g.options.Peers.SetLoads([]wheelgauge.RegionUsage{{Region: "there", Services: []wheelgauge.ServiceUsage{{Service: "s", Servers: 1, Slots: 4}}}})
 			if tt.localBackoff > 0 {
 				k := pickInstance(t, g, "i0")
 				k.BackOff(tt.localBackoff)
--- a/routegate/relay.go
+++ b/routegate/relay.go
@@ -33,7 +33,7 @@
 	if success && c.route.Kind == wheelgauge.RouteStream {
 		return c.relayStream(x)
 	}
-	if c.request.Begun() {
+	if c.request.Started() {
 		// The server did not resume the stream: its answer is no success.
 		c.cause = fmt.Sprintf("resume answered %d", status)
 		return failed
@@ -63,7 +63,7 @@
 		length = x.head.ContentLength()
 	}
 	c.status = status
-	c.request.Begin(status, responseFields(x.head), length)
+	c.request.StartResponse(status, responseFields(x.head), length)
 	if _, err := c.request.Write(body); err != nil {
 		return c.endWriteFailed(err)
 	}
@@ -87,7 +87,7 @@
 // relayUnbuffered relays a large answer as it arrives; buffered holds what was already read.
 func (c *call) relayUnbuffered(x *exchange, buffered []byte) result {
 	c.status = x.head.StatusCode()
-	c.request.Begin(c.status, responseFields(x.head), max(-1, x.body.Length()))
+	c.request.StartResponse(c.status, responseFields(x.head), max(-1, x.body.Length()))
 	buf := make([]byte, relayBufferBytes)
 	for {
 		if _, err := c.request.Write(buffered); err != nil {
@@ -140,9 +140,9 @@
 
 func (c *call) writeEvents(x *exchange, complete []byte) error {
 	now := time.Now()
-	if !c.request.Begun() {
+	if !c.request.Started() {
 		c.status = x.head.StatusCode()
-		c.request.Begin(http.StatusOK, responseFields(x.head), -1)
+		c.request.StartResponse(http.StatusOK, responseFields(x.head), -1)
 		c.lastEventAt = now
 	}
 	c.longestPause = max(c.longestPause, now.Sub(c.lastEventAt))
@@ -153,7 +153,7 @@
 
 // endStream completes a stream, including any bytes after the last complete event.
 func (c *call) endStream(x *exchange) result {
-	if rest := c.splitter.Rest(); len(rest) > 0 || !c.request.Begun() {
+	if rest := c.splitter.TakePending(); len(rest) > 0 || !c.request.Started() {
 		if err := c.writeEvents(x, rest); err != nil {
 			return c.endWriteFailed(err)
 		}
@@ -168,7 +168,7 @@
 // endBrokenStream discards an incomplete event and records the event ID to resume from.
 func (c *call) endBrokenStream(err error) result {
 	c.cause = err.Error()
-	c.splitter.Rest()
+	c.splitter.TakePending()
 	if id := c.splitter.LastID(); id != "" {
 		c.lastEventID = id
 	}
--- a/routegate/retrybudget_test.go
+++ b/routegate/retrybudget_test.go
@@ -50,7 +50,7 @@
 	f := &fleet{t: t, current: time.Now(), servers: map[string][]*backend{}, budget: budget}
 	var gates []*Gate
 	var all []wheelgauge.FleetHost
-	var uses []wheelgauge.RegionUse
+	var uses []wheelgauge.RegionUsage
 	for r := range regions {
 		region := fmt.Sprint("region-", r)
 		for range servers {
@@ -58,25 +58,25 @@
 			b.fallback = notRunAnswer
 			f.servers[region] = append(f.servers[region], b)
 		}
-		uses = append(uses, wheelgauge.RegionUse{Region: region, Uses: []wheelgauge.ServiceUse{{Service: "s", Servers: servers, Slots: 4 * servers}}})
+		uses = append(uses, wheelgauge.RegionUsage{Region: region, Services: []wheelgauge.ServiceUsage{{Service: "s", Servers: servers, Slots: 4 * servers}}})
 	}
 	for n := range hosts {
 		region := fmt.Sprint("region-", n%regions)
 		g := f.gate(fmt.Sprint("host-", n), region)
 		gates = append(gates, g)
 		f.addresses = append(f.addresses, f.listen(g, g.Serve))
-		all = append(all, wheelgauge.FleetHost{Name: fmt.Sprint("host-", n), Region: region, Peer: f.listen(g, g.ServePeer), Ready: true})
+		all = append(all, wheelgauge.FleetHost{Name: fmt.Sprint("host-", n), Region: region, PeerAddress: f.listen(g, g.ServePeer), Ready: true})
 	}
 	for _, g := range gates {
 		g.options.Peers.SetHosts(all)
-		g.options.Peers.SetUses(uses)
+		g.options.Peers.SetLoads(uses)
 		g.options.Budget.SetHosts(hosts)
 	}
 	return f
 }
 
 func (f *fleet) gate(name, region string) *Gate {
-	service := &wheelgauge.Service{Name: "s", Conns: 1000}
+	service := &wheelgauge.Service{Name: "s", MaxConns: 1000}
 	servers := serverset.New(serverset.Place{Host: name, Hall: "h", Peers: []string{name}}, func(string) *wheelgauge.Service { return service }, f.now)
 	var list []wheelgauge.Server
 	for i, b := range f.servers[region] {
@@ -84,16 +84,16 @@
 	}
 	servers.Update(list, f.now())
 	// The own region looks busier than the others, so that those are tried first.
-	var uses []wheelgauge.ServerUse
+	var uses []wheelgauge.ServerUsage
 	for _, s := range list {
-		uses = append(uses, wheelgauge.ServerUse{Instance: s.Instance, Running: 400})
+		uses = append(uses, wheelgauge.ServerUsage{Instance: s.Instance, Running: 400})
 	}
 	servers.SetUses(uses)
 	g := New(Options{
 		Region: region, Names: native.Headers(), Servers: servers, Peers: peerset.New(region, time.Second, f.now),
 		Budget: retrybudget.New(f.budget, f.now), Meter: meter.New(), Log: logr.Discard(),
 	})
-	g.SetListed()
+	g.SetServersKnown()
 	g.SetTable(routetable.New(&wheelgauge.RouteSet{Version: 1, Routes: routes(), Services: []wheelgauge.Service{*service}}))
 	f.t.Cleanup(func() {
 		g.options.Peers.Close()
@@ -104,7 +104,7 @@
 
 func (f *fleet) listen(g *Gate, serve func(context.Context, *callerhttp.Request)) string {
 	f.t.Helper()
-	s, err := callerhttp.Listen("127.0.0.1:0", callerhttp.Options{Limits: g.Limits, Serve: serve, Conns: 1000})
+	s, err := callerhttp.Listen("127.0.0.1:0", callerhttp.Options{Limits: g.Limits, Serve: serve, MaxConns: 1000})
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/routegate/slowreader_test.go
+++ b/routegate/slowreader_test.go
@@ -45,7 +45,7 @@
 	f := &endlessStream{ended: make(chan error, 1)}
 	slow := &backend{conn: listen(t, f.serve)}
 	g, quick := newGate(t, routes(), slow)
-	s, err := callerhttp.Listen("127.0.0.1:0", callerhttp.Options{Limits: g.Limits, Serve: g.Serve, Conns: 8, Unread: 300 * time.Millisecond})
+	s, err := callerhttp.Listen("127.0.0.1:0", callerhttp.Options{Limits: g.Limits, Serve: g.Serve, MaxConns: 8, WriteTimeout: 300 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,15 +108,15 @@
 	f := &endlessStream{ended: make(chan error, 2*slowStreams)}
 	server := &backend{conn: listen(t, f.serve)}
 	g, _ := newGate(t, routes(), server)
-	s, err := callerhttp.Listen("127.0.0.1:0", callerhttp.Options{Limits: g.Limits, Serve: g.Serve, Conns: slowStreams, Unread: slowLimit})
+	s, err := callerhttp.Listen("127.0.0.1:0", callerhttp.Options{Limits: g.Limits, Serve: g.Serve, MaxConns: slowStreams, WriteTimeout: slowLimit})
 	if err != nil {
 		t.Fatal(err)
 	}
 	baseline := f.memoryPerStream(t, server.conn.Addr().String())
 	perStream := f.memoryPerStream(t, s.Address()) - baseline
 	t.Logf("%d kB per stream, and %d kB for the server of the test", perStream>>10, baseline>>10)
-	if perStream > wheelgauge.SlowConnBytes {
-		t.Errorf("an unread stream uses %d bytes, want %d at most", perStream, wheelgauge.SlowConnBytes)
+	if perStream > wheelgauge.MaxSlowConnBytes {
+		t.Errorf("an unread stream uses %d bytes, want %d at most", perStream, wheelgauge.MaxSlowConnBytes)
 	}
 	_ = s.Close(t.Context())
 }
--- a/routegate/suspend_test.go
+++ b/routegate/suspend_test.go
@@ -22,9 +22,9 @@
 	duration time.Duration
 }
 
-func (n *suspendingLimiter) Take(ctx context.Context, w *wheelgauge.Workspace, units float64) *wheelgauge.Error {
+func (n *suspendingLimiter) Acquire(ctx context.Context, w *wheelgauge.Workspace, units float64) *wheelgauge.Error {
 	n.clock.Suspend(n.duration)
-	return n.fakeLimiter.Take(ctx, w, units)
+	return n.fakeLimiter.Acquire(ctx, w, units)
 }
 
 // A request that expires while the host is suspended is not sent. Computed without the
@@ -58,7 +58,7 @@
 			if tt.sent == 0 {
 				return
 			}
-			left := b.received()[0].Get(wheelgauge.HeaderDeadline)
+			left := b.received()[0].Get(wheelgauge.HeaderDeadlineMS)
 			if limit := (5*time.Second - tt.suspend).Milliseconds(); len(left) == 0 || atoi(t, left) > limit {
 				t.Errorf("the server got %s ms, %d are left", left, limit)
 			}
@@ -73,7 +73,7 @@
 	clock := &fakeclock.Clock{}
 	g.options.Clock = clock
 	withWorkspaces(g)
-	g.Confirm()
+	g.ConfirmConfig()
 	steps := []struct {
 		suspend time.Duration
 		status  int
@@ -147,7 +147,7 @@
 			}()
 			<-received
 			clock.Suspend(tt.suspend)
-			if ended := g.Wake(); ended != tt.ended {
+			if ended := g.EndExpired(); ended != tt.ended {
 				t.Errorf("%d requests ended, want %d", ended, tt.ended)
 			}
 			if tt.ended == 0 {
--- a/routegate/version.go
+++ b/routegate/version.go
@@ -21,7 +21,7 @@
 	if _, only := c.versionChoice.Only(); !only || p.pick != nil || ctx.Err() != nil {
 		return p
 	}
-	fallback, release, ok := g.Versions.Otherwise(c.service, c.versionChoice, g.Servers.Lists(c.service, c.versionChoice))
+	fallback, release, ok := g.Versions.ChooseFallback(c.service, c.versionChoice, g.Servers.HasVersion(c.service, c.versionChoice))
 	if !ok {
 		return p
 	}
@@ -49,7 +49,7 @@
 	if ctx.Err() != nil || c.callerLeft {
 		return
 	}
-	a := tally.Answer{Service: c.service, Route: c.route.Name, Server: k.Server().Life(), First: x.firstAfter}
+	a := tally.Answer{Service: c.service, Route: c.route.Name, Server: k.Server().InstanceKey(), FirstByte: x.firstAfter}
 	if x.err != nil {
 		a.Failed = true
 	} else {
@@ -60,10 +60,10 @@
 		a.Failed = status >= http.StatusInternalServerError
 	}
 	if version, number, ok := c.gate.options.Versions.Target(c.service); ok {
-		a.Number, a.Target, a.Fresh = number, version == c.sentVersion, k.Fresh()
+		a.RolloutNumber, a.Target, a.Fresh = number, version == c.sentVersion, k.NewOrCold()
 	}
 	if events := c.splitter.Events() - x.eventsBefore; events > 1 && c.route.Kind == wheelgauge.RouteStream {
-		a.Step = (c.lastEventAt.Sub(x.sentAt) - x.firstAfter) / time.Duration(events-1)
+		a.EventInterval = (c.lastEventAt.Sub(x.sentAt) - x.firstAfter) / time.Duration(events-1)
 	}
 	c.gate.options.Tally.Add(a)
 }
--- a/routegate/workspace_test.go
+++ b/routegate/workspace_test.go
@@ -14,7 +14,7 @@
 	return []wheelgauge.Workspace{
 		{Name: "desk", Keys: []string{"desk-key-1", "desk-key-2"}, Priority: 1},
 		{Name: "clinic", Keys: []string{"clinic-key"}},
-		{Name: "abroad", Keys: []string{"abroad-key"}, Homes: []string{"there", "yonder"}},
+		{Name: "abroad", Keys: []string{"abroad-key"}, HomeRegions: []string{"there", "yonder"}},
 		{Name: "closed"},
 	}
 }
@@ -22,14 +22,14 @@
 func withWorkspaces(g *Gate) {
 	list := routes()
 	list = append(list, wheelgauge.PathRoute{
-		Name: "open", Host: "h", Prefix: "/open/", Kind: wheelgauge.RouteRepeatable, Timeout: testLimit, Attempts: 1,
-		Shares: []wheelgauge.Share{{Service: "s", Weight: 1}}, Open: true, Priority: 3,
+		Name: "open", Host: "h", Prefix: "/open/", Kind: wheelgauge.RouteRepeatable, Timeout: testLimit, MaxAttempts: 1,
+		Shares: []wheelgauge.TrafficShare{{Service: "s", Weight: 1}}, AllowAnonymous: true, Priority: 3,
 	}, wheelgauge.PathRoute{
-		Name: "local", Host: "h", Prefix: "/local/", Kind: wheelgauge.RouteRepeatable, Timeout: testLimit, Attempts: 1,
-		Shares: []wheelgauge.Share{{Service: "s", Weight: 1}}, Homes: []string{"here"},
+		Name: "local", Host: "h", Prefix: "/local/", Kind: wheelgauge.RouteRepeatable, Timeout: testLimit, MaxAttempts: 1,
+		Shares: []wheelgauge.TrafficShare{{Service: "s", Weight: 1}}, HomeRegions: []string{"here"},
 	})
 	g.SetTable(routetable.New(&wheelgauge.RouteSet{
-		Version: 2, Routes: list, Services: []wheelgauge.Service{{Name: "s", Conns: 100}}, Workspaces: workspaces(),
+		Version: 2, Routes: list, Services: []wheelgauge.Service{{Name: "s", MaxConns: 100}}, Workspaces: workspaces(),
 	}))
 }
 
@@ -72,7 +72,7 @@
 			g, c := newGate(t, routes(), b)
 			withWorkspaces(g)
 			if !tt.staleConfig {
-				g.Confirm()
+				g.ConfirmConfig()
 			}
 			headers := tt.headers
 			if headers != "" {
