--- a/routes.go
+++ b/routes.go
@@ -22,8 +22,8 @@
 	RouteStream RouteKind = "stream"
 )
 
-// Share is the weight with which a route sends requests to a service.
-type Share struct {
+// TrafficShare is the weight with which a route sends requests to a service.
+type TrafficShare struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
 }
@@ -36,22 +36,22 @@
 	Kind   RouteKind `json:"kind"`
 	// Timeout bounds the time that a request may take.
 	Timeout time.Duration `json:"timeout_ns"`
-	// Objective is the target latency; for streams, the target time to the first event.
-	Objective time.Duration `json:"objective_ns"`
-	// Pause is the target for the longest gap between events of a stream.
-	Pause time.Duration `json:"pause_ns"`
+	// LatencyObjective is the target latency; for streams, the target time to the first event.
+	LatencyObjective time.Duration `json:"objective_ns"`
+	// GapObjective is the target for the longest gap between events of a stream.
+	GapObjective time.Duration `json:"pause_ns"`
 	// Priority is the rank of the route; 0 is the most urgent.
 	Priority int `json:"priority"`
-	// Attempts is the maximum number of servers that may run one request.
-	Attempts int     `json:"attempts"`
-	Shares   []Share `json:"shares"`
-	// Affinity prefers servers that have the request's prompt prefix cached.
-	Affinity  bool `json:"affinity"`
-	Resumable bool `json:"resumable"`
-	// Homes lists the only regions that may run or relay a request; empty means all.
-	Homes []string `json:"homes,omitempty"`
-	// Open admits callers without the key of a workspace.
-	Open bool `json:"open,omitempty"`
+	// MaxAttempts is the maximum number of servers that may run one request.
+	MaxAttempts int            `json:"attempts"`
+	Shares      []TrafficShare `json:"shares"`
+	// PrefixAffinity prefers servers that have the request's prompt prefix cached.
+	PrefixAffinity bool `json:"affinity"`
+	Resumable      bool `json:"resumable"`
+	// HomeRegions lists the only regions that may run or relay a request; empty means all.
+	HomeRegions []string `json:"homes,omitempty"`
+	// AllowAnonymous admits callers without the key of a workspace.
+	AllowAnonymous bool `json:"open,omitempty"`
 }
 
 // Repeatable reports whether a request may run more than once.
@@ -60,7 +60,7 @@
 }
 
 // AllowedIn reports whether the route's requests may run in a region.
-func (r *PathRoute) AllowedIn(region string) bool { return allowed(r.Homes, region) }
+func (r *PathRoute) AllowedIn(region string) bool { return allowed(r.HomeRegions, region) }
 
 func allowed(homes []string, region string) bool {
 	return len(homes) == 0 || slices.Contains(homes, region)
@@ -69,33 +69,33 @@
 // Service is a set of backend servers that serve the same requests.
 type Service struct {
 	Name string `json:"name"`
-	// Conns is the maximum number of connections that one server accepts from all hosts.
-	Conns int `json:"conns"`
+	// MaxConns is the maximum number of connections that one server accepts from all hosts.
+	MaxConns int `json:"conns"`
 	// ColdRate is the rate that a cold server of the service can handle, in requests per
 	// second from all hosts together; 0 means no limit.
 	ColdRate float64 `json:"cold_rate"`
-	// CacheTokens is the KV cache size of one engine, in tokens; 0 for services without one.
-	CacheTokens int `json:"cache_tokens"`
+	// KVCacheTokens is the KV cache size of one engine, in tokens; 0 for services without one.
+	KVCacheTokens int `json:"cache_tokens"`
 }
 
-// SlowConnBytes bounds the memory held by a connection whose peer reads slowly: the buffers
+// MaxSlowConnBytes bounds the memory held by a connection whose peer reads slowly: the buffers
 // on both sides of the relay.
-const SlowConnBytes = 160 << 10
-
-// Limits bounds the size of a caller's request and the time that the caller may take to send it.
-type Limits struct {
-	HeaderBytes   int           `json:"header_bytes"`
-	BodyBytes     int           `json:"body_bytes"`
-	HeaderTimeout time.Duration `json:"header_timeout_ns"`
-	IdleTimeout   time.Duration `json:"idle_timeout_ns"`
+const MaxSlowConnBytes = 160 << 10
+
+// CallerLimits bounds the size of a caller's request and the time that the caller may take to send it.
+type CallerLimits struct {
+	MaxHeaderBytes int           `json:"header_bytes"`
+	MaxBodyBytes   int           `json:"body_bytes"`
+	HeaderTimeout  time.Duration `json:"header_timeout_ns"`
+	IdleTimeout    time.Duration `json:"idle_timeout_ns"`
 }
 
 // RouteSet is a complete configuration with the operator's version number.
 type RouteSet struct {
-	Version  uint64      `json:"version"`
-	Routes   []PathRoute `json:"routes"`
-	Services []Service   `json:"services"`
-	Limits   Limits      `json:"limits"`
+	Version  uint64       `json:"version"`
+	Routes   []PathRoute  `json:"routes"`
+	Services []Service    `json:"services"`
+	Limits   CallerLimits `json:"limits"`
 	// Workspaces are those whose keys are accepted; if there are none, callers need no key.
 	Workspaces []Workspace `json:"workspaces,omitempty"`
 }
@@ -109,9 +109,9 @@
 	// Instance is the name of the server; together with the start time it identifies one start
 	// of the server.
 	Instance string `json:"i"`
-	// Born is the start time by the server's clock, in Unix milliseconds; 0 if not known.
-	Born    int64  `json:"b,omitempty"`
-	Service string `json:"s"`
+	// StartUnixMS is the start time by the server's clock, in Unix milliseconds; 0 if not known.
+	StartUnixMS int64  `json:"b,omitempty"`
+	Service     string `json:"s"`
 	// Version is the version of the server's software.
 	Version string `json:"v,omitempty"`
 	Address string `json:"a"`
@@ -124,24 +124,24 @@
 	ColdMS int64 `json:"c,omitempty"`
 }
 
-// Life returns an identifier of this start of the server.
-func (s Server) Life() string {
-	if s.Born == 0 {
+// InstanceKey returns an identifier of this start of the server.
+func (s Server) InstanceKey() string {
+	if s.StartUnixMS == 0 {
 		return s.Instance
 	}
-	return s.Instance + "@" + strconv.FormatInt(s.Born, 10)
+	return s.Instance + "@" + strconv.FormatInt(s.StartUnixMS, 10)
 }
 
 const (
-	// MostSlots bounds the number of concurrent requests that the list may give for a server.
-	MostSlots = 100_000
-	// MostColdMS bounds the time that the list may give for a server to stay cold, in ms: one
+	// MaxSlots bounds the number of concurrent requests that the list may give for a server.
+	MaxSlots = 100_000
+	// MaxColdMS bounds the time that the list may give for a server to stay cold, in ms: one
 	// day.
-	MostColdMS = 24 * 3600 * 1000
+	MaxColdMS = 24 * 3600 * 1000
 )
 
-// Reachable reports whether the address is a host with a valid port.
-func (s Server) Reachable() bool {
+// HasValidAddress reports whether the address is a host with a valid port.
+func (s Server) HasValidAddress() bool {
 	host, port, err := net.SplitHostPort(s.Address)
 	if err != nil || host == "" {
 		return false
@@ -150,11 +150,11 @@
 	return err == nil && n > 0
 }
 
-// Bounded returns the server with its numbers clamped, so that they can be added up and
+// Clamped returns the server with its numbers clamped, so that they can be added up and
 // converted to times without overflow. The list may contain any numbers.
-func (s Server) Bounded() Server {
-	s.Slots = min(max(s.Slots, 0), MostSlots)
-	s.ColdMS = min(max(s.ColdMS, 0), MostColdMS)
+func (s Server) Clamped() Server {
+	s.Slots = min(max(s.Slots, 0), MaxSlots)
+	s.ColdMS = min(max(s.ColdMS, 0), MaxColdMS)
 	return s
 }
 
@@ -162,7 +162,7 @@
 type ServerList interface {
 	// Servers returns all servers of the given halls, or of all halls if none are given, and
 	// counts the entries that do not describe a server.
-	Servers(ctx context.Context, halls []string) ([]Server, ForeignEntries, error)
+	Servers(ctx context.Context, halls []string) ([]Server, InvalidEntries, error)
 }
 
 // EntryFault is the reason why an entry of the list does not describe a server.
@@ -170,16 +170,16 @@
 
 // Faults of entries. The list may have other writers, with entries of another form.
 const (
-	EntryMissing      EntryFault = "missing"
-	EntryOtherType    EntryFault = "other-type"
+	EntryMissingField EntryFault = "missing"
+	EntryWrongType    EntryFault = "other-type"
 	EntryUnknownState EntryFault = "unknown-state"
 	EntryUnreadable   EntryFault = "unreadable"
-	// EntryNoAddress: the address is not one to which a connection can be opened.
-	EntryNoAddress EntryFault = "no-address"
+	// EntryInvalidAddress: the address is not one to which a connection can be opened.
+	EntryInvalidAddress EntryFault = "no-address"
 )
 
-// ForeignEntries counts the entries of the list that do not describe a server, by fault.
-type ForeignEntries map[EntryFault]int
+// InvalidEntries counts the entries of the list that do not describe a server, by fault.
+type InvalidEntries map[EntryFault]int
 
 // HeaderNames holds the names of the headers that callers, gateways and backend servers
 // use in one dialect. An empty name means that the dialect has no such header.
@@ -192,8 +192,8 @@
 	Target string
 	// NotRun marks a server's response that states that the request did not run.
 	NotRun string
-	// Key proves that a caller belongs to a workspace. It is never sent to a server.
-	Key string
+	// APIKey proves that a caller belongs to a workspace. It is never sent to a server.
+	APIKey string
 	// Workspace names the workspace to servers.
 	Workspace string
 	// Signature proves that a server produced the response. Every success has one.
@@ -205,18 +205,18 @@
 	Limit string
 	// Leaving is "1" in the responses of a server that is leaving.
 	Leaving string
-	// Prompt lists the parts of the prompt as ID:TOKENS, separated by commas.
-	Prompt string
-	// Tokens is "prompt tokens,maximum tokens to generate".
-	Tokens string
-	// Hint is the caller's estimate of the number of tokens to be generated.
-	Hint string
-	// Fetch names the server (IP:port) from which to fetch the cached parts of the prompt.
-	Fetch string
+	// PromptParts lists the parts of the prompt as ID:TOKENS, separated by commas.
+	PromptParts string
+	// TokenCounts is "prompt tokens,maximum tokens to generate".
+	TokenCounts string
+	// OutputHint is the caller's estimate of the number of tokens to be generated.
+	OutputHint string
+	// CacheSource names the server (IP:port) from which to fetch the cached parts of the prompt.
+	CacheSource string
 	// Priority orders requests within an engine, 0 first.
 	Priority string
-	// LastEvent is the ID of the last event that the caller of a resumed stream received.
-	LastEvent string
+	// LastEventID is the ID of the last event that the caller of a resumed stream received.
+	LastEventID string
 	// Reserved lists headers that only the system sets; those sent by callers are dropped.
 	Reserved []string
 }
@@ -233,7 +233,7 @@
 	DrainHall(ctx context.Context, hall string, drained bool) error
 	// StartRollout starts to move a service's requests to another version. It fails if the
 	// service has a rollout in progress.
-	StartRollout(ctx context.Context, order RolloutOrder) error
+	StartRollout(ctx context.Context, order RolloutRequest) error
 	// Rollout returns the last rollout of a service, after a read barrier.
 	Rollout(ctx context.Context, service string) (Rollout, error)
 	// AbortRollout rolls back a rollout that is in progress.
--- a/routetable/check.go
+++ b/routetable/check.go
@@ -72,7 +72,7 @@
 	fields := []struct {
 		name  string
 		value float64
-	}{{"rate", c.Rate}, {"burst", c.Burst}, {"plain tokens", c.Plain}}
+	}{{"rate", c.Rate}, {"burst", c.Burst}, {"plain tokens", c.DefaultTokens}}
 	for _, f := range fields {
 		if f.value < 0 || math.IsNaN(f.value) || math.IsInf(f.value, 0) {
 			return fmt.Errorf("%s: expected 0 or more", f.name)
@@ -103,7 +103,7 @@
 	return checkShares(r.Shares, services)
 }
 
-func checkShares(shares []wheelgauge.Share, services map[string]bool) error {
+func checkShares(shares []wheelgauge.TrafficShare, services map[string]bool) error {
 	total := 0
 	for _, s := range shares {
 		if !services[s.Service] {
--- a/routetable/ranks.go
+++ b/routetable/ranks.go
@@ -29,7 +29,7 @@
 	}
 	k.workspacePriorities, k.routePriorities = distinct(k.workspacePriorities), distinct(k.routePriorities)
 	k.workspaceRanks = len(k.workspacePriorities)
-	if slices.ContainsFunc(set.Routes, func(r wheelgauge.PathRoute) bool { return r.Open }) {
+	if slices.ContainsFunc(set.Routes, func(r wheelgauge.PathRoute) bool { return r.AllowAnonymous }) {
 		k.workspaceRanks++
 	}
 	return k
@@ -44,7 +44,7 @@
 // If there are no workspaces, it is the route's priority. Otherwise requests without a
 // workspace rank after all others.
 func (t *Table) Rank(w *wheelgauge.Workspace, r *wheelgauge.PathRoute) int {
-	if !t.KeysNeeded() {
+	if !t.KeysRequired() {
 		return min(r.Priority, maxRanks-1)
 	}
 	workspaceRank := len(t.ranks.workspacePriorities)
--- a/routetable/table.go
+++ b/routetable/table.go
@@ -49,11 +49,11 @@
 	return t
 }
 
-// KeysNeeded reports whether callers need a key, which is so if there are workspaces.
-func (t *Table) KeysNeeded() bool { return len(t.workspaces) > 0 }
+// KeysRequired reports whether callers need a key, which is so if there are workspaces.
+func (t *Table) KeysRequired() bool { return len(t.workspaces) > 0 }
 
-// ByKey returns the workspace that a key belongs to; nil if there is none.
-func (t *Table) ByKey(key []byte) *wheelgauge.Workspace { return t.keys[string(key)] }
+// WorkspaceByKey returns the workspace that a key belongs to; nil if there is none.
+func (t *Table) WorkspaceByKey(key []byte) *wheelgauge.Workspace { return t.keys[string(key)] }
 
 // Workspace returns a workspace by name; nil if there is none.
 func (t *Table) Workspace(name string) *wheelgauge.Workspace { return t.workspaces[name] }
@@ -65,7 +65,7 @@
 func (t *Table) Version() uint64 { return t.set.Version }
 
 // Limits returns the limits on callers' requests.
-func (t *Table) Limits() wheelgauge.Limits { return t.set.Limits }
+func (t *Table) Limits() wheelgauge.CallerLimits { return t.set.Limits }
 
 // Service returns a service by name; nil if there is none.
 func (t *Table) Service(name string) *wheelgauge.Service { return t.services[name] }
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// Pick chooses a service of a route at random, by weight.
-func Pick(r *wheelgauge.PathRoute) string {
+// PickService chooses a service of a route at random, by weight.
+func PickService(r *wheelgauge.PathRoute) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
 	}
@@ -105,8 +105,8 @@
 	return ""
 }
 
-// RunsIn reports whether all routes of a host name may run in a region.
-func RunsIn(set *wheelgauge.RouteSet, host, region string) bool {
+// HostAllowedIn reports whether all routes of a host name may run in a region.
+func HostAllowedIn(set *wheelgauge.RouteSet, host, region string) bool {
 	for i := range set.Routes {
 		r := &set.Routes[i]
 		if strings.EqualFold(r.Host, host) && !r.AllowedIn(region) {
--- a/routetable/table_test.go
+++ b/routetable/table_test.go
@@ -11,7 +11,7 @@
 func route(name, host, prefix string) wheelgauge.PathRoute {
 	return wheelgauge.PathRoute{
 		Name: name, Host: host, Prefix: prefix, Kind: wheelgauge.RouteRepeatable, Timeout: time.Second,
-		Shares: []wheelgauge.Share{{Service: "s", Weight: 1}},
+		Shares: []wheelgauge.TrafficShare{{Service: "s", Weight: 1}},
 	}
 }
 
@@ -74,10 +74,10 @@
 
 func TestPickByWeight(t *testing.T) {
 	r := route("r", "a.example", "/")
-	r.Shares = []wheelgauge.Share{{Service: "s", Weight: 3}, {Service: "t", Weight: 1}, {Service: "u", Weight: 0}}
+	r.Shares = []wheelgauge.TrafficShare{{Service: "s", Weight: 3}, {Service: "t", Weight: 1}, {Service: "u", Weight: 0}}
 	count := map[string]int{}
 	for range 4000 {
-		count[Pick(&r)]++
+		count[PickService(&r)]++
 	}
 	if count["u"] > 0 || count["s"] < 2700 || count["s"] > 3300 {
 		t.Errorf("got %v of 4000 picks, want about 3000 of s, 1000 of t and none of u", count)
--- a/routetable/workspaces_test.go
+++ b/routetable/workspaces_test.go
@@ -15,8 +15,8 @@
 	return &wheelgauge.RouteSet{
 		Version: 1, Workspaces: list, Services: []wheelgauge.Service{{Name: "s"}},
 		Routes: []wheelgauge.PathRoute{
-			{Name: "a", Host: "h", Prefix: "/a/", Kind: wheelgauge.RouteOnce, Timeout: 1, Priority: 0, Shares: []wheelgauge.Share{{Service: "s", Weight: 1}}},
-			{Name: "b", Host: "h", Prefix: "/b/", Kind: wheelgauge.RouteOnce, Timeout: 1, Priority: 2, Shares: []wheelgauge.Share{{Service: "s", Weight: 1}}},
+			{Name: "a", Host: "h", Prefix: "/a/", Kind: wheelgauge.RouteOnce, Timeout: 1, Priority: 0, Shares: []wheelgauge.TrafficShare{{Service: "s", Weight: 1}}},
+			{Name: "b", Host: "h", Prefix: "/b/", Kind: wheelgauge.RouteOnce, Timeout: 1, Priority: 2, Shares: []wheelgauge.TrafficShare{{Service: "s", Weight: 1}}},
 		},
 	}
 }
@@ -34,7 +34,7 @@
 		{"negative rate", []wheelgauge.Workspace{{Name: "a", Cap: wheelgauge.Cap{Rate: -1}}}, "rate"},
 		{"negative burst", []wheelgauge.Workspace{{Name: "a", Cap: wheelgauge.Cap{Burst: -1}}}, "burst"},
 		{"endless rate", []wheelgauge.Workspace{{Name: "a", Cap: wheelgauge.Cap{Rate: math.Inf(1)}}}, "rate"},
-		{"negative plain tokens", []wheelgauge.Workspace{{Name: "a", Cap: wheelgauge.Cap{Plain: -1}}}, "plain tokens"},
+		{"negative plain tokens", []wheelgauge.Workspace{{Name: "a", Cap: wheelgauge.Cap{DefaultTokens: -1}}}, "plain tokens"},
 		{"unknown unit", []wheelgauge.Workspace{{Name: "a", Cap: wheelgauge.Cap{Unit: "bytes"}}}, "unit"},
 		{"negative priority", []wheelgauge.Workspace{{Name: "a", Priority: -1}}, "priority"},
 		{"a key twice in one workspace", []wheelgauge.Workspace{{Name: "a", Keys: []string{testKey, testKey}}}, ""},
@@ -58,14 +58,14 @@
 	tests := []struct{ key, workspace string }{{"k1", "a"}, {"k2", "a"}, {"k3", ""}, {"", ""}, {"K1", ""}}
 	for _, tt := range tests {
 		name := ""
-		if w := table.ByKey([]byte(tt.key)); w != nil {
+		if w := table.WorkspaceByKey([]byte(tt.key)); w != nil {
 			name = w.Name
 		}
 		if name != tt.workspace {
 			t.Errorf("key %q: got workspace %q, want %q", tt.key, name, tt.workspace)
 		}
 	}
-	if New(withWorkspaces()).KeysNeeded() || !table.KeysNeeded() {
+	if New(withWorkspaces()).KeysRequired() || !table.KeysRequired() {
 		t.Error("want keys to be needed if and only if there are workspaces")
 	}
 }
@@ -73,7 +73,7 @@
 func TestRank(t *testing.T) {
 	first, last := wheelgauge.Workspace{Name: "first", Priority: 0}, wheelgauge.Workspace{Name: "last", Priority: 7}
 	set := withWorkspaces(first, last)
-	set.Routes[1].Open = true
+	set.Routes[1].AllowAnonymous = true
 	table, plain := New(set), New(withWorkspaces())
 	a, b := &set.Routes[0], &set.Routes[1]
 	tests := []struct {
@@ -129,7 +129,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if table.ByKey(key) == nil {
+				if table.WorkspaceByKey(key) == nil {
 					b.Fatal("not found")
 				}
 			}
--- a/serverconn/conn_test.go
+++ b/serverconn/conn_test.go
@@ -34,7 +34,7 @@
 			go serveScript(c, scripts)
 		}
 	}()
-	p := New(l.Addr().String(), 4, Near(time.Now))
+	p := New(l.Addr().String(), 4, SameRegion(time.Now))
 	t.Cleanup(p.Close)
 	return p
 }
--- a/serverconn/pool.go
+++ b/serverconn/pool.go
@@ -35,16 +35,16 @@
 	Now func() time.Time
 }
 
-// Near returns the timeouts for servers of the same region, a few milliseconds away. A lost
+// SameRegion returns the timeouts for servers of the same region, a few milliseconds away. A lost
 // SYN is only sent again after a second, so the connect times out earlier and the request
 // goes to another server.
-func Near(now func() time.Time) Link {
+func SameRegion(now func() time.Time) Link {
 	return Link{ConnectTimeout: 350 * time.Millisecond, UserTimeout: 3 * time.Second, IdleTimeout: nearIdleTimeout, Now: now}
 }
 
-// Far returns the timeouts for other regions, where one link may be cut while others
+// CrossRegion returns the timeouts for other regions, where one link may be cut while others
 // work: three round trips of a long link to connect, two retransmissions for sent bytes.
-func Far(now func() time.Time) Link {
+func CrossRegion(now func() time.Time) Link {
 	return Link{ConnectTimeout: 400 * time.Millisecond, UserTimeout: 1200 * time.Millisecond, IdleTimeout: farIdleTimeout, Now: now}
 }
 
@@ -68,23 +68,23 @@
 	return &Pool{address: address, maxConns: maxConns, link: link}
 }
 
-// SetMost changes the maximum number of connections.
-func (p *Pool) SetMost(maxConns int) {
+// SetMaxConns changes the maximum number of connections.
+func (p *Pool) SetMaxConns(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxConns = maxConns
 }
 
-// Idle reports whether an idle connection can be used.
-func (p *Pool) Idle() bool {
+// HasIdle reports whether an idle connection can be used.
+func (p *Pool) HasIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
 	return n > 0 && p.idle[n-1].isFresh(p.link.Now())
 }
 
-// Resting returns the number of idle connections that can be used.
-func (p *Pool) Resting() int {
+// IdleCount returns the number of idle connections that can be used.
+func (p *Pool) IdleCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
@@ -96,8 +96,8 @@
 	return n
 }
 
-// Open opens a connection and keeps it idle until it is used.
-func (p *Pool) Open(ctx context.Context) error {
+// OpenIdle opens a connection and keeps it idle until it is used.
+func (p *Pool) OpenIdle(ctx context.Context) error {
 	p.mu.Lock()
 	if p.closed || p.open >= p.maxConns {
 		p.mu.Unlock()
@@ -180,8 +180,8 @@
 	p.open--
 }
 
-// Return puts back a connection on which nothing was sent since Get.
-func (p *Pool) Return(c *Conn) {
+// PutUnused puts back a connection on which nothing was sent since Get.
+func (p *Pool) PutUnused(c *Conn) {
 	if c.Aborted() {
 		p.closeConn(c)
 		return
--- a/serverlimit/table.go
+++ b/serverlimit/table.go
@@ -58,18 +58,18 @@
 	return rate, true
 }
 
-// Named records the limit that a server instance sent with an answer, and reports whether it
+// ObserveLimit records the limit that a server instance sent with an answer, and reports whether it
 // is new.
-func (t *Table) Named(server string, rate float64) bool {
+func (t *Table) ObserveLimit(server string, rate float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.set(server, entry{rate: rate, limited: true, observed: t.now(), local: true})
 }
 
-// Absent records an answer without a limit to a request sent at the given time, and reports
+// ObserveNoLimit records an answer without a limit to a request sent at the given time, and reports
 // whether that ended a limit. An answer to an earlier request does not: it may be from before
 // the limit.
-func (t *Table) Absent(server string, sent time.Time) bool {
+func (t *Table) ObserveNoLimit(server string, sent time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	previous := t.entries[server]
@@ -108,13 +108,13 @@
 	defer t.mu.Unlock()
 	e, known := t.entries[server]
 	if !known {
-		return wheelgauge.ServerLimit{Server: server, None: true, AgeMS: entryTTL.Milliseconds()}
+		return wheelgauge.ServerLimit{Server: server, Removed: true, AgeMS: entryTTL.Milliseconds()}
 	}
 	return t.export(server, e)
 }
 
 func (t *Table) export(server string, e entry) wheelgauge.ServerLimit {
-	return wheelgauge.ServerLimit{Server: server, Rate: e.rate, None: !e.limited, AgeMS: t.now().Sub(e.observed).Milliseconds()}
+	return wheelgauge.ServerLimit{Server: server, Rate: e.rate, Removed: !e.limited, AgeMS: t.now().Sub(e.observed).Milliseconds()}
 }
 
 // Merge applies limits observed by others, unless a later observation is known.
@@ -122,9 +122,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range limits {
-		e := entry{rate: l.Rate, limited: !l.None, observed: t.now().Add(-time.Duration(l.AgeMS) * time.Millisecond)}
+		e := entry{rate: l.Rate, limited: !l.Removed, observed: t.now().Add(-time.Duration(l.AgeMS) * time.Millisecond)}
 		previous, known := t.entries[l.Server]
-		if !known && l.None {
+		if !known && l.Removed {
 			continue // no limit is the default
 		}
 		// The age does not include the latency of the exchange: an equal limit would seem
@@ -141,8 +141,10 @@
 	return t.since(change, false)
 }
 
-// Heard is like Since for limits observed by this process.
-func (t *Table) Heard(change uint64) ([]wheelgauge.ServerLimit, uint64) { return t.since(change, true) }
+// LocalSince is like Since for limits observed by this process.
+func (t *Table) LocalSince(change uint64) ([]wheelgauge.ServerLimit, uint64) {
+	return t.since(change, true)
+}
 
 func (t *Table) since(change uint64, localOnly bool) ([]wheelgauge.ServerLimit, uint64) {
 	t.mu.Lock()
--- a/serverlimit/table_test.go
+++ b/serverlimit/table_test.go
@@ -41,18 +41,18 @@
 	c := manualclock.New()
 	tb := New(c.Now)
 	before := c.Now()
-	c.Pass(time.Second)
-	if !tb.Named("s", 2) || tb.Named("s", 2) || !tb.Named("s", 0.5) {
+	c.Advance(time.Second)
+	if !tb.ObserveLimit("s", 2) || tb.ObserveLimit("s", 2) || !tb.ObserveLimit("s", 0.5) {
 		t.Error("a limit must be new when it is named first or changes, and only then")
 	}
-	if tb.Absent("s", before) {
+	if tb.ObserveNoLimit("s", before) {
 		t.Error("an answer to a request from before the limit ended it")
 	}
 	if rate, ok := tb.Rate("s"); !ok || rate != 0.5 {
 		t.Errorf("limit is %v, %v, want 0.5, true", rate, ok)
 	}
-	c.Pass(time.Second)
-	if !tb.Absent("s", c.Now()) || tb.Absent("s", c.Now()) {
+	c.Advance(time.Second)
+	if !tb.ObserveNoLimit("s", c.Now()) || tb.ObserveNoLimit("s", c.Now()) {
 		t.Error("a limit must end exactly once")
 	}
 	if _, ok := tb.Rate("s"); ok {
@@ -72,21 +72,21 @@
 		named  bool
 	}{
 		{"no entry here", -1, limit{Server: "s", Rate: 3, AgeMS: 500}, 3, true},
-		{"no entry here, and no limit there", -1, limit{Server: "s", None: true}, 0, false},
+		{"no entry here, and no limit there", -1, limit{Server: "s", Removed: true}, 0, false},
 		{"later", 2, limit{Server: "s", Rate: 3, AgeMS: 500}, 3, true},
 		{"earlier", 2, limit{Server: "s", Rate: 3, AgeMS: 1500}, 2, true},
-		{"the limit ended later", 2, limit{Server: "s", None: true, AgeMS: 500}, 0, false},
-		{"the limit ended earlier", 2, limit{Server: "s", None: true, AgeMS: 1500}, 2, true},
+		{"the limit ended later", 2, limit{Server: "s", Removed: true, AgeMS: 500}, 0, false},
+		{"the limit ended earlier", 2, limit{Server: "s", Removed: true, AgeMS: 1500}, 2, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := manualclock.New()
 			tb := New(c.Now)
 			if tt.local >= 0 {
-				tb.Named("s", tt.local)
+				tb.ObserveLimit("s", tt.local)
 			}
-			local, last := tb.Heard(0)
-			c.Pass(time.Second)
+			local, last := tb.LocalSince(0)
+			c.Advance(time.Second)
 			tb.Merge([]limit{tt.report})
 			if rate, ok := tb.Rate("s"); rate != tt.rate || ok != tt.named || tb.Limited()["s"] != tt.named {
 				t.Errorf("limit is %v, %v, want %v, %v", rate, ok, tt.rate, tt.named)
@@ -94,7 +94,7 @@
 			if (len(local) > 0) != (tt.local >= 0) {
 				t.Errorf("local entries: %v", local)
 			}
-			if again, _ := tb.Heard(last); len(again) > 0 {
+			if again, _ := tb.LocalSince(last); len(again) > 0 {
 				t.Errorf("entries from others are reported as local: %v", again)
 			}
 		})
@@ -106,19 +106,19 @@
 	c := manualclock.New()
 	tb := New(c.Now)
 	for n := range maxPerReport + 10 {
-		tb.Named(fmt.Sprint("s", n), 1)
+		tb.ObserveLimit(fmt.Sprint("s", n), 1)
 	}
 	first, at := tb.Since(0)
 	second, last := tb.Since(at)
 	if len(first) != maxPerReport || len(second) != 10 {
 		t.Errorf("reported %d entries, then %d", len(first), len(second))
 	}
-	tb.Named("s3", 1)
-	tb.Named("s4", 2)
+	tb.ObserveLimit("s3", 1)
+	tb.ObserveLimit("s4", 2)
 	if third, _ := tb.Since(last); len(third) != 1 || third[0].Server != "s4" || third[0].Rate != 2 {
 		t.Errorf("reported %v after one change", third)
 	}
-	c.Pass(2 * entryTTL)
+	c.Advance(2 * entryTTL)
 	tb.Prune()
 	if len(tb.entries) != 0 {
 		t.Error("expired entries are kept")
@@ -132,18 +132,18 @@
 	const latency = 3 * time.Millisecond
 	c := manualclock.New()
 	host, store := New(c.Now), New(c.Now)
-	host.Named("s", 2)
-	c.Pass(time.Second)
+	host.ObserveLimit("s", 2)
+	c.Advance(time.Second)
 	sent := c.Now()
 	for range 500 {
 		limit := host.Get("s")
-		c.Pass(latency)
+		c.Advance(latency)
 		store.Merge([]wheelgauge.ServerLimit{limit})
 		limit = store.Get("s")
-		c.Pass(latency)
+		c.Advance(latency)
 		host.Merge([]wheelgauge.ServerLimit{limit})
 	}
-	if !host.Absent("s", sent) {
+	if !host.ObserveNoLimit("s", sent) {
 		t.Error("an answer without the limit does not end it")
 	}
 }
--- a/serverlist/table.go
+++ b/serverlist/table.go
@@ -83,9 +83,9 @@
 	})
 }
 
-// Take sets a region's list that another store read and has just sent; false means that it
+// Receive sets a region's list that another store read and has just sent; false means that it
 // must be sent in full.
-func (t *Table) Take(store uint64, m wheelgauge.ServerPart) bool {
+func (t *Table) Receive(store uint64, m wheelgauge.RegionServerList) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	requestedAt := t.now().Add(-time.Duration(m.AgeMS) * time.Millisecond)
@@ -94,7 +94,7 @@
 		return true // the list held is newer
 	}
 	p := regionList{list: m.Servers, requestedAt: requestedAt, version: m.Version, storeBoot: store}
-	if m.Same {
+	if m.Unchanged {
 		if !known || was.storeBoot != store || was.version != m.Version {
 			return false
 		}
@@ -104,18 +104,18 @@
 	return true
 }
 
-// Part returns a region's list as this store sends it to another one, and when it requested
+// Export returns a region's list as this store sends it to another one, and when it requested
 // that; ok is false when it was not read here. The servers are left out if the other store
 // already holds this version.
-func (t *Table) Part(region string, held uint64) (m wheelgauge.ServerPart, requestedAt time.Time, ok bool) {
+func (t *Table) Export(region string, held uint64) (m wheelgauge.RegionServerList, requestedAt time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p, ok := t.regions[region]
 	if !ok || p.storeBoot != t.boot {
 		return m, requestedAt, false
 	}
-	m = wheelgauge.ServerPart{Region: region, Version: p.version, AgeMS: t.now().Sub(p.requestedAt).Milliseconds()}
-	if m.Same = p.version == held; !m.Same {
+	m = wheelgauge.RegionServerList{Region: region, Version: p.version, AgeMS: t.now().Sub(p.requestedAt).Milliseconds()}
+	if m.Unchanged = p.version == held; !m.Unchanged {
 		m.Servers = p.list
 	}
 	return m, p.requestedAt, true
--- a/serverlist/table_test.go
+++ b/serverlist/table_test.go
@@ -61,16 +61,16 @@
 	to := New(other, func() time.Time { return *at })
 	held := uint64(0)
 	send := func() (whole, taken bool) {
-		m, _, ok := from.Part("north", held)
+		m, _, ok := from.Export("north", held)
 		if !ok {
 			t.Fatal("no list to send")
 		}
-		if taken = to.Take(own, m); taken {
+		if taken = to.Receive(own, m); taken {
 			held = m.Version
 		}
-		return !m.Same, taken
+		return !m.Unchanged, taken
 	}
-	if _, _, ok := from.Part("north", 0); ok {
+	if _, _, ok := from.Export("north", 0); ok {
 		t.Error("a list that was never read is sent")
 	}
 	steps := []struct {
@@ -92,7 +92,7 @@
 			t.Errorf("%s: sent in full %t, accepted %t, want %t, %t", s.name, whole, taken, s.whole, s.taken)
 		}
 	}
-	if _, _, ok := to.Part("north", 0); ok {
+	if _, _, ok := to.Export("north", 0); ok {
 		t.Error("a list that another store has read is sent on")
 	}
 	if list, _ := to.All(); len(list) != 1 || list[0].Instance != "b" {
@@ -106,7 +106,7 @@
 func TestOlderListIsIgnored(t *testing.T) {
 	tb, at := table()
 	tb.Read("north", []wheelgauge.Server{server("new", 0)}, *at)
-	tb.Take(other, wheelgauge.ServerPart{Region: "north", Version: 1, AgeMS: 1000, Servers: []wheelgauge.Server{server("old", 0)}})
+	tb.Receive(other, wheelgauge.RegionServerList{Region: "north", Version: 1, AgeMS: 1000, Servers: []wheelgauge.Server{server("old", 0)}})
 	if list, _ := tb.All(); list[0].Instance != "new" {
 		t.Errorf("got list %v, want the newer one", list)
 	}
--- a/serverset/backoff_simulation_test.go
+++ b/serverset/backoff_simulation_test.go
@@ -228,7 +228,7 @@
 func (s *backoffSchedule) send(k *Pick, sv *backoffServer, tried []string) {
 	now := s.clock.at
 	if !k.Allowed() {
-		k.Done(Left)
+		k.Done(Abandoned)
 		s.retry(tried)
 		return
 	}
@@ -248,7 +248,7 @@
 	s.after(s.randBetween(5*time.Millisecond, 200*time.Millisecond), func() {
 		if sv.leaving {
 			sv.seenLeaving = true
-			k.Leave()
+			k.MarkLeaving()
 		}
 		k.Done(Served)
 	})
@@ -257,7 +257,7 @@
 func (s *backoffSchedule) reject(k *Pick, sv *backoffServer, backoff time.Duration, tried []string) {
 	s.rejected++
 	k.BackOff(backoff)
-	k.Report(Reported{running: 1, slots: 4}, true)
+	k.Report(LoadReport{running: 1, slots: 4}, true)
 	k.Done(BackedOff)
 	if until := s.clock.at.Add(backoff); until.After(sv.backoffUntil) {
 		sv.backoffUntil = until
--- a/serverset/candidates.go
+++ b/serverset/candidates.go
@@ -39,7 +39,7 @@
 // call. The lock is held.
 func (t *Table) candidates(j Job, now time.Time) candidates {
 	servers := t.services[j.service]
-	prefix := j.prompt.Subject()
+	prefix := j.prompt.PrefixID()
 	var homes ranking
 	t.sameHall, t.otherHalls, t.shortlist = t.sameHall[:0], t.otherHalls[:0], t.shortlist[:0]
 	for _, s := range servers {
@@ -119,7 +119,7 @@
 
 // sampleSeed is the same for a prediction and the choice that follows it.
 func (t *Table) sampleSeed(j Job) uint64 {
-	if own := j.prompt.Own(); own != 0 {
+	if own := j.prompt.OwnPartID(); own != 0 {
 		return own + uint64(len(j.tried))
 	}
 	t.drawCount++
@@ -152,7 +152,7 @@
 // knows; nil if it may get no work. The lock is held.
 func (t *Table) lastHolder(j Job, now time.Time) *Server {
 	p := j.prompt
-	s := t.lastHolders[p.Subject()]
+	s := t.lastHolders[p.PrefixID()]
 	if s == nil || !j.versions.Allows(s.spec.Version) || t.servers[s.instance] != s || !s.holdsPrefix(p, now, cacheRetention) || !t.available(s, now) {
 		return nil
 	}
--- a/serverset/conns_test.go
+++ b/serverset/conns_test.go
@@ -43,7 +43,7 @@
 // connLimitOf is how many connections a host that knows so many hosts opens to a server
 // with a limit.
 func connLimitOf(capacity, known int) int {
-	service := &wheelgauge.Service{Name: plain, Conns: capacity}
+	service := &wheelgauge.Service{Name: plain, MaxConns: capacity}
 	t := New(Place{Host: "h0"}, func(string) *wheelgauge.Service { return service }, time.Now)
 	t.Update([]wheelgauge.Server{{Instance: "i", Service: plain, Address: "127.0.0.1:1"}}, time.Now())
 	var peers []string
--- a/serverset/hall_test.go
+++ b/serverset/hall_test.go
@@ -29,10 +29,10 @@
 // A hall whose engines are full sends its requests to the other one.
 func TestFullHallOverflows(t *testing.T) {
 	tb := twoHalls(enginesPerHall)
-	var uses []wheelgauge.ServerUse
+	var uses []wheelgauge.ServerUsage
 	for i := range enginesPerHall {
-		work := wheelgauge.Work{{Rank: 1, Running: 40, Tokens: 200_000}}
-		uses = append(uses, wheelgauge.ServerUse{Instance: fmt.Sprint("h", i), Running: 40, Tokens: 200_000, Work: work})
+		work := wheelgauge.Work{{Rank: 1, Running: 40, PrefillTokens: 200_000}}
+		uses = append(uses, wheelgauge.ServerUsage{Instance: fmt.Sprint("h", i), Running: 40, PrefillTokens: 200_000, Work: work})
 	}
 	tb.SetUses(uses)
 	for i := range 20 {
--- a/serverset/job.go
+++ b/serverset/job.go
@@ -14,7 +14,7 @@
 	// regionAllowed reports whether the request may run in a region; nil allows all.
 	regionAllowed func(region string) bool
 	// versions are the server versions that may get the request.
-	versions wheelgauge.VersionChoice
+	versions wheelgauge.VersionFilter
 }
 
 // NewJob returns a job for a service; rank 0 is the most urgent. It excludes the
@@ -23,14 +23,14 @@
 	return Job{service: service, prompt: p, rank: rank, tried: tried}
 }
 
-// Within returns the job restricted to regions: nothing is fetched from others.
-func (j Job) Within(allowed func(region string) bool) Job {
+// WithRegions returns the job restricted to regions: nothing is fetched from others.
+func (j Job) WithRegions(allowed func(region string) bool) Job {
 	j.regionAllowed = allowed
 	return j
 }
 
-// Of returns the job restricted to versions of its service.
-func (j Job) Of(versions wheelgauge.VersionChoice) Job {
+// WithVersions returns the job restricted to versions of its service.
+func (j Job) WithVersions(versions wheelgauge.VersionFilter) Job {
 	j.versions = versions
 	return j
 }
--- a/serverset/limit.go
+++ b/serverset/limit.go
@@ -24,7 +24,7 @@
 	k.server.deferredUntil = t.now().Add(after)
 	k.server.deferredAtRate, _ = t.currentLimit(k.server)
 	t.mu.Unlock()
-	k.Done(Left)
+	k.Done(Abandoned)
 }
 
 func (t *Table) currentLimit(s *Server) (rate float64, ok bool) {
@@ -62,9 +62,9 @@
 	return limited && rate == s.deferredAtRate
 }
 
-// Soonest returns the time until the first deferred server takes a request again; ok is
+// NextDeferred returns the time until the first deferred server takes a request again; ok is
 // false if none is deferred.
-func (t *Table) Soonest(j Job) (after time.Duration, ok bool) {
+func (t *Table) NextDeferred(j Job) (after time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -75,9 +75,9 @@
 	return s.deferredUntil.Sub(now), true
 }
 
-// ChooseLimited picks the deferred server that takes a request again first, if that is
+// ChooseDeferred picks the deferred server that takes a request again first, if that is
 // within a time; nil if there is none.
-func (t *Table) ChooseLimited(j Job, within time.Duration) *Pick {
+func (t *Table) ChooseDeferred(j Job, within time.Duration) *Pick {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
--- a/serverset/limit_test.go
+++ b/serverset/limit_test.go
@@ -36,17 +36,17 @@
 			tb.Choose(job).Defer(wait)
 			c.advance(tt.elapsed)
 			rate = tt.rate
-			if k := tb.ChooseLimited(job, time.Second); (k != nil) != tt.takesSoon {
+			if k := tb.ChooseDeferred(job, time.Second); (k != nil) != tt.takesSoon {
 				t.Errorf("takes a request soon: %v, want %v", k != nil, tt.takesSoon)
 			} else if k != nil {
-				k.Done(Left)
+				k.Done(Abandoned)
 			}
 			k := tb.Choose(job)
 			if (k != nil) != tt.takes {
 				t.Errorf("takes a request now: %v, want %v", k != nil, tt.takes)
 			}
-			if k != nil && k.Before().Running() != 0 {
-				t.Errorf("%d requests still count as in flight, want none", k.Before().Running())
+			if k != nil && k.LoadBefore().Running() != 0 {
+				t.Errorf("%d requests still count as in flight, want none", k.LoadBefore().Running())
 			}
 		})
 	}
@@ -81,7 +81,7 @@
 			for range 6 {
 				k := tb.Choose(job)
 				took := usual
-				if k.Server().Life() == limitedInstance {
+				if k.Server().InstanceKey() == limitedInstance {
 					took = tt.slow
 				}
 				c.advance(took)
@@ -113,7 +113,7 @@
 			flight = flight[1:]
 		}
 		k := tb.Choose(job)
-		for k != nil && k.Server().Life() == limitedInstance {
+		for k != nil && k.Server().InstanceKey() == limitedInstance {
 			if wait := due.Sub(c.now()); wait > 0 {
 				k.Defer(wait)
 				k = tb.Choose(job)
@@ -189,7 +189,7 @@
 				for n := range 6 {
 					k := chooseInstance(t, tb, job, fmt.Sprint("i", n))
 					c.advance(usual)
-					if k.Server().Life() == server {
+					if k.Server().InstanceKey() == server {
 						c.advance(slow)
 					}
 					k.Done(Served)
@@ -206,7 +206,7 @@
 				k := tb.Choose(job)
 				flight = append(flight, k)
 				all++
-				if k.Server().Life() == server {
+				if k.Server().InstanceKey() == server {
 					got++
 				}
 			}
@@ -225,10 +225,10 @@
 		if k == nil {
 			t.Fatalf("%s is not available", life)
 		}
-		if k.Server().Life() == life {
+		if k.Server().InstanceKey() == life {
 			return k
 		}
 		job.tried = append(job.tried, k.Server().Instance())
-		k.Done(Left)
+		k.Done(Abandoned)
 	}
 }
--- a/serverset/load_report.go
+++ b/serverset/load_report.go
@@ -26,8 +26,8 @@
 	maxSlowdown     = 100 * nominalSlowdown
 )
 
-// Reported is the load that a server reports in an answer.
-type Reported struct {
+// LoadReport is the load that a server reports in an answer.
+type LoadReport struct {
 	running int
 	waiting int
 	slots   int
@@ -35,9 +35,9 @@
 	slowdown int
 }
 
-// ParseReported reads "running,waiting,slots", optionally with ",slowdown"; ok is false for
+// ParseLoadReport reads "running,waiting,slots", optionally with ",slowdown"; ok is false for
 // anything else.
-func ParseReported(text string) (r Reported, ok bool) {
+func ParseLoadReport(text string) (r LoadReport, ok bool) {
 	parts := strings.Split(text, ",")
 	fields := []*int{&r.running, &r.waiting, &r.slots, &r.slowdown}
 	if len(parts) < 3 || len(parts) > len(fields) {
@@ -46,7 +46,7 @@
 	for i, part := range parts {
 		n, err := strconv.Atoi(strings.TrimSpace(part))
 		if err != nil || n < 0 {
-			return Reported{}, false
+			return LoadReport{}, false
 		}
 		*fields[i] = min(n, maxReported)
 	}
@@ -54,7 +54,7 @@
 		return r, true
 	}
 	if r.slowdown == 0 {
-		return Reported{}, false // no work takes no time
+		return LoadReport{}, false // no work takes no time
 	}
 	r.slowdown = min(max(r.slowdown, minSlowdown), maxSlowdown)
 	return r, true
@@ -62,7 +62,7 @@
 
 // Report records the load that the server reported in its answer to this request; shed
 // is set if it refused the request because it was full.
-func (k *Pick) Report(r Reported, shed bool) {
+func (k *Pick) Report(r LoadReport, shed bool) {
 	t := k.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/serverset/mixed_load_test.go
+++ b/serverset/mixed_load_test.go
@@ -54,7 +54,7 @@
 	pr := prompt.Parse(fmt.Sprintf("%s,own%d:%d", shared, p.count, int(own)), fmt.Sprintf("%d,%d", int(own)+600, output), "")
 	k := p.hosts[host].Choose(NewJob(engines, pr, rank, nil))
 	e := p.engines[k.Server().Instance()]
-	unread := float64(k.Missing())
+	unread := float64(k.MissingTokens())
 	if k.Source() != "" {
 		unread = own // the rest is fetched
 	}
@@ -62,7 +62,7 @@
 	e.waiting = append(e.waiting, &stepRequest{
 		rank: rank, unread: unread, want: output,
 		first: func() {
-			k.Began()
+			k.FirstEvent()
 			*firstEventTimes = append(*firstEventTimes, p.at.Sub(arrivedAt))
 		},
 		last: func() { k.Done(Served) },
--- a/serverset/pick.go
+++ b/serverset/pick.go
@@ -51,11 +51,11 @@
 // which the chosen one lacks; empty if there is none.
 func (k *Pick) Source() string { return k.source }
 
-// Missing returns how many tokens of the prompt the server must prefill.
-func (k *Pick) Missing() int { return k.missingTokens }
+// MissingTokens returns how many tokens of the prompt the server must prefill.
+func (k *Pick) MissingTokens() int { return k.missingTokens }
 
-// Before returns the server's load at the time of the choice.
-func (k *Pick) Before() Load { return k.loadBefore }
+// LoadBefore returns the server's load at the time of the choice.
+func (k *Pick) LoadBefore() Load { return k.loadBefore }
 
 // Choose picks the server with the least cost, excluding those already tried. It
 // returns nil if no server can take the job.
@@ -78,7 +78,7 @@
 func (t *Table) newPick(c choice, home *Server, j Job, now time.Time) *Pick {
 	s := c.server
 	k := &Pick{table: t, server: s, version: s.spec.Version, prompt: j.prompt, rank: j.rank, missingTokens: s.missingTokens(j.prompt, s == home), predictedWait: duration(c.wait), sentAt: now}
-	k.loadBefore = Load{running: s.inFlight(), tokens: s.pendingTokens + s.peerUse.Tokens, age: now.Sub(s.peerUseAt)}
+	k.loadBefore = Load{running: s.inFlight(), tokens: s.pendingTokens + s.peerUse.PrefillTokens, age: now.Sub(s.peerUseAt)}
 	s.probeSent = !s.pushback.BackingOff(now)
 	s.running++
 	s.pendingTokens += k.missingTokens
@@ -92,8 +92,8 @@
 	cost time.Duration
 }
 
-// Over returns the estimate with the latency of a link added.
-func (e Estimate) Over(latency time.Duration) Estimate {
+// AddLatency returns the estimate with the latency of a link added.
+func (e Estimate) AddLatency(latency time.Duration) Estimate {
 	return Estimate{wait: e.wait + latency, cost: e.cost + latency}
 }
 
@@ -152,7 +152,7 @@
 		return true
 	}
 	if !take {
-		return t.coldRates.Mine(s.spec.Instance, t.place.Host, t.place.Advertised)
+		return t.coldRates.IsHolder(s.spec.Instance, t.place.Host, t.place.Advertised)
 	}
 	return t.coldRates.Take(s.spec.Instance, t.place.Host, t.place.Advertised, l.ColdRate)
 }
@@ -188,12 +188,12 @@
 
 // engineLoad is the load of an engine as seen by a request of a rank.
 func engineLoad(s *Server, rank, missing int, now time.Time) enginewait.Load {
-	running, urgent, tokens := s.workByRank.Before(rank)
-	othersRunning, othersUrgent, othersTokens := s.peerUse.Work.Before(rank)
+	running, urgent, tokens := s.workByRank.AheadAndUrgent(rank)
+	othersRunning, othersUrgent, othersTokens := s.peerUse.Work.AheadAndUrgent(rank)
 	// The engine went on prefilling after the other hosts' report.
 	prefilled := enginewait.PrefillTokensPerMS * float64(now.Sub(s.peerUseAt).Milliseconds())
 	aheadOfOthers := max(0, float64(othersTokens)-prefilled)
-	all := max(0, float64(s.peerUse.Tokens)-prefilled)
+	all := max(0, float64(s.peerUse.PrefillTokens)-prefilled)
 	return enginewait.Load{
 		InFlight: float64(s.inFlight()), InFlightAhead: float64(running + othersRunning),
 		TokensAhead: float64(tokens) + aheadOfOthers, TokensBehind: float64(s.pendingTokens-tokens) + all - aheadOfOthers, OwnTokens: float64(missing),
@@ -232,11 +232,11 @@
 }
 
 // PredictAt estimates the wait and cost in a region from the totals of its load.
-func (t *Table) PredictAt(service wheelgauge.Service, u wheelgauge.ServiceUse, p prompt.Prompt, rank int) Estimate {
+func (t *Table) PredictAt(service wheelgauge.Service, u wheelgauge.ServiceUsage, p prompt.Prompt, rank int) Estimate {
 	if u.Servers == 0 {
 		return Estimate{}
 	}
-	if service.CacheTokens > 0 {
+	if service.KVCacheTokens > 0 {
 		l := meanEngineLoad(u, p, rank)
 		return Estimate{wait: duration(l.Wait()), cost: duration(l.Cost())}
 	}
@@ -259,12 +259,12 @@
 }
 
 // meanEngineLoad is the load of an engine that has an equal share of its region's load.
-func meanEngineLoad(u wheelgauge.ServiceUse, p prompt.Prompt, rank int) enginewait.Load {
+func meanEngineLoad(u wheelgauge.ServiceUsage, p prompt.Prompt, rank int) enginewait.Load {
 	n := float64(u.Servers)
-	running, urgent, tokens := u.Work.Before(rank)
+	running, urgent, tokens := u.Work.AheadAndUrgent(rank)
 	return enginewait.Load{
 		InFlight: float64(u.Running) / n, InFlightAhead: float64(running) / n,
-		TokensAhead: float64(tokens) / n, TokensBehind: float64(u.Tokens-tokens) / n, OwnTokens: float64(p.Tokens() - p.SharedTokens()),
+		TokensAhead: float64(tokens) / n, TokensBehind: float64(u.PrefillTokens-tokens) / n, OwnTokens: float64(p.Tokens() - p.SharedTokens()),
 		Slots: float64(u.Slots) / n, DurationMS: defaultEngineDurationMS, Overtaken: urgent > 0,
 	}
 }
@@ -279,8 +279,8 @@
 	k.server.sentUnderLimit = true
 }
 
-// Began records that the first event has arrived.
-func (k *Pick) Began() {
+// FirstEvent records that the first event has arrived.
+func (k *Pick) FirstEvent() {
 	t := k.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -290,7 +290,7 @@
 	for _, part := range k.prompt.Shared() {
 		k.server.cachedParts[part.ID()] = t.now()
 	}
-	t.lastHolders[k.prompt.Subject()] = k.server
+	t.lastHolders[k.prompt.PrefixID()] = k.server
 }
 
 // recordServiceTime records how long an answer took that came behind inFlight others. For a
@@ -308,7 +308,7 @@
 // isEngine reports whether a server is a model engine; the lock is held.
 func (t *Table) isEngine(s *Server) bool {
 	l := t.serviceConfig(s.spec.Service)
-	return l != nil && l.CacheTokens > 0
+	return l != nil && l.KVCacheTokens > 0
 }
 
 // Outcome is how a dispatch ended.
@@ -325,13 +325,13 @@
 	// BackedOff: the server rejected the request and asked to back off, which determines when
 	// it gets work again.
 	BackedOff
-	// Unreached: no connection could be established.
-	Unreached
-	// Gone: another server uses the address.
-	Gone
-	// Left: the request was not sent or the caller no longer waits; it says nothing of the
+	// Unreachable: no connection could be established.
+	Unreachable
+	// AddressReused: another server uses the address.
+	AddressReused
+	// Abandoned: the request was not sent or the caller no longer waits; it says nothing of the
 	// server.
-	Left
+	Abandoned
 )
 
 // Done ends the dispatch and records its outcome; later calls have no effect.
@@ -358,13 +358,13 @@
 		s.recordOutcome(now, true)
 	case Shed:
 		s.pausedUntil = now.Add(shedPause)
-	case Unreached:
+	case Unreachable:
 		s.pause = min(maxPause, max(minPause, 2*s.pause))
 		s.pausedUntil = now.Add(s.pause)
 		s.unreachableUntil = s.pausedUntil
 		s.statsStale = false
 		s.recordOutcome(now, true)
-	case Gone:
+	case AddressReused:
 		s.replaced = true
 	}
 }
--- a/serverset/prefix_source.go
+++ b/serverset/prefix_source.go
@@ -24,9 +24,9 @@
 	hash    uint64
 }
 
-// SetHolders sets the servers of other regions, which may have prefixes cached that
+// SetRemoteServers sets the servers of other regions, which may have prefixes cached that
 // the region's own do not.
-func (t *Table) SetHolders(list []wheelgauge.Server) {
+func (t *Table) SetRemoteServers(list []wheelgauge.Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.remoteServers = t.remoteServers[:0]
@@ -37,9 +37,9 @@
 	}
 }
 
-// SetBusy names the other region with the most work: its servers are the likeliest
+// SetBusiestRegion names the other region with the most work: its servers are the likeliest
 // to have used a prefix lately.
-func (t *Table) SetBusy(region string) {
+func (t *Table) SetBusiestRegion(region string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.busiestRegion = region
@@ -73,7 +73,7 @@
 		if h.service != service || h.region != t.busiestRegion {
 			continue
 		}
-		if score := rendezvous.Score(j.prompt.Subject(), h.hash); best == "" || score > bestScore {
+		if score := rendezvous.Score(j.prompt.PrefixID(), h.hash); best == "" || score > bestScore {
 			best, bestScore = h.address, score
 		}
 	}
@@ -82,6 +82,6 @@
 
 // holdsPrefix reports whether the server used the prompt's prefix within a time.
 func (s *Server) holdsPrefix(p prompt.Prompt, now time.Time, within time.Duration) bool {
-	used, ok := s.cachedParts[p.Subject()]
+	used, ok := s.cachedParts[p.PrefixID()]
 	return ok && now.Sub(used) < within
 }
--- a/serverset/prefix_source_test.go
+++ b/serverset/prefix_source_test.go
@@ -9,18 +9,18 @@
 
 func TestFetchSource(t *testing.T) {
 	tb, c, _ := newTestTable(engines, 3)
-	tb.SetHolders([]wheelgauge.Server{
+	tb.SetRemoteServers([]wheelgauge.Server{
 		{Instance: "far", Service: engines, Address: "far:1", Region: "busy"},
 		{Instance: "idle", Service: engines, Address: "idle:1", Region: "calm"},
 		{Instance: "app", Service: plain, Address: "app:1", Region: "busy"},
 		{Instance: "leaving", Service: engines, Address: "leaving:1", Region: "busy", Leaving: true},
 	})
-	tb.SetBusy("busy")
+	tb.SetBusiestRegion("busy")
 	k := tb.Choose(NewJob(engines, promptWithPrefix("x"), 1, nil))
 	if k.Source() != "far:1" {
 		t.Errorf("a new prefix is fetched from %q, want the busiest region's server", k.Source())
 	}
-	k.Began()
+	k.FirstEvent()
 	k.Done(Served)
 	if k := tb.Choose(NewJob(engines, promptWithPrefix("x"), 1, nil)); k.Source() != "" {
 		t.Errorf("a prefix just used is fetched from %q, want no fetch", k.Source())
@@ -53,10 +53,10 @@
 			tb, _, _ := newTestTable(engines, 2)
 			k := tb.Choose(NewJob(engines, promptWithPrefix("x"), 1, nil))
 			holder := k.Server().Instance()
-			k.Began()
+			k.FirstEvent()
 			k.Done(Served)
-			work := wheelgauge.Work{{Rank: 1, Running: 1, Tokens: tt.tokens}}
-			tb.SetUses([]wheelgauge.ServerUse{{Instance: holder, Running: 1, Tokens: tt.tokens, Work: work}})
+			work := wheelgauge.Work{{Rank: 1, Running: 1, PrefillTokens: tt.tokens}}
+			tb.SetUses([]wheelgauge.ServerUsage{{Instance: holder, Running: 1, PrefillTokens: tt.tokens, Work: work}})
 			if got := tb.Choose(NewJob(engines, promptWithPrefix("x"), 1, nil)).Server().Instance(); (got == holder) != tt.stays {
 				t.Errorf("request went to %s, its prefix is at %s, want it to stay: %v", got, holder, tt.stays)
 			}
--- a/serverset/pushback.go
+++ b/serverset/pushback.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Leave records that the server announced its leaving, and reports whether that is new.
-func (k *Pick) Leave() bool {
+// MarkLeaving records that the server announced its leaving, and reports whether that is new.
+func (k *Pick) MarkLeaving() bool {
 	t := k.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,7 +100,7 @@
 		if !j.versions.Allows(s.spec.Version) || s.pushback.Leaving() || !t.eligible(s, now) {
 			continue
 		}
-		availableAt := now.Add(s.pushback.Left(now))
+		availableAt := now.Add(s.pushback.Remaining(now))
 		if s.pausedUntil.After(availableAt) {
 			availableAt = s.pausedUntil
 		}
@@ -123,7 +123,7 @@
 
 // savePushback saves the pushback of an instance that leaves the list. The lock is held.
 func (t *Table) savePushback(s *Server) {
-	if !s.pushback.Over(t.now()) {
+	if !s.pushback.Expired(t.now()) {
 		t.unlistedPushbacks[s.life] = s.pushback
 	}
 }
@@ -138,7 +138,7 @@
 // prunePushbacks drops pushbacks that are over. The lock is held.
 func (t *Table) prunePushbacks() {
 	for life, state := range t.unlistedPushbacks {
-		if state.Over(t.now()) {
+		if state.Expired(t.now()) {
 			delete(t.unlistedPushbacks, life)
 		}
 	}
--- a/serverset/restart_test.go
+++ b/serverset/restart_test.go
@@ -12,18 +12,18 @@
 // parts cached.
 func tableWithInstance(t *testing.T, now *time.Time) (*Table, Job) {
 	t.Helper()
-	service := &wheelgauge.Service{Name: "s", Conns: 10, CacheTokens: 1000, ColdRate: 3}
+	service := &wheelgauge.Service{Name: "s", MaxConns: 10, KVCacheTokens: 1000, ColdRate: 3}
 	table := New(Place{Host: "a", Hall: "h", Peers: []string{"a"}, Advertised: []string{"a"}}, func(string) *wheelgauge.Service { return service }, func() time.Time { return *now })
 	table.Update([]wheelgauge.Server{engineInstance(100)}, *now)
 	j := NewJob("s", prompt.Parse("x:500,y:10", "510,10", ""), 0, nil)
 	k := table.Choose(j)
-	k.Began()
+	k.FirstEvent()
 	k.Done(Served)
 	return table, j
 }
 
 func engineInstance(startMS int64) wheelgauge.Server {
-	return wheelgauge.Server{Instance: "i", Born: startMS, Service: "s", Address: "127.0.0.1:1", Hall: "h", Slots: 4}
+	return wheelgauge.Server{Instance: "i", StartUnixMS: startMS, Service: "s", Address: "127.0.0.1:1", Hall: "h", Slots: 4}
 }
 
 // What was learned of a server must not apply to a later instance under the same name.
@@ -36,9 +36,11 @@
 	}{
 		{"parts of prompts", func(*Table, Job, *time.Time) {}, func(s *Server) bool { return len(s.cachedParts) > 0 }},
 		{"failures", func(table *Table, j Job, _ *time.Time) { table.Choose(j).Done(Failed) }, func(s *Server) bool { return s.failureRate > 0 }},
-		{"address used by another server", func(table *Table, j Job, _ *time.Time) { table.Choose(j).Done(Gone) }, func(s *Server) bool { return s.replaced }},
-		{"unreachable server", func(table *Table, j Job, _ *time.Time) { table.Choose(j).Done(Unreached) }, func(s *Server) bool { return s.pause > 0 || !s.unreachableUntil.IsZero() }},
-		{"full", func(table *Table, j Job, _ *time.Time) { table.Choose(j).Report(Reported{running: 3, slots: 4}, true) }, func(s *Server) bool { return s.shedLevel > 0 || s.slots > 0 }},
+		{"address used by another server", func(table *Table, j Job, _ *time.Time) { table.Choose(j).Done(AddressReused) }, func(s *Server) bool { return s.replaced }},
+		{"unreachable server", func(table *Table, j Job, _ *time.Time) { table.Choose(j).Done(Unreachable) }, func(s *Server) bool { return s.pause > 0 || !s.unreachableUntil.IsZero() }},
+		{"full", func(table *Table, j Job, _ *time.Time) {
+			table.Choose(j).Report(LoadReport{running: 3, slots: 4}, true)
+		}, func(s *Server) bool { return s.shedLevel > 0 || s.slots > 0 }},
 		{"requests in flight", func(table *Table, j Job, _ *time.Time) { table.Choose(j) }, func(s *Server) bool { return s.running > 0 || s.pendingTokens > 0 }},
 		{"speed", func(table *Table, j Job, now *time.Time) {
 			k := table.Choose(j)
@@ -46,7 +48,7 @@
 			k.Done(Served)
 		}, func(s *Server) bool { return s.serviceTime > 0 }},
 		{"requests of other hosts", func(table *Table, _ Job, _ *time.Time) {
-			table.SetUses([]wheelgauge.ServerUse{{Instance: "i", Born: 100, Running: 7, Lost: 3}})
+			table.SetUses([]wheelgauge.ServerUsage{{Instance: "i", StartUnixMS: 100, Running: 7, UnreachableFrom: 3}})
 		}, func(s *Server) bool { return s.peerUse.Running > 0 || !s.pausedUntil.IsZero() }},
 	}
 	for _, tt := range tests {
@@ -70,10 +72,10 @@
 	table, j := tableWithInstance(t, &now)
 	late := table.Choose(j)
 	table.Update([]wheelgauge.Server{engineInstance(200)}, now)
-	late.Began()
-	late.Report(Reported{running: 4, slots: 4}, true)
+	late.FirstEvent()
+	late.Report(LoadReport{running: 4, slots: 4}, true)
 	late.Done(Failed)
-	table.SetUses([]wheelgauge.ServerUse{{Instance: "i", Born: 100, Running: 9, Lost: 5}})
+	table.SetUses([]wheelgauge.ServerUsage{{Instance: "i", StartUnixMS: 100, Running: 9, UnreachableFrom: 5}})
 	s := table.servers["i"]
 	if len(s.cachedParts) > 0 || s.shedLevel > 0 || s.failureRate > 0 || s.running != 0 || s.peerUse.Running != 0 || !s.pausedUntil.IsZero() {
 		t.Errorf("reports of the earlier instance changed the new one to %+v", s)
@@ -82,7 +84,7 @@
 		t.Error("the new instance is assumed to have the earlier one's parts cached")
 	}
 	table.Update([]wheelgauge.Server{engineInstance(100)}, now)
-	if got := table.servers["i"]; got != s || got.spec.Born != 200 {
+	if got := table.servers["i"]; got != s || got.spec.StartUnixMS != 200 {
 		t.Error("an earlier instance replaced a later one")
 	}
 }
--- a/serverset/server.go
+++ b/serverset/server.go
@@ -59,7 +59,7 @@
 	// workByRank splits both by rank.
 	workByRank wheelgauge.Work
 	// peerUse is what the region's other hosts had in flight at peerUseAt.
-	peerUse   wheelgauge.ServerUse
+	peerUse   wheelgauge.ServerUsage
 	peerUseAt time.Time
 	// loadReportedAt is when the server last reported its own load.
 	loadReportedAt time.Time
@@ -103,8 +103,8 @@
 
 func newServer(spec wheelgauge.Server, conns int, now func() time.Time) *Server {
 	return &Server{
-		instance: spec.Instance, address: spec.Address, startMS: spec.Born, life: spec.Life(),
-		spec: spec, hash: rendezvous.Hash(spec.Instance), pool: serverconn.New(spec.Address, conns, serverconn.Near(now)),
+		instance: spec.Instance, address: spec.Address, startMS: spec.StartUnixMS, life: spec.InstanceKey(),
+		spec: spec, hash: rendezvous.Hash(spec.Instance), pool: serverconn.New(spec.Address, conns, serverconn.SameRegion(now)),
 		cachedParts: map[uint64]time.Time{}, firstSeen: now(),
 	}
 }
@@ -115,11 +115,11 @@
 // Address returns the network address of the server.
 func (s *Server) Address() string { return s.address }
 
-// Born returns the Unix millisecond of the start of this instance, 0 if it is not known.
-func (s *Server) Born() int64 { return s.startMS }
+// StartUnixMS returns the Unix millisecond of the start of this instance, 0 if it is not known.
+func (s *Server) StartUnixMS() int64 { return s.startMS }
 
-// Life identifies this instance of the server by its name and start.
-func (s *Server) Life() string { return s.life }
+// InstanceKey identifies this instance of the server by its name and start.
+func (s *Server) InstanceKey() string { return s.life }
 
 // Pool returns the connections to the server.
 func (s *Server) Pool() *serverconn.Pool { return s.pool }
@@ -141,20 +141,20 @@
 }
 
 // use returns what this host reports to others about the server.
-func (s *Server) use(now time.Time) wheelgauge.ServerUse {
-	u := wheelgauge.ServerUse{Instance: s.spec.Instance, Born: s.spec.Born, Running: s.running, Tokens: s.pendingTokens, Work: s.workByRank.Used()}
+func (s *Server) use(now time.Time) wheelgauge.ServerUsage {
+	u := wheelgauge.ServerUsage{Instance: s.spec.Instance, StartUnixMS: s.spec.StartUnixMS, Running: s.running, PrefillTokens: s.pendingTokens, Work: s.workByRank.NonZero()}
 	if s.slowdown > 0 {
-		u.Pace, u.Paced = int(s.slowdown), 1
+		u.SlowdownSum, u.SlowdownHosts = int(s.slowdown), 1
 	}
 	if s.replaced || now.Before(s.unreachableUntil) {
-		u.Lost = 1
+		u.UnreachableFrom = 1
 	}
 	return u
 }
 
 // applyPeerReports pauses the server if enough other hosts report it unreachable.
-func (s *Server) applyPeerReports(u wheelgauge.ServerUse, now time.Time) {
-	if u.Lost < minUnreachableReports || !s.lastReached.IsZero() && now.Sub(s.lastReached) < ownAnswerValidity {
+func (s *Server) applyPeerReports(u wheelgauge.ServerUsage, now time.Time) {
+	if u.UnreachableFrom < minUnreachableReports || !s.lastReached.IsZero() && now.Sub(s.lastReached) < ownAnswerValidity {
 		return
 	}
 	if until := now.Add(peerReportPause); until.After(s.pausedUntil) {
--- a/serverset/simulation_test.go
+++ b/serverset/simulation_test.go
@@ -39,7 +39,7 @@
 	queue    events
 	random   *rand.Rand
 	hosts    []*Table
-	reported [][]wheelgauge.ServerUse
+	reported [][]wheelgauge.ServerUsage
 }
 
 // poolSim simulates hosts with few servers of a plain service.
@@ -95,12 +95,12 @@
 // heartbeat reports what a host has in flight, and gives the host what all others reported last.
 func (p *simulation) heartbeat(host int) {
 	p.reported[host], _ = p.hosts[host].Uses()
-	sums := map[string]wheelgauge.ServerUse{}
+	sums := map[string]wheelgauge.ServerUsage{}
 	for i, uses := range p.reported {
 		for _, u := range uses {
 			if i != host {
 				was := sums[u.Instance]
-				sums[u.Instance] = wheelgauge.ServerUse{Instance: u.Instance, Running: was.Running + u.Running, Tokens: was.Tokens + u.Tokens, Work: was.Work.Plus(u.Work)}
+				sums[u.Instance] = wheelgauge.ServerUsage{Instance: u.Instance, Running: was.Running + u.Running, PrefillTokens: was.PrefillTokens + u.PrefillTokens, Work: was.Work.Plus(u.Work)}
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 	s := p.servers[at]
 	if s.running+len(s.waiting) >= s.capacity {
 		p.sheds++
-		k.Report(Reported{running: s.running, waiting: len(s.waiting), slots: s.slots}, true)
+		k.Report(LoadReport{running: s.running, waiting: len(s.waiting), slots: s.slots}, true)
 		k.Done(Shed)
 		p.send(host, arrivedAt, append(tried, k.Server().Instance()))
 		return
@@ -162,7 +162,7 @@
 			s.waiting = s.waiting[1:]
 			next()
 		}
-		k.Report(Reported{running: s.running, waiting: len(s.waiting), slots: s.slots}, false)
+		k.Report(LoadReport{running: s.running, waiting: len(s.waiting), slots: s.slots}, false)
 		k.Done(Served)
 		if p.at.Sub(arrivedAt) <= poolDeadline {
 			p.inTime++
@@ -201,28 +201,28 @@
 func TestParseReported(t *testing.T) {
 	tests := []struct {
 		text string
-		want Reported
+		want LoadReport
 		ok   bool
 	}{
-		{"3,0,8", Reported{3, 0, 8, 0}, true},
-		{"6, 24, 6", Reported{6, 24, 6, 0}, true},
-		{"3,0,8,100", Reported{3, 0, 8, 100}, true},
-		{"3,0,8, 250", Reported{3, 0, 8, 250}, true},
-		{"3,0,8,999999999", Reported{3, 0, 8, maxSlowdown}, true},
-		{"3,0,8,0", Reported{}, false},
-		{"3,0,8,-5", Reported{}, false},
-		{"3,0,8,x", Reported{}, false},
-		{"3,0,8,", Reported{}, false},
-		{"3,0,8,100,7", Reported{}, false},
-		{"", Reported{}, false},
-		{"3,8", Reported{}, false},
-		{"3,x,8", Reported{}, false},
-		{"3,-1,8", Reported{}, false},
-		{"3,0,8,1", Reported{3, 0, 8, minSlowdown}, true},
-		{"5000000000000000000,5000000000000000000,9223372036854775807", Reported{maxReported, maxReported, maxReported, 0}, true},
+		{"3,0,8", LoadReport{3, 0, 8, 0}, true},
+		{"6, 24, 6", LoadReport{6, 24, 6, 0}, true},
+		{"3,0,8,100", LoadReport{3, 0, 8, 100}, true},
+		{"3,0,8, 250", LoadReport{3, 0, 8, 250}, true},
+		{"3,0,8,999999999", LoadReport{3, 0, 8, maxSlowdown}, true},
+		{"3,0,8,0", LoadReport{}, false},
+		{"3,0,8,-5", LoadReport{}, false},
+		{"3,0,8,x", LoadReport{}, false},
+		{"3,0,8,", LoadReport{}, false},
+		{"3,0,8,100,7", LoadReport{}, false},
+		{"", LoadReport{}, false},
+		{"3,8", LoadReport{}, false},
+		{"3,x,8", LoadReport{}, false},
+		{"3,-1,8", LoadReport{}, false},
+		{"3,0,8,1", LoadReport{3, 0, 8, minSlowdown}, true},
+		{"5000000000000000000,5000000000000000000,9223372036854775807", LoadReport{maxReported, maxReported, maxReported, 0}, true},
 	}
 	for _, tt := range tests {
-		if got, ok := ParseReported(tt.text); got != tt.want || ok != tt.ok {
+		if got, ok := ParseLoadReport(tt.text); got != tt.want || ok != tt.ok {
 			t.Errorf("%q: %+v, %t, want %+v, %t", tt.text, got, ok, tt.want, tt.ok)
 		}
 	}
@@ -236,7 +236,7 @@
 	f.Add("5000000000000000000,5000000000000000000,8")
 	f.Add("0,9223372036854775807,9223372036854775807")
 	f.Fuzz(func(t *testing.T, text string) {
-		r, ok := ParseReported(text)
+		r, ok := ParseLoadReport(text)
 		if !ok {
 			return
 		}
--- a/serverset/size_test.go
+++ b/serverset/size_test.go
@@ -32,7 +32,7 @@
 			listed := liveBytes()
 			tb.Update(list, c.at)
 			own := liveBytes()
-			tb.SetHolders(list)
+			tb.SetRemoteServers(list)
 			others := liveBytes()
 			for b.Loop() {
 				tb.Update(list, c.at)
--- a/serverset/slowdown.go
+++ b/serverset/slowdown.go
@@ -22,8 +22,8 @@
 	if s.slowdown == 0 {
 		hosts = 0
 	}
-	sum += float64(s.peerUse.Pace)
-	hosts += s.peerUse.Paced
+	sum += float64(s.peerUse.SlowdownSum)
+	hosts += s.peerUse.SlowdownHosts
 	if hosts == 0 || sum <= 0 {
 		return 1
 	}
--- a/serverset/slowdown_test.go
+++ b/serverset/slowdown_test.go
@@ -15,17 +15,17 @@
 	tests := []struct {
 		name    string
 		reports []int
-		others  wheelgauge.ServerUse
+		others  wheelgauge.ServerUsage
 		least   float64
 		most    float64
 	}{
-		{"no reports", nil, wheelgauge.ServerUse{}, 1, 1},
-		{"as usual", []int{100, 100}, wheelgauge.ServerUse{}, 1, 1},
-		{"once slow", []int{100, 100, 100, 400}, wheelgauge.ServerUse{}, 1.2, 2},
-		{"always slow", []int{400, 400, 400}, wheelgauge.ServerUse{}, 4, 4},
-		{"no reports for a while", []int{400, 0, 0}, wheelgauge.ServerUse{}, 4, 4},
-		{"other hosts got reports", nil, wheelgauge.ServerUse{Pace: 600, Paced: 3}, 2, 2},
-		{"most other hosts got other reports", []int{400}, wheelgauge.ServerUse{Pace: 300, Paced: 3}, 1.75, 1.75},
+		{"no reports", nil, wheelgauge.ServerUsage{}, 1, 1},
+		{"as usual", []int{100, 100}, wheelgauge.ServerUsage{}, 1, 1},
+		{"once slow", []int{100, 100, 100, 400}, wheelgauge.ServerUsage{}, 1.2, 2},
+		{"always slow", []int{400, 400, 400}, wheelgauge.ServerUsage{}, 4, 4},
+		{"no reports for a while", []int{400, 0, 0}, wheelgauge.ServerUsage{}, 4, 4},
+		{"other hosts got reports", nil, wheelgauge.ServerUsage{SlowdownSum: 600, SlowdownHosts: 3}, 2, 2},
+		{"most other hosts got other reports", []int{400}, wheelgauge.ServerUsage{SlowdownSum: 300, SlowdownHosts: 3}, 1.75, 1.75},
 	}
 	for _, tt := range tests {
 		s := &Server{peerUse: tt.others}
@@ -59,7 +59,7 @@
 	)
 	rng := rand.New(rand.NewPCG(3, 4))
 	at := time.Unix(1000, 0)
-	service := &wheelgauge.Service{Name: "s", Conns: 100, CacheTokens: 500_000}
+	service := &wheelgauge.Service{Name: "s", MaxConns: 100, KVCacheTokens: 500_000}
 	table := New(Place{Host: "g", Hall: "h", Peers: []string{"g"}, Advertised: []string{"g"}}, func(string) *wheelgauge.Service { return service }, func() time.Time { return at })
 	var list []wheelgauge.Server
 	slowdowns := map[string]float64{}
@@ -82,14 +82,14 @@
 		var left []running
 		for _, r := range open {
 			if !at.Before(r.first) {
-				r.pick.Began()
+				r.pick.FirstEvent()
 			}
 			if at.Before(r.ends) {
 				left = append(left, r)
 				continue
 			}
 			if slowdown := slowdowns[r.pick.Server().Instance()] * (0.6 + 0.8*rng.Float64()); reported {
-				r.pick.Report(Reported{running: 1, slots: 64, slowdown: int(100 * slowdown)}, false)
+				r.pick.Report(LoadReport{running: 1, slots: 64, slowdown: int(100 * slowdown)}, false)
 			}
 			r.pick.Done(Served)
 		}
--- a/serverset/table.go
+++ b/serverset/table.go
@@ -104,12 +104,12 @@
 	defer t.mu.Unlock()
 	t.place.Peers, t.place.Advertised = slices.Clone(peers), slices.Clone(advertised)
 	for _, s := range t.servers {
-		s.pool.SetMost(t.connLimit(s.spec.Service))
+		s.pool.SetMaxConns(t.connLimit(s.spec.Service))
 	}
 }
 
-// Sharers returns the hosts among which the rate of a server with a low limit is shared.
-func (t *Table) Sharers() []string {
+// LowRateHosts returns the hosts among which the rate of a server with a low limit is shared.
+func (t *Table) LowRateHosts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.place.Advertised)
@@ -118,10 +118,10 @@
 // connLimit is this host's share of a server's connections.
 func (t *Table) connLimit(service string) int {
 	l := t.serviceConfig(service)
-	if l == nil || l.Conns == 0 {
+	if l == nil || l.MaxConns == 0 {
 		return minConns
 	}
-	return max(minConns, l.Conns/(len(t.place.Peers)+1))
+	return max(minConns, l.MaxConns/(len(t.place.Peers)+1))
 }
 
 // Update replaces the list of the region's servers by one that was requested at
@@ -134,10 +134,10 @@
 	for _, spec := range list {
 		seen[spec.Instance] = true
 		s := t.servers[spec.Instance]
-		if s != nil && spec.Born < s.spec.Born {
+		if s != nil && spec.StartUnixMS < s.spec.StartUnixMS {
 			continue // an outdated list, which names an earlier instance
 		}
-		if s == nil || spec.Born > s.spec.Born {
+		if s == nil || spec.StartUnixMS > s.spec.StartUnixMS {
 			s = t.addInstance(s, spec)
 		}
 		if s.spec.Address == spec.Address && t.becameCold(s, spec, requestedAt) {
@@ -205,8 +205,8 @@
 // newer list says otherwise.
 const coldAfterUndrain = 10 * time.Second
 
-// Confirm records that the last list was still current when requested again.
-func (t *Table) Confirm(requestedAt time.Time) {
+// ConfirmList records that the last list was still current when requested again.
+func (t *Table) ConfirmList(requestedAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.listRequestedAt = requestedAt
@@ -258,18 +258,18 @@
 }
 
 // SetUses sets what the region's other hosts have in flight.
-func (t *Table) SetUses(uses []wheelgauge.ServerUse) {
+func (t *Table) SetUses(uses []wheelgauge.ServerUsage) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	for _, s := range t.servers {
 		if !s.hasRecentReport(now) {
-			s.peerUse, s.peerUseAt = wheelgauge.ServerUse{}, now
+			s.peerUse, s.peerUseAt = wheelgauge.ServerUsage{}, now
 		}
 	}
 	for _, u := range uses {
 		s := t.servers[u.Instance]
-		if s == nil || u.Born != s.spec.Born {
+		if s == nil || u.StartUnixMS != s.spec.StartUnixMS {
 			continue // an earlier instance, or one that is not listed yet
 		}
 		if !s.hasRecentReport(now) {
@@ -280,23 +280,23 @@
 }
 
 // Uses returns what this host has in flight, by server and by service.
-func (t *Table) Uses() ([]wheelgauge.ServerUse, []wheelgauge.ServiceUse) {
+func (t *Table) Uses() ([]wheelgauge.ServerUsage, []wheelgauge.ServiceUsage) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var uses []wheelgauge.ServerUse
-	sums := map[string]wheelgauge.ServiceUse{}
+	var uses []wheelgauge.ServerUsage
+	sums := map[string]wheelgauge.ServiceUsage{}
 	for _, s := range t.servers {
 		use := s.use(t.now())
-		if use.Told() {
+		if use.Reportable() {
 			uses = append(uses, use)
 		}
 		if s.running == 0 {
 			continue
 		}
-		own := wheelgauge.ServiceUse{Service: s.spec.Service, Running: use.Running, Tokens: use.Tokens, Work: use.Work}
+		own := wheelgauge.ServiceUsage{Service: s.spec.Service, Running: use.Running, PrefillTokens: use.PrefillTokens, Work: use.Work}
 		sums[own.Service] = sums[own.Service].Plus(own)
 	}
-	totals := make([]wheelgauge.ServiceUse, 0, len(sums))
+	totals := make([]wheelgauge.ServiceUsage, 0, len(sums))
 	for _, sum := range sums {
 		totals = append(totals, sum)
 	}
--- a/serverset/table_test.go
+++ b/serverset/table_test.go
@@ -21,8 +21,8 @@
 )
 
 var (
-	engineService = &wheelgauge.Service{Name: engines, Conns: 100, ColdRate: 3, CacheTokens: 600_000}
-	plainService  = &wheelgauge.Service{Name: plain, Conns: 100}
+	engineService = &wheelgauge.Service{Name: engines, MaxConns: 100, ColdRate: 3, KVCacheTokens: 600_000}
+	plainService  = &wheelgauge.Service{Name: plain, MaxConns: 100}
 )
 
 func testServiceConfig(service string) *wheelgauge.Service {
@@ -58,7 +58,7 @@
 			t.Fatalf("requests of %s went to %s, then to %s", prefix, prev, k.Server().Instance())
 		}
 		serverOf[prefix] = k.Server().Instance()
-		k.Began()
+		k.FirstEvent()
 		k.Done(Served)
 	}
 	used := map[string]bool{}
@@ -95,10 +95,10 @@
 		{"a server off the list", func(tb *Table, list []wheelgauge.Server, at time.Time) { tb.Update(list[1:], at) }, 1},
 		{"a drained hall", func(tb *Table, _ []wheelgauge.Server, _ time.Time) { tb.SetDrained([]string{"h"}) }, 0},
 		{"a server whose address another one uses", func(tb *Table, _ []wheelgauge.Server, _ time.Time) {
-			tb.Choose(NewJob(plain, prompt.Prompt{}, 1, nil)).Done(Gone)
+			tb.Choose(NewJob(plain, prompt.Prompt{}, 1, nil)).Done(AddressReused)
 		}, 1},
 		{"an unreachable server", func(tb *Table, _ []wheelgauge.Server, _ time.Time) {
-			tb.Choose(NewJob(plain, prompt.Prompt{}, 1, nil)).Done(Unreached)
+			tb.Choose(NewJob(plain, prompt.Prompt{}, 1, nil)).Done(Unreachable)
 		}, 1},
 	}
 	for _, tt := range tests {
@@ -161,7 +161,7 @@
 		t.Errorf("%d requests at once to a hall whose drain has just ended, want 1", burst)
 	}
 	c.advance(3 * time.Second)
-	tb.Confirm(c.at)
+	tb.ConfirmList(c.at)
 	c.advance(2 * time.Second)
 	for range 5 {
 		if tb.Choose(NewJob(engines, promptWithPrefix("x"), 1, nil)) == nil {
@@ -191,14 +191,14 @@
 
 func TestCountsReturnToZero(t *testing.T) {
 	tb, _, _ := newTestTable(engines, 2)
-	outcomes := []Outcome{Served, Failed, Shed, Unreached, Gone, Left}
+	outcomes := []Outcome{Served, Failed, Shed, Unreachable, AddressReused, Abandoned}
 	for i, o := range outcomes {
 		k := tb.Choose(NewJob(engines, promptWithPrefix("x"), 1, nil))
 		if k == nil {
 			continue
 		}
 		if i%2 == 0 {
-			k.Began()
+			k.FirstEvent()
 		}
 		k.Done(o)
 		k.Done(o)
@@ -208,7 +208,7 @@
 		t.Errorf("still in flight: %v, want nothing", totals)
 	}
 	for _, u := range uses { // unreachable servers are reported
-		if u.Running != 0 || u.Tokens != 0 || len(u.Work) != 0 {
+		if u.Running != 0 || u.PrefillTokens != 0 || len(u.Work) != 0 {
 			t.Errorf("still in flight: %v, want nothing", u)
 		}
 	}
@@ -241,8 +241,8 @@
 			}
 		}},
 		{"others'", func(tb *Table) {
-			work := wheelgauge.Work{{Rank: least, Running: 8, Tokens: 80_000}}
-			tb.SetUses([]wheelgauge.ServerUse{{Instance: "i0", Running: 8, Tokens: 80_000, Work: work}})
+			work := wheelgauge.Work{{Rank: least, Running: 8, PrefillTokens: 80_000}}
+			tb.SetUses([]wheelgauge.ServerUsage{{Instance: "i0", Running: 8, PrefillTokens: 80_000, Work: work}})
 		}},
 	}
 	for _, tt := range tests {
@@ -259,7 +259,7 @@
 	tb, _, _ := newTestTable(engines, 1)
 	tests[0].fill(tb)
 	uses, totals := tb.Uses()
-	if running, tokens := uses[0].Work.Ahead(least); running != 8 || tokens != uses[0].Tokens {
+	if running, tokens := uses[0].Work.Ahead(least); running != 8 || tokens != uses[0].PrefillTokens {
 		t.Errorf("reported %+v, want 8 requests ahead with all tokens", uses[0])
 	}
 	if running, _ := totals[0].Work.Ahead(urgent); running != 0 {
--- a/serverset/thundering_herd_test.go
+++ b/serverset/thundering_herd_test.go
@@ -75,18 +75,18 @@
 		start = e.freeAt
 	}
 	e.freeAt = start.Add(time.Duration(p.prefillTokens(e, k, pr) / engineTokensPerMS * float64(time.Millisecond)))
-	e.cachedAt[pr.Subject()] = e.freeAt
+	e.cachedAt[pr.PrefixID()] = e.freeAt
 	arrivedAt := p.at
 	p.after(e.freeAt.Sub(p.at), func() {
 		p.firstEventTimes = append(p.firstEventTimes, p.at.Sub(arrivedAt))
-		k.Began()
+		k.FirstEvent()
 		p.after(engineDecodeTime, func() { k.Done(Served) })
 	})
 }
 
 // prefillTokens is how many tokens an engine must prefill of a prompt.
 func (p *engineSim) prefillTokens(e *engine, k *Pick, pr prompt.Prompt) float64 {
-	holds := func(e *engine) bool { return e != nil && p.at.Sub(e.cachedAt[pr.Subject()]) < engineCacheTime }
+	holds := func(e *engine) bool { return e != nil && p.at.Sub(e.cachedAt[pr.PrefixID()]) < engineCacheTime }
 	source := p.engineAt(k.Source())
 	if holds(e) || holds(source) {
 		return float64(pr.Tokens() - pr.SharedTokens())
@@ -133,14 +133,14 @@
 func TestNoThunderingHerdOnSameUpdate(t *testing.T) {
 	const hosts, engineCount, most = 64, 40, 24
 	p, list := newEngineSim(1, hosts, engineCount, 1000)
-	var uses []wheelgauge.ServerUse
+	var uses []wheelgauge.ServerUsage
 	for i, s := range list {
 		running := 30
 		if i == 17 {
 			running = 5
 		}
-		work := wheelgauge.Work{{Rank: 0, Running: running, Tokens: 800 * running}}
-		uses = append(uses, wheelgauge.ServerUse{Instance: s.Instance, Running: running, Tokens: 800 * running, Work: work})
+		work := wheelgauge.Work{{Rank: 0, Running: running, PrefillTokens: 800 * running}}
+		uses = append(uses, wheelgauge.ServerUsage{Instance: s.Instance, Running: running, PrefillTokens: 800 * running, Work: work})
 	}
 	got := map[string]int{}
 	for i, h := range p.hosts {
--- a/serverset/unreachable_test.go
+++ b/serverset/unreachable_test.go
@@ -12,14 +12,14 @@
 func TestPeersReportUnreachableServer(t *testing.T) {
 	tests := []struct {
 		name   string
-		use    wheelgauge.ServerUse
+		use    wheelgauge.ServerUsage
 		served bool // this host has just got an answer
 		used   int  // servers that get work, of two
 	}{
-		{"no host", wheelgauge.ServerUse{Running: 3}, false, 2},
-		{"one host, which may be cut off itself", wheelgauge.ServerUse{Lost: 1}, false, 2},
-		{"two hosts", wheelgauge.ServerUse{Lost: 2}, false, 1},
-		{"two hosts, but it answers here", wheelgauge.ServerUse{Lost: 2}, true, 2},
+		{"no host", wheelgauge.ServerUsage{Running: 3}, false, 2},
+		{"one host, which may be cut off itself", wheelgauge.ServerUsage{UnreachableFrom: 1}, false, 2},
+		{"two hosts", wheelgauge.ServerUsage{UnreachableFrom: 2}, false, 1},
+		{"two hosts, but it answers here", wheelgauge.ServerUsage{UnreachableFrom: 2}, true, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -28,7 +28,7 @@
 				tb.servers["i0"].lastReached = c.at
 			}
 			tt.use.Instance = "i0"
-			tb.SetUses([]wheelgauge.ServerUse{tt.use})
+			tb.SetUses([]wheelgauge.ServerUsage{tt.use})
 			c.advance(time.Millisecond)
 			used := map[string]bool{}
 			for range 20 {
@@ -45,16 +45,16 @@
 // address another server uses for as long as it is listed.
 func TestUnreachableServersAreReported(t *testing.T) {
 	tb, c, _ := newTestTable(plain, 1)
-	tb.Choose(NewJob(plain, promptWithPrefix("x"), 1, nil)).Done(Unreached)
-	if uses, _ := tb.Uses(); len(uses) != 1 || uses[0].Lost != 1 {
+	tb.Choose(NewJob(plain, promptWithPrefix("x"), 1, nil)).Done(Unreachable)
+	if uses, _ := tb.Uses(); len(uses) != 1 || uses[0].UnreachableFrom != 1 {
 		t.Fatalf("reported %+v, want one unreachable server", uses)
 	}
 	c.advance(minPause + time.Millisecond)
 	if uses, _ := tb.Uses(); len(uses) != 0 {
 		t.Fatalf("reported %+v after its pause, want nothing", uses)
 	}
-	tb.Choose(NewJob(plain, promptWithPrefix("x"), 1, nil)).Done(Gone)
-	if uses, totals := tb.Uses(); len(uses) != 1 || uses[0].Lost != 1 || len(totals) != 0 {
+	tb.Choose(NewJob(plain, promptWithPrefix("x"), 1, nil)).Done(AddressReused)
+	if uses, totals := tb.Uses(); len(uses) != 1 || uses[0].UnreachableFrom != 1 || len(totals) != 0 {
 		t.Errorf("reported %+v with totals %+v, want one unreachable server and no totals", uses, totals)
 	}
 }
--- a/serverset/versions.go
+++ b/serverset/versions.go
@@ -26,8 +26,8 @@
 	t.stateConfirmedAt = t.now()
 }
 
-// Lists reports whether a service has a server of an allowed version that is not leaving.
-func (t *Table) Lists(service string, versions wheelgauge.VersionChoice) bool {
+// HasVersion reports whether a service has a server of an allowed version that is not leaving.
+func (t *Table) HasVersion(service string, versions wheelgauge.VersionFilter) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.services[service] {
@@ -63,8 +63,8 @@
 	return !s.versionListedAt.IsZero() && now.Sub(s.versionListedAt) < maxVersionHold && !t.stateConfirmedAt.After(s.versionListedAt.Add(stateApplyLag))
 }
 
-// Fresh reports whether the server appeared recently or is cold.
-func (k *Pick) Fresh() bool {
+// NewOrCold reports whether the server appeared recently or is cold.
+func (k *Pick) NewOrCold() bool {
 	t := k.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/serverset/versions_test.go
+++ b/serverset/versions_test.go
@@ -16,8 +16,8 @@
 		return wheelgauge.Server{Instance: instance, Service: plain, Version: version, Address: "127.0.0.1:1", Hall: "h", Slots: 4}
 	}
 	tb := New(Place{Host: "g", Hall: "h", Peers: []string{"g"}}, func(string) *wheelgauge.Service { return nil }, now)
-	chosen := func(versions wheelgauge.VersionChoice) string {
-		k := tb.Choose(NewJob(plain, prompt.Prompt{}, 0, nil).Of(versions))
+	chosen := func(versions wheelgauge.VersionFilter) string {
+		k := tb.Choose(NewJob(plain, prompt.Prompt{}, 0, nil).WithVersions(versions))
 		if k == nil {
 			return ""
 		}
@@ -51,7 +51,7 @@
 			t.Errorf("%s: chose %q, want none as no version is allowed", s.name, got)
 		}
 	}
-	if !tb.Lists(plain, only) || tb.Lists(plain, wheelgauge.OnlyVersion("v1")) {
+	if !tb.HasVersion(plain, only) || tb.HasVersion(plain, wheelgauge.OnlyVersion("v1")) {
 		t.Error("Lists reports the wrong versions, want only v2")
 	}
 }
--- a/setaside/table.go
+++ b/setaside/table.go
@@ -20,18 +20,18 @@
 	probing  bool
 }
 
-// Table holds the breaker state of the servers. It is safe for concurrent use.
-type Table struct {
+// Breakers holds the breaker state of the servers. It is safe for concurrent use.
+type Breakers struct {
 	mu      sync.Mutex
 	records map[string]*record
 }
 
 // New returns an empty table.
-func New() *Table { return &Table{records: map[string]*record{}} }
+func New() *Breakers { return &Breakers{records: map[string]*record{}} }
 
 // Allowed reports whether a server may get work now. After failureThreshold
 // failures one caller at a time is allowed once the pause is over.
-func (t *Table) Allowed(name string, now time.Time) bool {
+func (t *Breakers) Allowed(name string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[name]
@@ -41,8 +41,8 @@
 	return !r.probing && now.After(r.until)
 }
 
-// Chosen records that an allowed server gets a call.
-func (t *Table) Chosen(name string) {
+// CallStarted records that an allowed server gets a call.
+func (t *Breakers) CallStarted(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.records[name]; r != nil && r.failures >= failureThreshold {
@@ -51,7 +51,7 @@
 }
 
 // Failed records a failure.
-func (t *Table) Failed(name string, now time.Time) {
+func (t *Breakers) Failed(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[name]
@@ -65,8 +65,8 @@
 	r.until = now.Add(min(pause, maxPause))
 }
 
-// Worked records a success and resets the failures.
-func (t *Table) Worked(name string) {
+// Succeeded records a success and resets the failures.
+func (t *Breakers) Succeeded(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.records, name)
--- a/statefeed/feed.go
+++ b/statefeed/feed.go
@@ -44,26 +44,26 @@
 // New returns a Feed of the state that the function returns.
 func New(state func() wheelgauge.FleetState) *Feed { return &Feed{state: state} }
 
-// Part returns the requested chunk if its body is still cached, and the first chunk of the
+// Chunk returns the requested chunk if its body is still cached, and the first chunk of the
 // newest body otherwise.
-func (f *Feed) Part(r wheelgauge.StateRequest) (wheelgauge.StatePart, error) {
+func (f *Feed) Chunk(r wheelgauge.StateRequest) (wheelgauge.StateChunk, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.state()
 	if s.Generation <= r.Generation || s.Version == r.Version {
-		return wheelgauge.StatePart{Generation: s.Generation, Version: s.Version, Drained: s.Drained, Rollouts: s.Rollouts, Packed: wheelgauge.PackedBody{Version: s.Version}}, nil
+		return wheelgauge.StateChunk{Generation: s.Generation, Version: s.Version, DrainedHalls: s.DrainedHalls, Rollouts: s.Rollouts, Packed: wheelgauge.PackedBody{Version: s.Version}}, nil
 	}
 	p := f.cached(r.Packed)
 	if p == nil {
 		var err error
 		if p, err = f.compressed(s); err != nil {
-			return wheelgauge.StatePart{}, err
+			return wheelgauge.StateChunk{}, err
 		}
 	}
 	if p.id != r.Packed {
-		return p.chunk(0, r.Most), nil
+		return p.chunk(0, r.MaxBytes), nil
 	}
-	return p.chunk(r.Offset, r.Most), nil
+	return p.chunk(r.Offset, r.MaxBytes), nil
 }
 
 // cached returns a body from the cache, or nil. The caller holds the lock.
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("compress version %d: %w", s.Version, err)
 	}
-	p := &compressedBody{id: wheelgauge.PackedBody{Version: s.Version, Size: len(data), Sum: crc32.ChecksumIEEE(data)}, state: s, data: data}
+	p := &compressedBody{id: wheelgauge.PackedBody{Version: s.Version, Size: len(data), CRC32: crc32.ChecksumIEEE(data)}, state: s, data: data}
 	f.cache = append(f.cache, p)
 	f.evict()
 	return p, nil
@@ -119,10 +119,10 @@
 	return out.Bytes(), nil
 }
 
-func (p *compressedBody) chunk(offset, maxBytes int) wheelgauge.StatePart {
+func (p *compressedBody) chunk(offset, maxBytes int) wheelgauge.StateChunk {
 	from := min(max(0, offset), len(p.data))
 	to := min(from+min(max(1, maxBytes), maxChunkBytes), len(p.data))
-	return wheelgauge.StatePart{
-		Generation: p.state.Generation, Version: p.state.Version, Drained: p.state.Drained, Rollouts: p.state.Rollouts, Packed: p.id, Offset: from, Data: p.data[from:to],
+	return wheelgauge.StateChunk{
+		Generation: p.state.Generation, Version: p.state.Version, DrainedHalls: p.state.DrainedHalls, Rollouts: p.state.Rollouts, Packed: p.id, Offset: from, Data: p.data[from:to],
 	}
 }
--- a/statefeed/feed_test.go
+++ b/statefeed/feed_test.go
@@ -11,13 +11,13 @@
 	"wheelgauge"
 )
 
-func ExampleFeed_Part() {
+func ExampleFeed_Chunk() {
 	f := New(func() wheelgauge.FleetState {
 		return wheelgauge.FleetState{Generation: 3, Version: 9, Body: bytes.Repeat([]byte("route "), 1000)}
 	})
-	p, err := f.Part(wheelgauge.StateRequest{Generation: 2, Version: 8, Most: 16})
+	p, err := f.Chunk(wheelgauge.StateRequest{Generation: 2, Version: 8, MaxBytes: 16})
 	fmt.Println(p.Version, p.Offset, len(p.Data), p.Packed.Size > 16, err)
-	p, err = f.Part(wheelgauge.StateRequest{Generation: 2, Version: 8, Packed: p.Packed, Offset: 16, Most: 16})
+	p, err = f.Chunk(wheelgauge.StateRequest{Generation: 2, Version: 8, Packed: p.Packed, Offset: 16, MaxBytes: 16})
 	fmt.Println(p.Version, p.Offset, len(p.Data), err)
 	// Output:
 	// 9 0 16 true <nil>
@@ -28,7 +28,7 @@
 func TestPartBounds(t *testing.T) {
 	state := wheelgauge.FleetState{Generation: 3, Version: 9, Body: []byte("{}")}
 	f := New(func() wheelgauge.FleetState { return state })
-	whole, err := f.Part(wheelgauge.StateRequest{Most: 1 << 30})
+	whole, err := f.Chunk(wheelgauge.StateRequest{MaxBytes: 1 << 30})
 	if err != nil || len(whole.Data) != whole.Packed.Size {
 		t.Fatalf("got %d of %d bytes, error %v", len(whole.Data), whole.Packed.Size, err)
 	}
@@ -45,7 +45,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p, err := f.Part(wheelgauge.StateRequest{Packed: whole.Packed, Offset: tt.offset, Most: tt.most})
+			p, err := f.Chunk(wheelgauge.StateRequest{Packed: whole.Packed, Offset: tt.offset, MaxBytes: tt.most})
 			if err != nil || len(p.Data) != tt.want {
 				t.Errorf("got %d bytes, error %v, want %d", len(p.Data), err, tt.want)
 			}
@@ -70,16 +70,16 @@
 	}
 	state := stateAt(1)
 	f := New(func() wheelgauge.FleetState { return state })
-	first, err := f.Part(wheelgauge.StateRequest{Most: 4})
+	first, err := f.Chunk(wheelgauge.StateRequest{MaxBytes: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := uint64(2); n <= 2*changes; n++ {
 		state = stateAt(n)
-		if _, err := f.Part(wheelgauge.StateRequest{Most: 4}); err != nil {
+		if _, err := f.Chunk(wheelgauge.StateRequest{MaxBytes: 4}); err != nil {
 			t.Fatal(err)
 		}
-		p, err := f.Part(wheelgauge.StateRequest{Packed: first.Packed, Offset: 4, Most: 4})
+		p, err := f.Chunk(wheelgauge.StateRequest{Packed: first.Packed, Offset: 4, MaxBytes: 4})
 		switch {
 		case err != nil:
 			t.Fatal(err)
@@ -99,8 +99,8 @@
 	for n := range count {
 		set.Routes = append(set.Routes, wheelgauge.PathRoute{
 			Name: fmt.Sprintf("r-%07x", r.Uint32()>>4), Host: fmt.Sprintf("%x.example", r.Uint32N(1<<24)), Prefix: fmt.Sprintf("/%x/", r.Uint32()),
-			Kind: wheelgauge.RouteRepeatable, Timeout: 3 * time.Second, Objective: time.Second / 2, Priority: 2, Attempts: 2,
-			Shares: []wheelgauge.Share{{Service: fmt.Sprint("s-", n%5), Weight: 1}},
+			Kind: wheelgauge.RouteRepeatable, Timeout: 3 * time.Second, LatencyObjective: time.Second / 2, Priority: 2, MaxAttempts: 2,
+			Shares: []wheelgauge.TrafficShare{{Service: fmt.Sprint("s-", n%5), Weight: 1}},
 		})
 	}
 	body, err := json.Marshal(set)
--- a/statefetch/fetcher.go
+++ b/statefetch/fetcher.go
@@ -66,8 +66,8 @@
 	return wheelgauge.FleetState{}, errors.Join(errs...)
 }
 
-// Came returns how many bytes of the current body have been received.
-func (f *Fetcher) Came() int { return len(f.data) }
+// ReceivedBytes returns how many bytes of the current body have been received.
+func (f *Fetcher) ReceivedBytes() int { return len(f.data) }
 
 // fetchFrom fetches one chunk after the other. Each has its own timeout, so that a body of
 // any size can be transferred over a link of any bandwidth, and a failed call loses one
@@ -83,7 +83,7 @@
 		if p.Generation <= held.Generation {
 			return wheelgauge.FleetState{}, errNoNewerState
 		}
-		s := wheelgauge.FleetState{Generation: p.Generation, Version: p.Version, Drained: p.Drained, Rollouts: p.Rollouts, Crashes: p.Crashes}
+		s := wheelgauge.FleetState{Generation: p.Generation, Version: p.Version, DrainedHalls: p.DrainedHalls, Rollouts: p.Rollouts, Crashes: p.Crashes}
 		if p.Packed.Size == 0 {
 			return s, nil
 		}
@@ -98,19 +98,19 @@
 	}
 }
 
-func (f *Fetcher) requestChunk(ctx context.Context, address string, held wheelgauge.FleetState) (wheelgauge.StatePart, error) {
+func (f *Fetcher) requestChunk(ctx context.Context, address string, held wheelgauge.FleetState) (wheelgauge.StateChunk, error) {
 	if err := ctx.Err(); err != nil {
-		return wheelgauge.StatePart{}, err // calls observe deadlines, not cancellation
+		return wheelgauge.StateChunk{}, err // calls observe deadlines, not cancellation
 	}
 	ctx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
-	var p wheelgauge.StatePart
-	r := wheelgauge.StateRequest{Generation: held.Generation, Version: held.Version, Packed: f.packed, Offset: len(f.data), Most: f.chunkBytes}
+	var p wheelgauge.StateChunk
+	r := wheelgauge.StateRequest{Generation: held.Generation, Version: held.Version, Packed: f.packed, Offset: len(f.data), MaxBytes: f.chunkBytes}
 	return p, f.client.Call(ctx, http.MethodPost, address, statefeed.Path, r, &p)
 }
 
 // add appends a chunk; one of another body restarts the transfer.
-func (f *Fetcher) add(p wheelgauge.StatePart) error {
+func (f *Fetcher) add(p wheelgauge.StateChunk) error {
 	if p.Packed != f.packed {
 		f.packed, f.data = p.Packed, nil
 	}
--- a/statefetch/fetcher_test.go
+++ b/statefetch/fetcher_test.go
@@ -27,7 +27,7 @@
 	// remaining is how many chunks it serves before it fails; all if negative.
 	remaining int
 	// corrupt changes a chunk before it is sent.
-	corrupt  func(p *wheelgauge.StatePart)
+	corrupt  func(p *wheelgauge.StateChunk)
 	requests []wheelgauge.StateRequest
 	http     *httpserve.Server
 }
@@ -58,15 +58,15 @@
 	}
 	s.remaining--
 	s.requests = append(s.requests, r)
-	p, err := s.feed.Part(r)
+	p, err := s.feed.Chunk(r)
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	if s.corrupt != nil {
 		s.corrupt(&p)
 	}
-	peerhttp.Answer(ctx, p)
+	peerhttp.WriteJSON(ctx, p)
 }
 
 // body returns random bytes, which compression does not shrink.
@@ -80,7 +80,7 @@
 }
 
 func state(generation, version uint64, size int) wheelgauge.FleetState {
-	return wheelgauge.FleetState{Generation: generation, Version: version, Body: body(version, size), Drained: []string{"n"}}
+	return wheelgauge.FleetState{Generation: generation, Version: version, Body: body(version, size), DrainedHalls: []string{"n"}}
 }
 
 func addresses(stores []*fakeStore) []string {
@@ -105,7 +105,7 @@
 		{"part by part", held, func(t *testing.T) []*fakeStore { return []*fakeStore{newFakeStore(t, newest)} }, newest, false},
 		{"the body held is not sent again", wheelgauge.FleetState{Generation: 3, Version: 7}, func(t *testing.T) []*fakeStore {
 			return []*fakeStore{newFakeStore(t, newest)}
-		}, wheelgauge.FleetState{Generation: 4, Version: 7, Drained: []string{"n"}}, false},
+		}, wheelgauge.FleetState{Generation: 4, Version: 7, DrainedHalls: []string{"n"}}, false},
 		{"a store fails: the rest comes from another", held, func(t *testing.T) []*fakeStore {
 			first := newFakeStore(t, newest)
 			first.remaining = 2
@@ -121,17 +121,17 @@
 		}, newest, false},
 		{"a part that does not follow", held, func(t *testing.T) []*fakeStore {
 			first := newFakeStore(t, newest)
-			first.corrupt = func(p *wheelgauge.StatePart) { p.Offset++ }
+			first.corrupt = func(p *wheelgauge.StateChunk) { p.Offset++ }
 			return []*fakeStore{first, newFakeStore(t, newest)}
 		}, newest, false},
 		{"a part without bytes", held, func(t *testing.T) []*fakeStore {
 			first := newFakeStore(t, newest)
-			first.corrupt = func(p *wheelgauge.StatePart) { p.Data = nil }
+			first.corrupt = func(p *wheelgauge.StateChunk) { p.Data = nil }
 			return []*fakeStore{first}
 		}, wheelgauge.FleetState{}, true},
 		{"a damaged body", held, func(t *testing.T) []*fakeStore {
 			first := newFakeStore(t, newest)
-			first.corrupt = func(p *wheelgauge.StatePart) { p.Data = slices.Repeat([]byte{7}, len(p.Data)) }
+			first.corrupt = func(p *wheelgauge.StateChunk) { p.Data = slices.Repeat([]byte{7}, len(p.Data)) }
 			return []*fakeStore{first}
 		}, wheelgauge.FleetState{}, true},
 		{"nobody answers", held, func(t *testing.T) []*fakeStore {
@@ -147,8 +147,8 @@
 			if (err != nil) != tt.bad {
 				t.Fatalf("got error %v, want an error: %t", err, tt.bad)
 			}
-			if got.Generation != tt.want.Generation || got.Version != tt.want.Version || !slices.Equal(got.Body, tt.want.Body) || !slices.Equal(got.Drained, tt.want.Drained) {
-				t.Errorf("got generation %d, version %d, %d bytes, drained %v", got.Generation, got.Version, len(got.Body), got.Drained)
+			if got.Generation != tt.want.Generation || got.Version != tt.want.Version || !slices.Equal(got.Body, tt.want.Body) || !slices.Equal(got.DrainedHalls, tt.want.DrainedHalls) {
+				t.Errorf("got generation %d, version %d, %d bytes, drained %v", got.Generation, got.Version, len(got.Body), got.DrainedHalls)
 			}
 		})
 	}
@@ -167,15 +167,15 @@
 		t.Fatal(err)
 	}
 	next := s.requests[2]
-	if next.Offset != 2*maxChunkBytes || next.Most != maxChunkBytes/2 {
-		t.Errorf("resumed at offset %d for %d bytes, want %d, %d", next.Offset, next.Most, 2*maxChunkBytes, maxChunkBytes/2)
+	if next.Offset != 2*maxChunkBytes || next.MaxBytes != maxChunkBytes/2 {
+		t.Errorf("resumed at offset %d for %d bytes, want %d, %d", next.Offset, next.MaxBytes, 2*maxChunkBytes, maxChunkBytes/2)
 	}
 }
 
 // A transfer completes although the state changes faster than it is transferred.
 func TestFetchDuringChanges(t *testing.T) {
 	s := newFakeStore(t, state(1, 1, 4*maxChunkBytes))
-	s.corrupt = func(*wheelgauge.StatePart) {
+	s.corrupt = func(*wheelgauge.StateChunk) {
 		if s.state.Generation < 4 {
 			s.state = state(s.state.Generation+1, s.state.Version+1, 4*maxChunkBytes)
 		}
--- a/storeapi/api.go
+++ b/storeapi/api.go
@@ -49,7 +49,7 @@
 	AppliedGenerations *inforce.Table
 	Acceptor           *acceptor.Acceptor
 	Hub                *membership.Hub
-	Tokens             *operators.Tokens
+	Tokens             *operators.Authenticator
 	Meter              *meter.Meter
 	// Context ends when the store stops. It bounds calls that wait, watches among them.
 	Context context.Context
@@ -57,13 +57,13 @@
 
 // Status is the response to GET /v1/status.
 type Status struct {
-	Replica    replica.Status         `json:"replica"`
-	Generation uint64                 `json:"generation"`
-	Stores     []acceptor.StoreReport `json:"stores"`
-	Hosts      []wheelgauge.InForce   `json:"hosts"`
-	Live       []wheelgauge.HostEntry `json:"live"`
-	Pending    []Pending              `json:"pending,omitempty"`
-	Claims     int                    `json:"claims"`
+	Replica         replica.Status                 `json:"replica"`
+	Generation      uint64                         `json:"generation"`
+	Stores          []acceptor.StoreReport         `json:"stores"`
+	HostGenerations []wheelgauge.AppliedGeneration `json:"hosts"`
+	LiveHosts       []wheelgauge.HostStatus        `json:"live"`
+	Pending         []Pending                      `json:"pending,omitempty"`
+	Claims          int                            `json:"claims"`
 }
 
 // Pending is a residency rule that is accepted once the waiting hosts and stores have it.
@@ -81,9 +81,9 @@
 		return
 	}
 	write := !ctx.IsGet()
-	operator, err := a.Tokens.Check(string(ctx.Request.Header.Peek("Authorization")), write)
+	operator, err := a.Tokens.Authorize(string(ctx.Request.Header.Peek("Authorization")), write)
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	a.Meter.Count("operator.calls")
@@ -112,19 +112,19 @@
 	case confwatch.PathWatch:
 		a.watch(ctx)
 	case confwatch.PathList:
-		peerhttp.Answer(ctx, a.Registry.List(""))
+		peerhttp.WriteJSON(ctx, a.Registry.List(""))
 	case confwatch.PathGeneration:
-		peerhttp.Answer(ctx, wheelgauge.WatchAnswer{Generation: a.Registry.Generation(), InTouch: a.Replica.LeaderAddress() != ""})
-	case acceptor.PathInForce:
-		peerhttp.Answer(ctx, a.Acceptor.OwnReport())
+		peerhttp.WriteJSON(ctx, wheelgauge.WatchResponse{Generation: a.Registry.Generation(), Connected: a.Replica.LeaderAddress() != ""})
+	case acceptor.PathReport:
+		peerhttp.WriteJSON(ctx, a.Acceptor.OwnReport())
 	case PathClaims:
 		a.claim(ctx)
-	case membership.PathBeat:
-		peerhttp.Serve(ctx, peerhttp.Infallible(a.Hub.Beat))
+	case membership.PathHeartbeat:
+		peerhttp.Serve(ctx, peerhttp.NoError(a.Hub.Heartbeat))
 	case permitclient.Path:
-		peerhttp.Serve(ctx, peerhttp.Infallible(a.Hub.Permit))
+		peerhttp.Serve(ctx, peerhttp.NoError(a.Hub.Permit))
 	case membership.PathSummary:
-		peerhttp.Serve(ctx, peerhttp.Infallible(a.Hub.Exchange))
+		peerhttp.Serve(ctx, peerhttp.NoError(a.Hub.Exchange))
 	default:
 		peerhttp.NotFound(ctx)
 	}
@@ -132,10 +132,10 @@
 
 func (a *API) ready(ctx *fasthttp.RequestCtx) {
 	if a.Replica.LeaderAddress() == "" {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "no leader is known"))
+		peerhttp.WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonNoLeader, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable, "no leader is known"))
 		return
 	}
-	peerhttp.Answer(ctx, struct{}{})
+	peerhttp.WriteJSON(ctx, struct{}{})
 }
 
 func (a *API) claim(ctx *fasthttp.RequestCtx) {
@@ -151,25 +151,25 @@
 	reports := a.Acceptor.Reports(a.Context)
 	s := Status{
 		Replica: a.Replica.Status(), Generation: a.Registry.Generation(), Stores: reports,
-		Hosts: acceptor.MergeHosts(reports), Live: a.Hub.Hosts(), Claims: a.Claims.Len(),
+		HostGenerations: acceptor.MergeHosts(reports), LiveHosts: a.Hub.Hosts(), Claims: a.Claims.Len(),
 	}
 	for i := range s.Stores {
 		s.Stores[i].Hosts = nil
 	}
 	for _, r := range a.Registry.PendingRules() {
-		s.Pending = append(s.Pending, Pending{r.Name, r.PendingGen, a.Acceptor.Lagging(r.PendingGen, reports)})
+		s.Pending = append(s.Pending, Pending{r.Name, r.PendingGeneration, a.Acceptor.Lagging(r.PendingGeneration, reports)})
 	}
-	peerhttp.Answer(ctx, s)
+	peerhttp.WriteJSON(ctx, s)
 }
 
 func (a *API) removeStore(ctx *fasthttp.RequestCtx, name string) {
 	callCtx, cancel := context.WithTimeout(a.Context, changeTimeout)
 	defer cancel()
 	if err := a.Replica.Remove(callCtx, name); err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
-	peerhttp.Answer(ctx, struct{}{})
+	peerhttp.WriteJSON(ctx, struct{}{})
 }
 
 // resources handles list, get, put and delete of resources. rest is the path after the
@@ -193,39 +193,39 @@
 	defer cancel()
 	if !ctx.QueryArgs().GetBool("stale") {
 		if err := a.Replica.ReadBarrier(callCtx); err != nil {
-			peerhttp.AnswerError(ctx, err)
+			peerhttp.WriteError(ctx, err)
 			return
 		}
 	}
 	if !named {
-		peerhttp.Answer(ctx, a.Registry.List(kind))
+		peerhttp.WriteJSON(ctx, a.Registry.List(kind))
 		return
 	}
 	res, ok := a.Registry.Get(kind, name)
 	if !ok {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound, string(kind)+" "+name+" does not exist"))
+		peerhttp.WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound, string(kind)+" "+name+" does not exist"))
 		return
 	}
-	peerhttp.Answer(ctx, res)
+	peerhttp.WriteJSON(ctx, res)
 }
 
 func (a *API) change(ctx *fasthttp.RequestCtx, c wheelgauge.Change) {
 	args := ctx.QueryArgs()
 	c.ID = string(args.Peek("change"))
 	if len(c.ID) > maxChangeID {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "change: expected at most 128 characters"))
+		peerhttp.WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "change: expected at most 128 characters"))
 		return
 	}
 	if text := string(args.Peek("expected")); text != "" {
 		n, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "expected: expected a generation"))
+			peerhttp.WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "expected: expected a generation"))
 			return
 		}
-		c.Expected = &n
+		c.ExpectedGeneration = &n
 	}
 	if c.Op == wheelgauge.OpPut && !json.Valid(c.Spec) {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "spec: expected a JSON object"))
+		peerhttp.WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "spec: expected a JSON object"))
 		return
 	}
 	if args.GetBool("dry_run") {
@@ -237,34 +237,34 @@
 
 func (a *API) dryRun(ctx *fasthttp.RequestCtx, c wheelgauge.Change) {
 	if err := a.Registry.Check(c); err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
-	peerhttp.Answer(ctx, wheelgauge.ChangeResult{ID: c.ID, Generation: a.Registry.Generation()})
+	peerhttp.WriteJSON(ctx, wheelgauge.ChangeResult{ID: c.ID, Generation: a.Registry.Generation()})
 }
 
 func (a *API) propose(ctx *fasthttp.RequestCtx, c wheelgauge.Change) {
 	command, err := json.Marshal(c)
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	callCtx, cancel := context.WithTimeout(a.Context, changeTimeout)
 	defer cancel()
 	reply, err := a.Replica.Propose(callCtx, command)
 	if err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	var result wheelgauge.ChangeResult
 	if err := json.Unmarshal(reply, &result); err != nil {
-		peerhttp.AnswerError(ctx, err)
+		peerhttp.WriteError(ctx, err)
 		return
 	}
 	if result.Error != nil {
-		peerhttp.AnswerError(ctx, result.Error)
+		peerhttp.WriteError(ctx, result.Error)
 		return
 	}
 	a.Meter.Count("changes")
-	peerhttp.Answer(ctx, result)
+	peerhttp.WriteJSON(ctx, result)
 }
--- a/storeapi/watch.go
+++ b/storeapi/watch.go
@@ -17,7 +17,7 @@
 	args := ctx.QueryArgs()
 	from, err := strconv.ParseUint(string(args.Peek("from")), 10, 64)
 	if err != nil {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "from: expected a generation"))
+		peerhttp.WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusBadRequest, "from: expected a generation"))
 		return
 	}
 	if host := string(args.Peek("host")); host != "" {
@@ -26,16 +26,16 @@
 	wait := time.Duration(args.GetUintOrZero("wait_ms")) * time.Millisecond
 	response, ok := a.await(from, min(wait, maxWait))
 	if !ok {
-		peerhttp.AnswerError(ctx, wheelgauge.NewError(wheelgauge.ReasonTooOld, wheelgauge.OutcomeNotRun, http.StatusGone,
+		peerhttp.WriteError(ctx, wheelgauge.NewError(wheelgauge.ReasonTooOld, wheelgauge.OutcomeNotRun, http.StatusGone,
 			"events after that generation are no longer stored: list, then watch from the generation of the list"))
 		return
 	}
-	response.InTouch = a.Replica.LeaderAddress() != ""
+	response.Connected = a.Replica.LeaderAddress() != ""
 	a.Meter.Add("watch.events", int64(len(response.Events)))
-	peerhttp.Answer(ctx, response)
+	peerhttp.WriteJSON(ctx, response)
 }
 
-func (a *API) await(from uint64, wait time.Duration) (wheelgauge.WatchAnswer, bool) {
+func (a *API) await(from uint64, wait time.Duration) (wheelgauge.WatchResponse, bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -54,7 +54,7 @@
 }
 
 // trim bounds the events of a response. The generation of a trimmed response is that of its last event.
-func trim(w wheelgauge.WatchAnswer) wheelgauge.WatchAnswer {
+func trim(w wheelgauge.WatchResponse) wheelgauge.WatchResponse {
 	if len(w.Events) > maxEvents {
 		w.Events = w.Events[:maxEvents]
 		w.Generation = w.Events[maxEvents-1].Generation
--- a/storenode/node.go
+++ b/storenode/node.go
@@ -40,29 +40,29 @@
 
 // Options configures a Node.
 type Options struct {
-	Name     string
-	Region   string
-	Dir      string
-	Operator string
-	// Source is the source IP address of outgoing connections; may be empty.
-	Source string
-	// Peer is the address of the listener for other stores and hosts; Advertised is
+	Name            string
+	Region          string
+	Dir             string
+	OperatorAddress string
+	// SourceIP is the source IP address of outgoing connections; may be empty.
+	SourceIP string
+	// PeerAddress is the address of the listener for other stores and hosts; Advertised is
 	// the address at which they reach it, the same if empty.
-	Peer       string
-	Advertised string
-	Peers      []string
-	Tick       time.Duration
-	Heartbeat  time.Duration
-	ClaimTTL   time.Duration
-	Skew       time.Duration
-	Tokens     *operators.Tokens
+	PeerAddress  string
+	Advertised   string
+	Peers        []string
+	Tick         time.Duration
+	Heartbeat    time.Duration
+	ClaimTTL     time.Duration
+	MaxClockSkew time.Duration
+	Tokens       *operators.Authenticator
 	// The next three configure the model orders; see orders.Options.
 	OrderInterval time.Duration
-	LoadsAtOnce   int
-	LoadLimit     time.Duration
+	MaxLoads      int
+	LoadTimeout   time.Duration
 	// PeerTLS and Secure are nil on loopback.
 	PeerTLS     *tls.Config
-	Secure      peerhttp.Secure
+	Secure      peerhttp.TLSConfigFunc
 	OperatorTLS *tls.Config
 	Log         logr.Logger
 }
@@ -85,15 +85,15 @@
 	catalog *catalog.Catalog
 }
 
-// Found initializes dir for the first store of a new system, or, with claimsOnly,
+// Initialize initializes dir for the first store of a new system, or, with claimsOnly,
 // only as the first claim disk of a region.
-func Found(dir, name, address string, claimsOnly bool) error {
+func Initialize(dir, name, address string, claimsOnly bool) error {
 	if !claimsOnly {
-		if err := replica.Found(filepath.Join(dir, folderReplica), name, address); err != nil {
+		if err := replica.Bootstrap(filepath.Join(dir, folderReplica), name, address); err != nil {
 			return fmt.Errorf("found: %w", err)
 		}
 	}
-	if err := claims.Found(filepath.Join(dir, folderClaims)); err != nil {
+	if err := claims.Initialize(filepath.Join(dir, folderClaims)); err != nil {
 		return fmt.Errorf("found: %w", err)
 	}
 	return nil
@@ -103,23 +103,23 @@
 func Open(ctx context.Context, o Options) (*Node, error) {
 	ctx, stop := context.WithCancel(ctx)
 	if o.Advertised == "" {
-		o.Advertised = o.Peer
+		o.Advertised = o.PeerAddress
 	}
-	n := &Node{o: o, registry: registry.New(), client: peerhttp.NewClient(peerhttp.NewDialer(o.Source, o.Secure), ""), stop: stop, exchangeDone: make(chan error, 1)}
+	n := &Node{o: o, registry: registry.New(), client: peerhttp.NewClient(peerhttp.NewDialer(o.SourceIP, o.Secure), ""), stop: stop, exchangeDone: make(chan error, 1)}
 	if err := n.open(ctx); err != nil {
 		stop()
 		return nil, err
 	}
-	go func() { n.exchangeDone <- every.Interval(ctx, o.Heartbeat, n.exchange) }()
-	o.Log.Info("Store serves.", "peer", o.Peer, "operator", o.Operator)
+	go func() { n.exchangeDone <- every.Run(ctx, o.Heartbeat, n.exchange) }()
+	o.Log.Info("Store serves.", "peer", o.PeerAddress, "operator", o.OperatorAddress)
 	return n, nil
 }
 
 func (n *Node) open(ctx context.Context) error {
 	o := n.o
-	clock := bootclock.OrSteady(o.Log)
+	clock := bootclock.NewOrMonotonic(o.Log)
 	var err error
-	n.claims, err = claims.Open(context.WithoutCancel(ctx), claims.Options{Dir: filepath.Join(o.Dir, folderClaims), TTL: o.ClaimTTL, Skew: o.Skew})
+	n.claims, err = claims.Open(context.WithoutCancel(ctx), claims.Options{Dir: filepath.Join(o.Dir, folderClaims), TTL: o.ClaimTTL, MaxSkew: o.MaxClockSkew})
 	if err != nil {
 		return err
 	}
@@ -133,9 +133,9 @@
 	n.hub = membership.NewHub(o.Region, uint64(time.Now().UnixNano()), o.Heartbeat, n.currentCatalog, clock.Now)
 	table := inforce.New()
 	n.acceptor = acceptor.Start(context.WithoutCancel(ctx), n.registry, n.replica, table, n.client, o.Log.WithName("acceptor"))
-	plain := peerhttp.NewDialer(o.Source, nil)
+	plain := peerhttp.NewDialer(o.SourceIP, nil)
 	n.reconciler = orders.Start(context.WithoutCancel(ctx), orders.Options{
-		Interval: o.OrderInterval, MaxLoads: o.LoadsAtOnce, LoadTimeout: o.LoadLimit, Leadership: n.replica, Catalog: n.currentCatalog,
+		Interval: o.OrderInterval, MaxLoads: o.MaxLoads, LoadTimeout: o.LoadTimeout, Leadership: n.replica, Catalog: n.currentCatalog,
 		Engines: engine.New(upstream.New(plain), peerhttp.NewClient(plain, "")), Clock: clock, Log: o.Log.WithName("orders"),
 	})
 	api := &storeapi.API{
@@ -146,12 +146,12 @@
 }
 
 func (n *Node) listen(api *storeapi.API) error {
-	peer, err := httpserve.Listen(n.o.Peer, api.ServePeer, httpserve.Options{TLS: n.o.PeerTLS})
+	peer, err := httpserve.Listen(n.o.PeerAddress, api.ServePeer, httpserve.Options{TLS: n.o.PeerTLS})
 	if err != nil {
 		return fmt.Errorf("start store: %w", err)
 	}
 	n.listeners = append(n.listeners, peer)
-	operator, err := httpserve.Listen(n.o.Operator, api.ServeOperator, httpserve.Options{TLS: n.o.OperatorTLS})
+	operator, err := httpserve.Listen(n.o.OperatorAddress, api.ServeOperator, httpserve.Options{TLS: n.o.OperatorTLS})
 	if err != nil {
 		return fmt.Errorf("start store: %w", err)
 	}
--- a/systemtest/bad_input_test.go
+++ b/systemtest/bad_input_test.go
@@ -64,7 +64,7 @@
 		{name: "unknown model", call: call{method: "POST", path: "/v1/chat/completions", client: client, body: `{"model":"none"}`}, status: http.StatusNotFound, reason: wheelgauge.ReasonNotFound},
 		{name: "unknown route", call: call{method: "GET", path: "/s/none/x", client: client}, status: http.StatusNotFound, reason: wheelgauge.ReasonNotFound},
 		{name: "unknown path", call: call{method: "GET", path: "/v2/x", client: client}, status: http.StatusNotFound, reason: wheelgauge.ReasonNotFound},
-		{name: "bad deadline", call: call{method: "GET", path: "/s/lookup/x", client: client, header: map[string]string{wheelgauge.HeaderDeadline: "soon"}}, status: http.StatusBadRequest, reason: wheelgauge.ReasonBadRequest},
+		{name: "bad deadline", call: call{method: "GET", path: "/s/lookup/x", client: client, header: map[string]string{wheelgauge.HeaderDeadlineMS: "soon"}}, status: http.StatusBadRequest, reason: wheelgauge.ReasonBadRequest},
 		{name: "key that is no UUID of version 7", call: book(client, "bad-key", "booking-9"), status: http.StatusBadRequest, reason: wheelgauge.ReasonBadRequest},
 		{name: "body too large", call: call{method: "POST", path: "/v1/chat/completions", client: client, body: strings.Repeat("x", 5<<20)}, status: http.StatusRequestEntityTooLarge, reason: wheelgauge.ReasonTooLarge},
 		{name: "head too large", raw: head + authorised + "X-Long: " + strings.Repeat("y", 40000) + "\r\n\r\n", status: http.StatusRequestHeaderFieldsTooLarge, reason: wheelgauge.ReasonTooLarge},
@@ -174,7 +174,7 @@
 		{"wrong token", put("guess", wheelgauge.KindClientClass, "x", wheelgauge.ClientClassSpec{}), wheelgauge.ReasonUnauthorized, "token"},
 		{"no token", put("", wheelgauge.KindClientClass, "x", wheelgauge.ClientClassSpec{}), wheelgauge.ReasonUnauthorized, "token"},
 		{"reader writes", put(readToken, wheelgauge.KindClientClass, "x", wheelgauge.ClientClassSpec{}), wheelgauge.ReasonForbidden, "reader"},
-		{"field at fault", put(writeToken, wheelgauge.KindHost, "x", wheelgauge.HostSpec{Region: "karachi", Hall: "karachi-hall", Caller: "nowhere"}), wheelgauge.ReasonInvalid, "caller"},
+		{"field at fault", put(writeToken, wheelgauge.KindHost, "x", wheelgauge.HostSpec{Region: "karachi", Hall: "karachi-hall", CallerAddress: "nowhere"}), wheelgauge.ReasonInvalid, "caller"},
 		{"unknown reference", put(writeToken, wheelgauge.KindRoute, "x", wheelgauge.RouteSpec{Model: "m", Pool: "none"}), wheelgauge.ReasonInvalid, "pool"},
 	}
 	for _, tt := range tests {
@@ -292,7 +292,7 @@
 		if r.status != http.StatusOK {
 			return fmt.Sprint(r)
 		}
-		return r.header.Get(wheelgauge.HeaderServed)
+		return r.header.Get(wheelgauge.HeaderServedBy)
 	}
 	eventually(t, 10*time.Second, "all requests take the old path", func() error {
 		if got := served(testClient("karachi")); got != "old path" {
--- a/systemtest/bench_overload_test.go
+++ b/systemtest/bench_overload_test.go
@@ -25,9 +25,9 @@
 }
 
 func (d *deployment) scenario(rate float64, seed uint64) load.Scenario {
-	s := load.Scenario{Mix: load.MixDispatch, Duration: overloadDuration, Rate: rate, Peak: 0.5, Seed: seed, Clients: clientsPerRegion, LinkCost: compareLinkCost}
+	s := load.Scenario{Mix: load.MixDispatch, Duration: overloadDuration, Rate: rate, Peak: 0.5, Seed: seed, ClientsPerRegion: clientsPerRegion, LinkCost: compareLinkCost}
 	for r, region := range d.topology.regions {
-		s.Regions = append(s.Regions, load.Region{Name: region, Entry: fmt.Sprintf("%s:%d", d.node(region+"-1").ip, portCaller), Price: d.topology.prices[r]})
+		s.Regions = append(s.Regions, load.Region{Name: region, BootstrapAddress: fmt.Sprintf("%s:%d", d.node(region+"-1").ip, portCaller), PricePer1000Tokens: d.topology.prices[r]})
 	}
 	return s
 }
@@ -47,7 +47,7 @@
 			}
 			good := r.Answered - r.Late
 			t.Logf("%s, %.0f requests/s sent: %.1f/s answered in time, %.0f tokens/s, refused or failed %v, first p99 %.0f ms, %.3f attempts per request sent, wrong %d",
-				p.name, float64(r.Sent)/overloadDuration.Seconds(), float64(good)/overloadDuration.Seconds(), float64(r.Tokens)/overloadDuration.Seconds(), r.Refused, r.First.P99,
+				p.name, float64(r.Sent)/overloadDuration.Seconds(), float64(good)/overloadDuration.Seconds(), float64(r.Tokens)/overloadDuration.Seconds(), r.Refused, r.FirstToken.P99,
 				float64(attempts)/float64(r.Sent), len(r.Wrong))
 			d.stop()
 		}
@@ -84,7 +84,7 @@
 		d := launch(t, overloadTopology(comparedPolicies[0].picker, comparedPolicies[0].away))
 		d.awaitInForce(d.apply([]wheelgauge.Resource{{Kind: wheelgauge.KindClientClass, Name: "standard", Spec: spec(tt.class)}}))
 		s := d.scenario(tt.rate, 1)
-		s.Flood = tt.flood
+		s.FloodFactor = tt.flood
 		results := load.NewRunner(s).Run(context.Background())
 		var others, flooders []load.Result
 		for _, r := range results {
@@ -96,7 +96,7 @@
 		}
 		a, b := load.Summarise(s, others), load.Summarise(s, flooders)
 		t.Logf("%s: other clients %d sent, %d answered, first p50 %.0f p99 %.0f ms, refused %v; flooding clients %d sent, %d answered", tt.name,
-			a.Sent, a.Answered, a.First.P50, a.First.P99, a.Refused, b.Sent, b.Answered)
+			a.Sent, a.Answered, a.FirstToken.P50, a.FirstToken.P99, a.Refused, b.Sent, b.Answered)
 		d.stop()
 	}
 }
--- a/systemtest/bench_test.go
+++ b/systemtest/bench_test.go
@@ -371,7 +371,7 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	return s.Replica.Bytes
+	return s.Replica.LogBytes
 }
 
 // largeConfiguration has the size that is expected within two years.
@@ -390,7 +390,7 @@
 		add(wheelgauge.KindModel, fmt.Sprint("model-", m), wheelgauge.ModelSpec{Versions: []string{"1"}})
 	}
 	for h := range 410 {
-		add(wheelgauge.KindHost, fmt.Sprint("far-host-", h), wheelgauge.HostSpec{Region: fmt.Sprint("region-", h%5), Hall: fmt.Sprint("hall-", h%16), Caller: "10.0.0.1:8080", Peer: "10.0.0.1:8081"})
+		add(wheelgauge.KindHost, fmt.Sprint("far-host-", h), wheelgauge.HostSpec{Region: fmt.Sprint("region-", h%5), Hall: fmt.Sprint("hall-", h%16), CallerAddress: "10.0.0.1:8080", PeerAddress: "10.0.0.1:8081"})
 	}
 	for s := range 600 {
 		add(wheelgauge.KindBackendServer, fmt.Sprint("far-engine-", s), wheelgauge.BackendServerSpec{Pool: "engines", Region: fmt.Sprint("region-", s%5), Hall: fmt.Sprint("hall-", s%16), Address: "10.0.0.2:9000", Slots: 16})
--- a/systemtest/caller_test.go
+++ b/systemtest/caller_test.go
@@ -105,7 +105,7 @@
 func book(client, ref, key string) call {
 	c := call{method: http.MethodPost, path: "/s/book/", client: client, body: fmt.Sprintf(`{"ref":%q}`, ref), header: map[string]string{}}
 	if key != "" {
-		c.header[wheelgauge.HeaderIdempotency] = key
+		c.header[wheelgauge.HeaderIdempotencyKey] = key
 	}
 	return c
 }
@@ -138,7 +138,7 @@
 		}
 		text += c.Choices[0].Delta.Content
 	}
-	if want := script.Answer(prompt, tokens); text != want || !complete {
+	if want := script.Text(prompt, tokens); text != want || !complete {
 		return fmt.Errorf("terminated by [DONE]: %t, got %d characters, want %d; correct prefix: %t", complete, len(text), len(want), strings.HasPrefix(want, text))
 	}
 	return nil
@@ -175,7 +175,7 @@
 }
 
 // entries fetches a client's entry list from a host.
-func (d *deployment) entries(n *node, client string) ([]wheelgauge.Entry, error) {
+func (d *deployment) entries(n *node, client string) ([]wheelgauge.EntryHost, error) {
 	r := d.send(n, call{method: http.MethodGet, path: "/v1/entry", client: client})
 	if r.status != http.StatusOK {
 		return nil, fmt.Errorf("entry list: %s", r)
@@ -185,7 +185,7 @@
 	return list.Entries, err
 }
 
-func listed(entries []wheelgauge.Entry, host string) bool {
+func listed(entries []wheelgauge.EntryHost, host string) bool {
 	for _, e := range entries {
 		if e.Host == host {
 			return true
--- a/systemtest/compare_test.go
+++ b/systemtest/compare_test.go
@@ -138,10 +138,10 @@
 			refused += n
 		}
 		worst := worstTotalP95(r)
-		text += fmt.Sprintf("%-16s %8.0f %6.0f %8.1f %10.0f %8.3f %6.1f %8d %5d %9d\n", p.name, r.First.P50, r.First.P99, r.Gap.P99, worst, r.CostPerTokens, 100*r.ShareAway, refused, r.Late, r.Answered)
+		text += fmt.Sprintf("%-16s %8.0f %6.0f %8.1f %10.0f %8.3f %6.1f %8d %5d %9d\n", p.name, r.FirstToken.P50, r.FirstToken.P99, r.Gap.P99, worst, r.CostPer1000Tokens, 100*r.OtherRegionShare, refused, r.Late, r.Answered)
 		rows = append(rows, []string{
-			mix, tr.name, strconv.Itoa(seed), p.name, formatNumber(r.First.P50), formatNumber(r.First.P99), formatNumber(r.Gap.P99), formatNumber(worst),
-			formatNumber(r.CostPerTokens), formatNumber(r.ShareAway), strconv.Itoa(refused), strconv.Itoa(r.Late), strconv.Itoa(r.Answered), strconv.Itoa(r.Sent), formatNumber(r.Tries),
+			mix, tr.name, strconv.Itoa(seed), p.name, formatNumber(r.FirstToken.P50), formatNumber(r.FirstToken.P99), formatNumber(r.Gap.P99), formatNumber(worst),
+			formatNumber(r.CostPer1000Tokens), formatNumber(r.OtherRegionShare), strconv.Itoa(refused), strconv.Itoa(r.Late), strconv.Itoa(r.Answered), strconv.Itoa(r.Sent), formatNumber(r.TriesPerRequest),
 		})
 	}
 	t.Log("\n" + text)
@@ -173,9 +173,9 @@
 	s.regionBound = func(_ string, i int) bool { return i%4 == 3 }
 	s.gatewaySettings = fmt.Sprintf("[routing]\npicker = %s\naway = %s\n%s", p.picker, p.away, value)
 	d := launch(t, s)
-	scenario := load.Scenario{Mix: mix, Duration: *compareDuration, Rate: *compareRate, Peak: 0.5, Seed: uint64(seed), Clients: clientsPerRegion, Flood: tr.flood, LinkCost: compareLinkCost}
+	scenario := load.Scenario{Mix: mix, Duration: *compareDuration, Rate: *compareRate, Peak: 0.5, Seed: uint64(seed), ClientsPerRegion: clientsPerRegion, FloodFactor: tr.flood, LinkCost: compareLinkCost}
 	for r, region := range s.regions {
-		scenario.Regions = append(scenario.Regions, load.Region{Name: region, Entry: fmt.Sprintf("%s:%d", d.node(region+"-1").ip, portCaller), Price: s.prices[r]})
+		scenario.Regions = append(scenario.Regions, load.Region{Name: region, BootstrapAddress: fmt.Sprintf("%s:%d", d.node(region+"-1").ip, portCaller), PricePer1000Tokens: s.prices[r]})
 	}
 	var injection sync.WaitGroup
 	if tr.inject != nil {
--- a/systemtest/demo_test.go
+++ b/systemtest/demo_test.go
@@ -139,17 +139,17 @@
 			d.t.Errorf("%s ran %d times, want at most once", ref, n)
 		}
 	}
-	for _, ref := range r.Once["answered"] {
+	for _, ref := range r.NonRepeatable["answered"] {
 		if ran[ref] != 1 {
 			d.t.Errorf("%s was answered but ran %d times, want once", ref, ran[ref])
 		}
 	}
-	for _, ref := range r.Once["not-run"] {
+	for _, ref := range r.NonRepeatable["not-run"] {
 		if ran[ref] != 0 {
 			d.t.Errorf("%s was reported as not run but ran %d times", ref, ran[ref])
 		}
 	}
-	if len(r.Once["answered"]) == 0 {
+	if len(r.NonRepeatable["answered"]) == 0 {
 		d.t.Error("no non-repeatable call was answered, want at least one")
 	}
 }
--- a/systemtest/deployment_test.go
+++ b/systemtest/deployment_test.go
@@ -391,13 +391,13 @@
 				links[other] = float64(d.topology.linkLatency.Milliseconds())
 			}
 		}
-		add(wheelgauge.KindRegion, region, wheelgauge.RegionSpec{Price: d.topology.prices[r], Links: links, Claims: region + "-1"})
+		add(wheelgauge.KindRegion, region, wheelgauge.RegionSpec{Price: d.topology.prices[r], LinkDelaysMS: links, ClaimHost: region + "-1"})
 		add(wheelgauge.KindHall, region+"-hall", wheelgauge.HallSpec{Region: region})
 	}
 	for _, n := range d.nodes {
-		h := wheelgauge.HostSpec{Region: n.region, Hall: n.region + "-hall", Caller: fmt.Sprintf("%s:%d", n.ip, portCaller), Peer: fmt.Sprintf("%s:%d", n.proxyIP, portPeer)}
+		h := wheelgauge.HostSpec{Region: n.region, Hall: n.region + "-hall", CallerAddress: fmt.Sprintf("%s:%d", n.ip, portCaller), PeerAddress: fmt.Sprintf("%s:%d", n.proxyIP, portPeer)}
 		if strings.HasSuffix(n.name, "-1") {
-			h.Store = fmt.Sprintf("%s:%d", n.proxyIP, portStorePeer)
+			h.StoreAddress = fmt.Sprintf("%s:%d", n.proxyIP, portStorePeer)
 		}
 		add(wheelgauge.KindHost, n.name, h)
 	}
@@ -471,7 +471,7 @@
 	d.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	if err := d.operator.WaitInForce(ctx, generation); err != nil {
+	if err := d.operator.WaitApplied(ctx, generation); err != nil {
 		d.t.Fatal(err)
 	}
 }
--- a/systemtest/fault_at_most_once_test.go
+++ b/systemtest/fault_at_most_once_test.go
@@ -40,7 +40,7 @@
 	group.Wait()
 	for _, n := range d.nodes {
 		r := d.send(n, book(client, "tanker-1", key))
-		if r.status != http.StatusOK || r.header.Get(wheelgauge.HeaderServed) != "record" {
+		if r.status != http.StatusOK || r.header.Get(wheelgauge.HeaderServedBy) != "record" {
 			t.Errorf("resend through %s: got %s, want the recorded answer", n.name, r)
 		}
 	}
@@ -107,7 +107,7 @@
 	// Restarted on its disk, the store still has the record.
 	d.startStore(karachi)
 	d.awaitStore(karachi, 1)
-	if r := d.send(lahore, book(client, "tanker-3", key)); r.status != http.StatusOK || r.header.Get(wheelgauge.HeaderServed) != "record" {
+	if r := d.send(lahore, book(client, "tanker-3", key)); r.status != http.StatusOK || r.header.Get(wheelgauge.HeaderServedBy) != "record" {
 		t.Errorf("resend after a restart: got %s, want the recorded answer", r)
 	}
 	// On an empty disk, the store must treat earlier keys as possibly claimed.
@@ -213,7 +213,7 @@
 				}
 				ref := fmt.Sprintf("tanker-%d-%d", w, i)
 				c := book(load.ClientName("karachi", w), ref, newKey())
-				c.header[wheelgauge.HeaderDeadline] = "400"
+				c.header[wheelgauge.HeaderDeadlineMS] = "400"
 				r := d.send(d.nodes[w%len(d.nodes)], c)
 				mu.Lock()
 				bookings = append(bookings, booking{ref, r})
--- a/systemtest/fault_pushback_test.go
+++ b/systemtest/fault_pushback_test.go
@@ -27,7 +27,7 @@
 	load := launchPushbackLoad(t)
 	until := time.Now().Add(refusalPeriod)
 	load.command(t, fmt.Sprintf("/v1/back-off?for_ms=%d&retry_after=%g", refusalPeriod.Milliseconds(), requestedBackoff.Seconds()))
-	time.Sleep(time.Until(until.Add(requestedBackoff + judge.ServerBackoff().Again())))
+	time.Sleep(time.Until(until.Add(requestedBackoff + judge.ServerBackoff().ReuseWithin())))
 	load.await(t, "each engine gets requests again after its backoff", func() bool {
 		for _, s := range load.engines {
 			if at := load.lastArrival(t, s); at.Before(until.Add(requestedBackoff)) {
@@ -168,13 +168,13 @@
 }
 
 // arrivals returns the requests that an engine received, by sending host.
-func (l *pushbackLoad) arrivals(t *testing.T, s *server) map[string][]engine.Asked {
+func (l *pushbackLoad) arrivals(t *testing.T, s *server) map[string][]engine.ReceivedRequest {
 	t.Helper()
-	var log []engine.Asked
+	var log []engine.ReceivedRequest
 	if err := getJSON("http://"+s.addr+"/v1/asked", &log); err != nil {
 		t.Fatal(err)
 	}
-	out := map[string][]engine.Asked{}
+	out := map[string][]engine.ReceivedRequest{}
 	for _, a := range log {
 		parts := strings.Split(a.ID, "-")
 		host := strings.Join(parts[:len(parts)-2], "-")
--- a/systemtest/fault_residency_test.go
+++ b/systemtest/fault_residency_test.go
@@ -127,7 +127,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	err = d.operator.WaitInForce(ctx, result.Generation)
+	err = d.operator.WaitApplied(ctx, result.Generation)
 	if err == nil || !strings.Contains(err.Error(), "lahore-1") {
 		t.Errorf("waiting for a rule that is not in force everywhere: got %v, want an error that names lahore-1", err)
 	}
@@ -192,7 +192,7 @@
 	d := launch(t, s)
 	karachi := d.node("karachi-1")
 	forged := chat(testClient("karachi"), "forged", 2)
-	forged.header = map[string]string{wheelgauge.HeaderForwardedFrom: "lahore", wheelgauge.HeaderClient: "lahore-client-5", wheelgauge.HeaderClass: "royal", wheelgauge.HeaderMust: "true"}
+	forged.header = map[string]string{wheelgauge.HeaderForwardedFrom: "lahore", wheelgauge.HeaderClient: "lahore-client-5", wheelgauge.HeaderClass: "royal", wheelgauge.HeaderMustAccept: "true"}
 	// The headers are dropped: the request is forwarded once, as any other.
 	r := d.send(karachi, forged)
 	if err := checkComplete(r, "forged", 2); err != nil || r.header.Get(wheelgauge.HeaderRegion) == "karachi" {
--- a/systemtest/fault_store_test.go
+++ b/systemtest/fault_store_test.go
@@ -203,7 +203,7 @@
 		attempts := make([]attempt, 9)
 		var group sync.WaitGroup
 		for i := range attempts {
-			c := wheelgauge.Change{ID: fmt.Sprintf("round-%d-%d", round, i), Op: wheelgauge.OpPut, Kind: wheelgauge.KindClientClass, Name: "standard", Expected: &current.Generation}
+			c := wheelgauge.Change{ID: fmt.Sprintf("round-%d-%d", round, i), Op: wheelgauge.OpPut, Kind: wheelgauge.KindClientClass, Name: "standard", ExpectedGeneration: &current.Generation}
 			c.Spec = spec(wheelgauge.ClientClassSpec{Priority: i, Burst: round + 1})
 			attempts[i].change = c
 			group.Go(func() {
--- a/systemtest/files_test.go
+++ b/systemtest/files_test.go
@@ -54,7 +54,7 @@
 }
 
 // operatorTLS returns the TLS settings of the operator client; nil without TLS.
-func (d *deployment) operatorTLS() peerhttp.Secure {
+func (d *deployment) operatorTLS() peerhttp.TLSConfigFunc {
 	if !d.topology.tls {
 		return nil
 	}
@@ -163,7 +163,7 @@
 	for _, region := range d.topology.regions {
 		for i := range clientsPerRegion {
 			name := load.ClientName(region, i)
-			clients = append(clients, directory.Client{Credential: load.CredentialOf(name), Identity: wheelgauge.Identity{Client: name, Class: d.classOf(region, i), Home: region}})
+			clients = append(clients, directory.Client{Credential: load.CredentialOf(name), Identity: wheelgauge.Identity{Client: name, Class: d.classOf(region, i), HomeRegion: region}})
 		}
 	}
 	data, err := json.Marshal(clients)
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -136,7 +136,7 @@
 
 // Send dispatches a call once and returns the answer with its body unread. A call
 // that is not repeatable must be sent on a fresh connection.
-func (p *Pool) Send(ctx context.Context, address string, call *wheelgauge.Call, fresh bool) (*wheelgauge.Answer, error) {
+func (p *Pool) Send(ctx context.Context, address string, call *wheelgauge.Call, fresh bool) (*wheelgauge.Response, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	p.fillRequest(req, address, call, fresh)
 	deadline := call.Deadline
@@ -152,12 +152,12 @@
 		fasthttp.ReleaseResponse(resp)
 		return nil, classify(address, err)
 	}
-	if call.Heard != nil {
-		call.Heard(resp.StatusCode(), resp.Header.PeekAll)
+	if call.OnResponse != nil {
+		call.OnResponse(resp.StatusCode(), resp.Header.PeekAll)
 	}
 	b := &answerBody{resp: resp}
 	local := resp.LocalAddr()
-	return &wheelgauge.Answer{
+	return &wheelgauge.Response{
 		Status: resp.StatusCode(), ContentType: string(resp.Header.ContentType()),
 		Header: func(name string) string { return string(resp.Header.Peek(name)) }, Body: b,
 		Abort: func() { p.abort(local) },
@@ -171,14 +171,14 @@
 	if call.ContentType != "" {
 		req.Header.SetContentType(call.ContentType)
 	}
-	if call.Key != "" {
-		req.Header.Set(wheelgauge.HeaderIdempotency, call.Key)
+	if call.IdempotencyKey != "" {
+		req.Header.Set(wheelgauge.HeaderIdempotencyKey, call.IdempotencyKey)
 	}
 	req.Header.Set("X-Priority", strconv.Itoa(call.Priority))
-	if call.Skip > 0 {
-		req.Header.Set("X-Resume-From", strconv.Itoa(call.Skip))
+	if call.SkipTokens > 0 {
+		req.Header.Set("X-Resume-From", strconv.Itoa(call.SkipTokens))
 	}
-	for _, h := range call.Extra {
+	for _, h := range call.ExtraHeaders {
 		req.Header.Set(h[0], h[1])
 	}
 	req.SetBodyRaw(call.Body)
--- a/validate/validate.go
+++ b/validate/validate.go
@@ -107,7 +107,7 @@
 func checkRegion(c *checker, spec json.RawMessage) {
 	s := decode[wheelgauge.RegionSpec](c, spec)
 	c.require(s.Price >= 0, "price", "0 or more")
-	for to, ms := range s.Links {
+	for to, ms := range s.LinkDelaysMS {
 		c.require(ms >= 0, "links_ms."+to, "0 or more milliseconds")
 	}
 }
@@ -121,11 +121,11 @@
 	s := decode[wheelgauge.HostSpec](c, spec)
 	c.requireResource(wheelgauge.KindRegion, s.Region, "region")
 	c.requireResource(wheelgauge.KindHall, s.Hall, "hall")
-	c.requireAddress(s.Caller, "caller")
-	c.requireAddress(s.Peer, "peer")
+	c.requireAddress(s.CallerAddress, "caller")
+	c.requireAddress(s.PeerAddress, "peer")
 	c.require(s.Weight >= 0, "weight", "0 or more")
-	if s.Store != "" {
-		c.requireAddress(s.Store, "store")
+	if s.StoreAddress != "" {
+		c.requireAddress(s.StoreAddress, "store")
 	}
 }
 
@@ -135,7 +135,7 @@
 	c.requireResource(wheelgauge.KindRegion, s.Region, "region")
 	c.requireResource(wheelgauge.KindHall, s.Hall, "hall")
 	c.requireAddress(s.Address, "address")
-	c.require(s.Slots > 0 && s.Slots <= wheelgauge.MostSlots, "slots", "1 to 100000")
+	c.require(s.Slots > 0 && s.Slots <= wheelgauge.MaxSlots, "slots", "1 to 100000")
 }
 
 func checkPool(c *checker, spec json.RawMessage) {
--- a/wake/watch.go
+++ b/wake/watch.go
@@ -13,9 +13,9 @@
 // minStall is the shortest stall that is reported: a busy machine causes shorter ones.
 const minStall = time.Second
 
-// Watch compares a clock that counts suspended time with the monotonic one. It must not be
+// Watcher compares a clock that counts suspended time with the monotonic one. It must not be
 // used concurrently.
-type Watch struct {
+type Watcher struct {
 	clock     wheelgauge.Clock
 	monotonic wheelgauge.Clock
 	log       logr.Logger
@@ -25,17 +25,17 @@
 }
 
 // New returns a watch that starts now.
-func New(clock wheelgauge.Clock, log logr.Logger) *Watch {
-	w := &Watch{clock: clock, monotonic: wheelgauge.SteadyClock{}, log: log}
+func New(clock wheelgauge.Clock, log logr.Logger) *Watcher {
+	w := &Watcher{clock: clock, monotonic: wheelgauge.MonotonicClock{}, log: log}
 	w.lastTime, w.lastMonotonic = clock.Now(), w.monotonic.Now()
 	return w
 }
 
-// Look is called once per interval. It returns the time since the last call beyond interval,
+// Check is called once per interval. It returns the time since the last call beyond interval,
 // 0 below minStall, and how long the machine was suspended, by the difference between the
 // clocks. It logs a stall: the process's data is older by that much, and leases may have
 // expired.
-func (w *Watch) Look(interval time.Duration) (stalled, suspended time.Duration) {
+func (w *Watcher) Check(interval time.Duration) (stalled, suspended time.Duration) {
 	now, monotonic := w.clock.Now(), w.monotonic.Now()
 	elapsed := now.Sub(w.lastTime)
 	suspended = elapsed - monotonic.Sub(w.lastMonotonic)
--- a/wake/watch_test.go
+++ b/wake/watch_test.go
@@ -42,12 +42,12 @@
 			w.monotonic, w.lastMonotonic = monotonic, monotonic.at
 			monotonic.at = monotonic.at.Add(tt.monotonic)
 			clock.at = clock.at.Add(tt.monotonic + tt.suspension)
-			stalled, suspended := w.Look(interval)
+			stalled, suspended := w.Check(interval)
 			if stalled != tt.stalled || suspended != tt.suspended || lines != min(1, int(tt.stalled)) {
 				t.Errorf("stalled %s, suspended %s, %d log lines; want %s, %s", stalled, suspended, lines, tt.stalled, tt.suspended)
 			}
 			clock.at, monotonic.at = clock.at.Add(interval), monotonic.at.Add(interval)
-			if stalled, _ := w.Look(interval); stalled != 0 {
+			if stalled, _ := w.Check(interval); stalled != 0 {
 				t.Errorf("stalled %s at the next look, want 0", stalled)
 			}
 		})
@@ -58,7 +58,7 @@
 	c := &fakeclock.Clock{}
 	w := New(c, logr.Discard())
 	c.Suspend(time.Minute)
-	if _, suspended := w.Look(0); suspended < time.Minute-time.Second || suspended > time.Minute+time.Second {
+	if _, suspended := w.Check(0); suspended < time.Minute-time.Second || suspended > time.Minute+time.Second {
 		t.Errorf("suspended for %s, want about 1m", suspended)
 	}
 }
--- a/work.go
+++ b/work.go
@@ -4,8 +4,8 @@
 type RankWork struct {
 	Rank    int `json:"r,omitempty"`
 	Running int `json:"u"`
-	// Tokens is the sum of the prompt tokens of requests that wait for their first event.
-	Tokens int `json:"t,omitempty"`
+	// PrefillTokens is the sum of the prompt tokens of requests that wait for their first event.
+	PrefillTokens int `json:"t,omitempty"`
 }
 
 // Work counts in-flight requests by rank, in no particular order. Each rank occurs at most
@@ -17,18 +17,18 @@
 	for i := range w {
 		if w[i].Rank == rank {
 			w[i].Running += running
-			w[i].Tokens += tokens
+			w[i].PrefillTokens += tokens
 			return w
 		}
 	}
-	return append(w, RankWork{Rank: rank, Running: running, Tokens: tokens})
+	return append(w, RankWork{Rank: rank, Running: running, PrefillTokens: tokens})
 }
 
 // Plus returns the sum, leaving both operands unchanged.
 func (w Work) Plus(other Work) Work {
 	sum := append(Work(nil), w...)
 	for _, r := range other {
-		sum = sum.Add(r.Rank, r.Running, r.Tokens)
+		sum = sum.Add(r.Rank, r.Running, r.PrefillTokens)
 	}
 	return sum
 }
@@ -37,11 +37,11 @@
 func (w Work) Minus(other Work) Work {
 	left := append(Work(nil), w...)
 	for _, r := range other {
-		left = left.Add(r.Rank, -r.Running, -r.Tokens)
+		left = left.Add(r.Rank, -r.Running, -r.PrefillTokens)
 	}
 	for i := range left {
 		left[i].Running = max(0, left[i].Running)
-		left[i].Tokens = max(0, left[i].Tokens)
+		left[i].PrefillTokens = max(0, left[i].PrefillTokens)
 	}
 	return left
 }
@@ -50,26 +50,26 @@
 func (w Work) Total() (running, tokens int) {
 	for _, r := range w {
 		running += r.Running
-		tokens += r.Tokens
+		tokens += r.PrefillTokens
 	}
 	return running, tokens
 }
 
 // Ahead returns the number of requests and tokens at least as urgent as a rank.
 func (w Work) Ahead(rank int) (running, tokens int) {
-	running, _, tokens = w.Before(rank)
+	running, _, tokens = w.AheadAndUrgent(rank)
 	return running, tokens
 }
 
-// Before returns the number of requests and tokens at least as urgent as a rank, and how
+// AheadAndUrgent returns the number of requests and tokens at least as urgent as a rank, and how
 // many of the requests are more urgent than it.
-func (w Work) Before(rank int) (running, urgent, tokens int) {
+func (w Work) AheadAndUrgent(rank int) (running, urgent, tokens int) {
 	for _, r := range w {
 		if r.Rank > rank {
 			continue
 		}
 		running += r.Running
-		tokens += r.Tokens
+		tokens += r.PrefillTokens
 		if r.Rank < rank {
 			urgent += r.Running
 		}
@@ -77,11 +77,11 @@
 	return running, urgent, tokens
 }
 
-// Used returns the ranks with requests or tokens in flight.
-func (w Work) Used() Work {
+// NonZero returns the ranks with requests or tokens in flight.
+func (w Work) NonZero() Work {
 	var out Work
 	for _, r := range w {
-		if r.Running != 0 || r.Tokens != 0 {
+		if r.Running != 0 || r.PrefillTokens != 0 {
 			out = append(out, r)
 		}
 	}
--- a/workspaces.go
+++ b/workspaces.go
@@ -20,12 +20,12 @@
 	Burst float64 `json:"burst,omitempty"`
 	// Unit is what is counted; empty means requests.
 	Unit CapUnit `json:"unit,omitempty"`
-	// Plain is the number of tokens counted for a request that does not state its own.
-	Plain float64 `json:"plain,omitempty"`
+	// DefaultTokens is the number of tokens counted for a request that does not state its own.
+	DefaultTokens float64 `json:"plain,omitempty"`
 }
 
-// Bounds reports whether there is a limit.
-func (c Cap) Bounds() bool { return c.Rate > 0 }
+// HasLimit reports whether there is a limit.
+func (c Cap) HasLimit() bool { return c.Rate > 0 }
 
 // Units returns the units that a request counts for. tokens is used only if stated is set,
 // that is, if the request states its tokens.
@@ -36,7 +36,7 @@
 	case stated:
 		return float64(tokens)
 	}
-	return c.Plain
+	return c.DefaultTokens
 }
 
 // Workspace is a group of callers that share keys, a cap and the regions in which their
@@ -49,10 +49,10 @@
 	// Priority takes precedence over that of routes; 0 is the most urgent.
 	Priority int `json:"priority,omitempty"`
 	Cap      Cap `json:"cap,omitzero"`
-	// Homes lists the only regions that may run or relay a request; empty means all.
-	Homes []string `json:"homes,omitempty"`
+	// HomeRegions lists the only regions that may run or relay a request; empty means all.
+	HomeRegions []string `json:"homes,omitempty"`
 }
 
 // AllowedIn reports whether requests of the workspace may run in a region. A nil workspace
 // allows all regions.
-func (w *Workspace) AllowedIn(region string) bool { return w == nil || allowed(w.Homes, region) }
+func (w *Workspace) AllowedIn(region string) bool { return w == nil || allowed(w.HomeRegions, region) }
