--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,7 @@
 
 # Code that judges ages, leases and deadlines goes by a clock that it is given: the steady
 # one stands still while the machine is suspended.
-CLOCKED = orders membership gateway/limit.go capbank cappurse coldrate hosttable peerset quarantine retrybudget serverconn permitclient permitissuer serverlimit serverlist serverset beat/state.go beat/stores.go $(filter-out confstore/node.go %_test.go,$(wildcard confstore/*.go))
+CLOCKED = orders membership gateway/limit.go capallocator capclient coldrate hosttable peerset quarantine retrybudget serverconn permitclient permitissuer serverlimit serverlist serverset heartbeat/state.go heartbeat/stores.go $(filter-out confstore/node.go %_test.go,$(wildcard confstore/*.go))
 
 clocks: ## no steady clock where ages are judged; each path of the list must exist
 	@ls -d $(CLOCKED) confstore/node.go >/dev/null
@@ -39,7 +39,7 @@
 	$(GO) test ./systemtest -count=1 -v -timeout 10m -run '^TestDemo$$' -demo
 
 bench: ## added latency, throughput, memory; decisions by the nanosecond
-	$(GO) test ./routing/... ./away ./admission ./membership ./claims ./gateway -run '^$$' -bench . -benchmem
+	$(GO) test ./routing/... ./spillover ./admission ./membership ./claims ./gateway -run '^$$' -bench . -benchmem
 	$(GO) test ./systemtest -count=1 -v -timeout 20m -tags bench -run '^TestBench'
 
 faults: ## the fault matrix at length
--- a/entryset/choose.go
+++ b/announcedhosts/choose.go
@@ -1,6 +1,6 @@
-// Package entryset chooses which entry hosts are announced to callers, where there are more
+// Package announcedhosts chooses which entry hosts are announced to callers, where there are more
 // than a caller reads of an answer.
-package entryset
+package announcedhosts
 
 import (
 	"cmp"
--- a/entryset/choose_test.go
+++ b/announcedhosts/choose_test.go
@@ -1,4 +1,4 @@
-package entryset
+package announcedhosts
 
 import (
 	"fmt"
--- a/inforce/table.go
+++ b/appliedgen/table.go
@@ -1,5 +1,5 @@
-// Package inforce records the configuration generation that each host reports as applied.
-package inforce
+// Package appliedgen records the configuration generation that each host reports as applied.
+package appliedgen
 
 import (
 	"slices"
--- a/callerhttp/server.go
+++ b/callerhttp/server.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/callerconn"
-	"wheelgauge/every"
+	"wheelgauge/connpeek"
+	"wheelgauge/periodic"
 )
 
 const (
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{options: o, listener: listener, ctx: ctx, cancel: cancel, done: make(chan error, 2), conns: map[*conn]struct{}{}}
 	go func() { s.done <- s.accept() }()
-	go func() { s.done <- every.Run(ctx, disconnectScanInterval, s.cancelDisconnected) }()
+	go func() { s.done <- periodic.Run(ctx, disconnectScanInterval, s.cancelDisconnected) }()
 	return s, nil
 }
 
@@ -112,7 +112,7 @@
 // cancelDisconnected cancels the requests of callers that disconnected.
 func (s *Server) cancelDisconnected(context.Context) {
 	for _, k := range s.snapshot() {
-		if cancel := k.currentCancel(); cancel != nil && callerconn.PeerClosed(k.net) {
+		if cancel := k.currentCancel(); cancel != nil && connpeek.PeerClosed(k.net) {
 			k.callerLeft.Store(true)
 			cancel()
 		}
--- a/capbank/allocator.go
+++ b/capallocator/allocator.go
@@ -1,10 +1,10 @@
-// Package capbank divides the caps of workspaces among stores. Each store has an equal base
+// Package capallocator divides the caps of workspaces among stores. Each store has an equal base
 // share of every cap and leases the part that its own hosts do not use to stores whose hosts
 // need it. Hosts draw units from a store before they send requests. Leases expire by
 // themselves, and the lender counts a share as gone until its lease has expired for sure: the
 // shares of all stores never add up to more than the cap, whatever messages are lost, stores
 // restart, or regions are partitioned.
-package capbank
+package capallocator
 
 import (
 	"slices"
--- a/capbank/hosts.go
+++ b/capallocator/hosts.go
@@ -1,4 +1,4 @@
-package capbank
+package capallocator
 
 import (
 	"time"
--- a/cappurse/client.go
+++ b/capclient/client.go
@@ -1,7 +1,7 @@
-// Package cappurse is the entry host's client for the caps of workspaces. It draws units from
+// Package capclient is the entry host's client for the caps of workspaces. It draws units from
 // a store before requests are sent to backend servers, and goes on standalone for a while when
 // no store answers.
-package cappurse
+package capclient
 
 import (
 	"context"
--- a/cappurse/client_test.go
+++ b/capclient/client_test.go
@@ -1,4 +1,4 @@
-package cappurse
+package capclient
 
 import (
 	"context"
--- a/cappurse/schedule_test.go
+++ b/capclient/schedule_test.go
@@ -1,4 +1,4 @@
-package cappurse
+package capclient
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/capbank"
+	"wheelgauge/capallocator"
 )
 
 var (
@@ -57,7 +57,7 @@
 // store is a store of a schedule; allocator is nil while it is down.
 type store struct {
 	address, region string
-	allocator       *capbank.Allocator
+	allocator       *capallocator.Allocator
 	boots           uint64
 	frozen          bool
 }
@@ -141,7 +141,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st.boots++
-	st.allocator = capbank.New(capbank.Options{Self: st.address, Boot: st.boots, Window: window, Overage: overage, Slack: slack, Now: time.Now})
+	st.allocator = capallocator.New(capallocator.Options{Self: st.address, Boot: st.boots, Window: window, Overage: overage, Slack: slack, Now: time.Now})
 	st.allocator.SetMembers(s.members())
 	st.allocator.SetCaps(s.specs())
 }
@@ -153,7 +153,7 @@
 }
 
 // reach returns a store's allocator if a call from a region gets through now.
-func (s *schedule) reach(region string, st *store) *capbank.Allocator {
+func (s *schedule) reach(region string, st *store) *capallocator.Allocator {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if st.frozen || !s.linked(region, st.region) {
--- a/setaside/table.go
+++ b/circuitbreaker/table.go
@@ -1,6 +1,6 @@
-// Package setaside is a circuit breaker for each backend server: a failing server
+// Package circuitbreaker is a circuit breaker for each backend server: a failing server
 // gets no work, then one trial call after a pause that doubles with each failure.
-package setaside
+package circuitbreaker
 
 import (
 	"sync"
--- a/setaside/table_test.go
+++ b/circuitbreaker/table_test.go
@@ -1,4 +1,4 @@
-package setaside
+package circuitbreaker
 
 import (
 	"testing"
--- a/entrylist/entrylist.go
+++ b/clienthosts/entrylist.go
@@ -1,5 +1,5 @@
-// Package entrylist ranks the hosts that a client may use.
-package entrylist
+// Package clienthosts ranks the hosts that a client may use.
+package clienthosts
 
 import (
 	"slices"
--- a/entrylist/entrylist_test.go
+++ b/clienthosts/entrylist_test.go
@@ -1,4 +1,4 @@
-package entrylist
+package clienthosts
 
 import (
 	"encoding/json"
--- a/cmd/wheelgauge-gateway/options.go
+++ b/cmd/wheelgauge-gateway/options.go
@@ -3,10 +3,10 @@
 import (
 	"fmt"
 
-	"wheelgauge/away"
 	"wheelgauge/keypair"
 	"wheelgauge/routing/baseline"
 	"wheelgauge/settings"
+	"wheelgauge/spillover"
 )
 
 const (
@@ -47,7 +47,7 @@
 	{Section: "entry", Name: "ttl", Type: settings.Duration, Default: "3s", Min: 0.1, Max: 600, Help: "how long callers may cache an entry list"},
 	{Section: "members", Name: "heartbeat", Type: settings.Duration, Default: "1s", Min: 0.02, Max: 60, Help: "interval of heartbeats and load reports"},
 	{Section: "routing", Name: "picker", Type: settings.Choice, Choices: []string{pickerAffinity, baseline.Random, baseline.RoundRobin, baseline.LeastInFlight, baseline.StickyPrefix}, Default: pickerAffinity, Help: "how a backend server is chosen"},
-	{Section: "routing", Name: "away", Type: settings.Choice, Choices: []string{away.PolicyCost, away.PolicyLocal, away.PolicyCheapest}, Default: away.PolicyCost, Help: "when requests are forwarded to other regions"},
+	{Section: "routing", Name: "away", Type: settings.Choice, Choices: []string{spillover.PolicyCost, spillover.PolicyLocal, spillover.PolicyCheapest}, Default: spillover.PolicyCost, Help: "when requests are forwarded to other regions"},
 	{Section: "routing", Name: "second_value", Type: settings.Float, Default: "1", Max: 1e6, Help: "cost of one second of waiting, in the currency of prices"},
 	{Section: "routing", Name: "away_cost", Type: settings.Float, Default: "0.05", Max: 1e6, Help: "cost of forwarding one request to another region, in the same currency"},
 	{Section: "routing", Name: "cold_prefill", Type: settings.Duration, Default: "60ms", Max: 600, Help: "extra prefill time on a cold cache for 1,000 bytes of prompt"},
--- a/cmd/wheelgauge-gateway/run.go
+++ b/cmd/wheelgauge-gateway/run.go
@@ -10,13 +10,13 @@
 	"wheelgauge"
 	"wheelgauge/adapter/directory"
 	"wheelgauge/adapter/hostlist"
-	"wheelgauge/away"
 	"wheelgauge/gateway"
 	"wheelgauge/keypair"
 	"wheelgauge/peerhttp"
 	"wheelgauge/routing/affinity"
 	"wheelgauge/routing/baseline"
 	"wheelgauge/settings"
+	"wheelgauge/spillover"
 )
 
 func run(ctx context.Context, v *settings.Values, log logr.Logger) error {
@@ -51,7 +51,7 @@
 		EntryTTL: v.Duration("entry", "ttl"), HeartbeatInterval: v.Duration("members", "heartbeat"),
 		WatchWait: v.Duration("stores", "wait"), StoreTimeout: v.Duration("stores", "silent"),
 		Directory: directory.New(v.Text("platform", "directory"), client),
-		Decider: away.New(v.Text("routing", "away"), away.Weights{
+		Decider: spillover.New(v.Text("routing", "away"), spillover.Weights{
 			SecondValue: v.Float("routing", "second_value"), ForwardCost: v.Float("routing", "away_cost"), ColdPrefill: v.Duration("routing", "cold_prefill"),
 		}),
 		Log: log,
--- a/cmd/wheelgauge-store/run.go
+++ b/cmd/wheelgauge-store/run.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 
 	"wheelgauge/keypair"
-	"wheelgauge/operators"
+	"wheelgauge/operatorauth"
 	"wheelgauge/program"
 	"wheelgauge/settings"
 	"wheelgauge/storenode"
@@ -46,7 +46,7 @@
 		OrderInterval: v.Duration("orders", "interval"), MaxLoads: v.Int("orders", "loads_at_once"), LoadTimeout: v.Duration("orders", "load_limit"),
 		PeerAddress: v.Text("listen", "peer"), Advertised: v.Text("listen", "advertised"), OperatorAddress: v.Text("listen", "operator"), Log: log,
 	}
-	tokens, err := operators.Load(v.Text("store", "tokens"))
+	tokens, err := operatorauth.Load(v.Text("store", "tokens"))
 	if err != nil {
 		return o, err
 	}
--- a/coldrate/views_test.go
+++ b/coldrate/views_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"wheelgauge/fake/judge"
+	"wheelgauge/fake/arrivalbound"
 )
 
 var (
@@ -134,15 +134,15 @@
 					}
 					v.step()
 				}
-				got, _ := judge.ColdRate().MaxInWindow(v.sent)
+				got, _ := arrivalbound.ColdRate().MaxInWindow(v.sent)
 				most = max(most, got)
-				if err := judge.ColdRate().Check(coldRate, v.sent); err != nil {
+				if err := arrivalbound.ColdRate().Check(coldRate, v.sent); err != nil {
 					t.Errorf("%s, %d hosts, seed %d: %v", tt.name, hosts, seed, err)
 				}
 			}
 		}
 		if *viewFigures {
-			t.Logf("%s: %d in the worst second, allowed %.2f", tt.name, most, judge.ColdRate().Allowed(coldRate))
+			t.Logf("%s: %d in the worst second, allowed %.2f", tt.name, most, arrivalbound.ColdRate().Allowed(coldRate))
 		}
 	}
 }
--- a/configlog/machine.go
+++ b/configstate/machine.go
@@ -1,7 +1,7 @@
-// Package configlog implements the replicated state machine of the routes mode. Its state is
+// Package configstate implements the replicated state machine of the routes mode. Its state is
 // one complete configuration under an operator's version number, the drained halls, the last
 // rollout of each service, and the crashes that requests are quarantined for.
-package configlog
+package configstate
 
 import (
 	"encoding/json"
--- a/configlog/machine_test.go
+++ b/configstate/machine_test.go
@@ -1,4 +1,4 @@
-package configlog
+package configstate
 
 import (
 	"encoding/json"
--- a/confstore/caps.go
+++ b/confstore/caps.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wheelgauge"
-	"wheelgauge/cappurse"
+	"wheelgauge/capclient"
 )
 
 const (
@@ -21,7 +21,7 @@
 
 // serveCaps handles entry hosts' requests for cap units; false means another path.
 func (n *Node) serveCaps(ctx *fasthttp.RequestCtx) bool {
-	return serve(ctx, cappurse.Path, func(request wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
+	return serve(ctx, capclient.Path, func(request wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
 		return n.caps.Draw(request), nil
 	})
 }
--- a/confstore/crashes.go
+++ b/confstore/crashes.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/configlog"
+	"wheelgauge/configstate"
 	"wheelgauge/quarantine"
 )
 
@@ -32,14 +32,14 @@
 	proposeCtx, cancel := context.WithTimeout(ctx, crashProposeTimeout)
 	defer cancel()
 	if _, changed := quarantine.MergePersisted(persisted, known); changed {
-		n.proposeCrashes(proposeCtx, configlog.Command{Op: configlog.OpCrashes, Crashes: known})
+		n.proposeCrashes(proposeCtx, configstate.Command{Op: configstate.OpCrashes, Crashes: known})
 	}
 	if expired := n.expiredQuarantines(persisted); len(expired) > 0 && n.replica.IsLeader() {
-		n.proposeCrashes(proposeCtx, configlog.Command{Op: configlog.OpForget, Requests: expired})
+		n.proposeCrashes(proposeCtx, configstate.Command{Op: configstate.OpForget, Requests: expired})
 	}
 }
 
-func (n *Node) proposeCrashes(ctx context.Context, c configlog.Command) {
+func (n *Node) proposeCrashes(ctx context.Context, c configstate.Command) {
 	res, err := n.proposeChange(ctx, c)
 	if err != nil {
 		n.meter.Count("crashes.failed")
--- a/confstore/entry.go
+++ b/confstore/entry.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/entryset"
+	"wheelgauge/announcedhosts"
 	"wheelgauge/routetable"
 )
 
@@ -34,7 +34,7 @@
 // routes may not run.
 func (n *Node) EntryAddresses(name, region string) ([]string, time.Duration, error) {
 	hosts, _ := n.hosts.Hosts()
-	count := entryset.HostCount(n.hosts.PeakInFlight(region))
+	count := announcedhosts.HostCount(n.hosts.PeakInFlight(region))
 	if own := chooseAddresses(hosts, count, func(h wheelgauge.FleetHost) bool { return h.Region == region && !h.Leaving }); len(own) > 0 {
 		return own, n.addressTTL(region), nil
 	}
@@ -48,7 +48,7 @@
 		func(h wheelgauge.FleetHost) bool { return !h.Leaving },
 	}
 	for _, match := range fallbacks {
-		if found := chooseAddresses(hosts, entryset.MaxHosts, match); len(found) > 0 {
+		if found := chooseAddresses(hosts, announcedhosts.MaxHosts, match); len(found) > 0 {
 			return found, unstableTTL, nil
 		}
 	}
@@ -80,7 +80,7 @@
 		}
 	}
 	out := make([]string, 0, min(limit, len(matching)))
-	for _, h := range entryset.Choose(matching, limit) {
+	for _, h := range announcedhosts.Choose(matching, limit) {
 		out = append(out, h.CallerAddress)
 	}
 	return out
--- a/confstore/entry_test.go
+++ b/confstore/entry_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/configlog"
+	"wheelgauge/configstate"
 	"wheelgauge/hosttable"
 	"wheelgauge/native"
 )
@@ -18,7 +18,7 @@
 	t.Helper()
 	n := &Node{
 		o:       Options{Clock: wheelgauge.MonotonicClock{}, DecodeRoutes: native.Decode, RegionByHall: map[string]string{"n1": "north", "s1": "south", "w1": "west"}},
-		started: started, machine: configlog.New(), hosts: hosttable.New(time.Now),
+		started: started, machine: configstate.New(), hosts: hosttable.New(time.Now),
 	}
 	putHomes(t, n, 1, "north")
 	for _, h := range hosts {
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	command, err := json.Marshal(configlog.Command{Op: configlog.OpPut, Version: version, Body: body})
+	command, err := json.Marshal(configstate.Command{Op: configstate.OpPut, Version: version, Body: body})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/confstore/heartbeat.go
+++ b/confstore/heartbeat.go
@@ -6,14 +6,14 @@
 	"github.com/valyala/fasthttp"
 
 	"wheelgauge"
-	"wheelgauge/beat"
+	"wheelgauge/heartbeat"
 	"wheelgauge/peerhttp"
 	"wheelgauge/statefeed"
 )
 
 // serveHeartbeat handles an entry host's heartbeat; false means another path.
 func (n *Node) serveHeartbeat(ctx *fasthttp.RequestCtx) bool {
-	return serve(ctx, beat.Path, func(b wheelgauge.FleetHeartbeat) (wheelgauge.FleetHeartbeatResponse, error) {
+	return serve(ctx, heartbeat.Path, func(b wheelgauge.FleetHeartbeat) (wheelgauge.FleetHeartbeatResponse, error) {
 		n.meter.Count("beats")
 		n.hosts.RecordHeartbeat(b, time.Duration(b.IntervalMS)*time.Millisecond)
 		n.caps.HostSeen(b.Host.Name, b.Host.Boot)
--- a/confstore/heartbeat_bench_test.go
+++ b/confstore/heartbeat_bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/configlog"
+	"wheelgauge/configstate"
 	"wheelgauge/hosttable"
 	"wheelgauge/serverlist"
 )
@@ -15,7 +15,7 @@
 // newLoadedNode returns a store with hosts and busy servers of three regions, and the heartbeat of its first host.
 func newLoadedNode(hosts, servers int) (*Node, wheelgauge.FleetHeartbeat) {
 	regions := []string{"north", "south", "west"}
-	n := &Node{o: Options{Clock: wheelgauge.MonotonicClock{}, RegionByHall: map[string]string{}}, machine: configlog.New(), hosts: hosttable.New(time.Now), started: time.Now().Add(-time.Hour)}
+	n := &Node{o: Options{Clock: wheelgauge.MonotonicClock{}, RegionByHall: map[string]string{}}, machine: configstate.New(), hosts: hosttable.New(time.Now), started: time.Now().Add(-time.Hour)}
 	n.servers = serverlist.New(0, time.Now)
 	lists := map[string][]wheelgauge.Server{}
 	var uses []wheelgauge.ServerUsage
--- a/confstore/node.go
+++ b/confstore/node.go
@@ -17,22 +17,22 @@
 
 	"wheelgauge"
 	"wheelgauge/bootclock"
-	"wheelgauge/capbank"
-	"wheelgauge/configlog"
-	"wheelgauge/every"
+	"wheelgauge/capallocator"
+	"wheelgauge/configstate"
 	"wheelgauge/hosttable"
 	"wheelgauge/httpserve"
 	"wheelgauge/meter"
 	"wheelgauge/peerhttp"
+	"wheelgauge/periodic"
 	"wheelgauge/permitissuer"
 	"wheelgauge/quarantine"
 	"wheelgauge/replica"
-	"wheelgauge/rollout/director"
+	"wheelgauge/rollout/controller"
 	"wheelgauge/rollout/sequential"
 	"wheelgauge/serverlimit"
 	"wheelgauge/serverlist"
+	"wheelgauge/stallwatch"
 	"wheelgauge/statefeed"
-	"wheelgauge/wake"
 )
 
 const (
@@ -93,7 +93,7 @@
 	o         Options
 	boot      uint64
 	started   time.Time
-	machine   *configlog.Machine
+	machine   *configstate.Machine
 	feed      *statefeed.Feed
 	routeSet  atomic.Pointer[wheelgauge.RouteSet]
 	replica   *replica.Replica
@@ -107,13 +107,13 @@
 
 	servers *serverlist.Table
 	peers   peerStores
-	caps    *capbank.Allocator
+	caps    *capallocator.Allocator
 	crashes *quarantine.Table
 	// limits are the rate limits reported by servers; permits issues permits within them.
 	limits  *serverlimit.Table
 	permits *permitissuer.Issuer
 	// rolloutController decides the next step of each rollout; rolloutClock tracks elapsed times.
-	rolloutController *director.Controller
+	rolloutController *controller.Controller
 	rolloutClock      rolloutClock
 	// quarantinedSince is when this store first knew of each quarantined request; only
 	// syncCrashes uses it.
@@ -137,35 +137,35 @@
 	}
 	now := o.Clock.Now
 	n := &Node{
-		o: o, boot: uint64(time.Now().UnixNano()), started: now(), machine: configlog.New(), hosts: hosttable.New(now),
+		o: o, boot: uint64(time.Now().UnixNano()), started: now(), machine: configstate.New(), hosts: hosttable.New(now),
 		client: peerhttp.NewClient(nil, ""), meter: meter.New(), stop: stop,
 		invalidEntries: map[string]wheelgauge.InvalidEntries{},
 	}
 	n.client.OnCall(n.meter.CountCall)
 	n.feed = statefeed.New(n.fleetState)
-	n.rolloutController = director.New(func() wheelgauge.VersionEvaluator { return sequential.New() }, now)
+	n.rolloutController = controller.New(func() wheelgauge.VersionEvaluator { return sequential.New() }, now)
 	n.servers = serverlist.New(n.boot, now)
 	n.crashes = quarantine.New(now)
 	n.limits = serverlimit.New(now)
 	n.permits = permitissuer.New(n.limits, now)
-	n.caps = capbank.New(capbank.Options{Self: o.PeerAddress, Boot: n.boot, Window: o.CapWindow, Overage: o.CapOverage, Slack: o.CapSlack, Now: now})
+	n.caps = capallocator.New(capallocator.Options{Self: o.PeerAddress, Boot: n.boot, Window: o.CapWindow, Overage: o.CapOverage, Slack: o.CapSlack, Now: now})
 	if err := n.open(ctx); err != nil {
 		stop()
 		return nil, err
 	}
 	n.runTask(func() error {
 		n.pollLists(ctx) // hosts that start together with this store wait for the first list
-		return every.Run(ctx, o.PollInterval, n.pollLists)
+		return periodic.Run(ctx, o.PollInterval, n.pollLists)
 	})
-	n.runTask(func() error { return every.Run(ctx, updateInterval, n.sendUpdates) })
-	n.runTask(func() error { return every.Run(ctx, capsUpdateInterval, n.updateCaps) })
-	n.runTask(func() error { return every.Run(ctx, refusalLogInterval, n.logRefusals) })
-	n.runTask(func() error { return every.Run(ctx, crashSyncInterval, n.syncCrashes) })
-	n.runTask(func() error { return every.Run(ctx, rolloutInterval, n.advanceRollouts) })
-	n.runTask(func() error { return every.Run(ctx, limitPruneInterval, n.pruneLimits) })
-	watch := wake.New(o.Clock, o.Log)
+	n.runTask(func() error { return periodic.Run(ctx, updateInterval, n.sendUpdates) })
+	n.runTask(func() error { return periodic.Run(ctx, capsUpdateInterval, n.updateCaps) })
+	n.runTask(func() error { return periodic.Run(ctx, refusalLogInterval, n.logRefusals) })
+	n.runTask(func() error { return periodic.Run(ctx, crashSyncInterval, n.syncCrashes) })
+	n.runTask(func() error { return periodic.Run(ctx, rolloutInterval, n.advanceRollouts) })
+	n.runTask(func() error { return periodic.Run(ctx, limitPruneInterval, n.pruneLimits) })
+	watch := stallwatch.New(o.Clock, o.Log)
 	n.runTask(func() error {
-		return every.Run(ctx, suspendCheckInterval, func(context.Context) { watch.Check(suspendCheckInterval) })
+		return periodic.Run(ctx, suspendCheckInterval, func(context.Context) { watch.Check(suspendCheckInterval) })
 	})
 	o.Log.Info("Store serves.", "name", o.Name, "peer", o.PeerAddress, "seeds", o.Seeds, "first", o.Bootstrap)
 	return n, nil
--- a/confstore/operations.go
+++ b/confstore/operations.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/configlog"
+	"wheelgauge/configstate"
 	"wheelgauge/routetable"
 )
 
@@ -27,7 +27,7 @@
 		n.o.Log.Info("Configuration is invalid.", "cause", err.Error())
 		return 0, wheelgauge.NewError(wheelgauge.ReasonInvalid, wheelgauge.OutcomeNotRun, http.StatusBadRequest, err.Error())
 	}
-	res, err := n.proposeChange(ctx, configlog.Command{Op: configlog.OpPut, Version: set.Version, Body: body})
+	res, err := n.proposeChange(ctx, configstate.Command{Op: configstate.OpPut, Version: set.Version, Body: body})
 	if err != nil {
 		n.o.Log.Info("Configuration is not acknowledged.", "version", set.Version, "cause", err.Error())
 		return 0, err
@@ -41,11 +41,11 @@
 	if _, ok := n.o.RegionByHall[hall]; !ok {
 		return wheelgauge.NewError(wheelgauge.ReasonNotFound, wheelgauge.OutcomeNotRun, http.StatusNotFound, "no hall of this name: "+hall)
 	}
-	op := configlog.OpResume
+	op := configstate.OpResume
 	if drained {
-		op = configlog.OpDrain
+		op = configstate.OpDrain
 	}
-	res, err := n.proposeChange(ctx, configlog.Command{Op: op, Hall: hall})
+	res, err := n.proposeChange(ctx, configstate.Command{Op: op, Hall: hall})
 	if err != nil {
 		n.o.Log.Info("Drain or resume of a hall is not acknowledged.", "hall", hall, "order", op, "cause", err.Error())
 		return err
@@ -54,10 +54,10 @@
 	return nil
 }
 
-func (n *Node) proposeChange(ctx context.Context, c configlog.Command) (configlog.Result, error) {
+func (n *Node) proposeChange(ctx context.Context, c configstate.Command) (configstate.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
-	var res configlog.Result
+	var res configstate.Result
 	command, err := json.Marshal(c)
 	if err != nil {
 		return res, fmt.Errorf("encode %s: %w", c.Op, err)
--- a/confstore/rollouts.go
+++ b/confstore/rollouts.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/configlog"
-	"wheelgauge/rollout/director"
+	"wheelgauge/configstate"
+	"wheelgauge/rollout/controller"
 )
 
 const (
@@ -98,7 +98,7 @@
 	}
 	last, known := wheelgauge.FindRollout(n.rollouts(), order.Service)
 	retry := known && !last.Running() && last.ElapsedMS > resendWindow.Milliseconds()
-	res, err := n.proposeChange(ctx, configlog.Command{Op: configlog.OpRollout, Rollout: &wheelgauge.Rollout{RolloutRequest: order}, Retry: retry})
+	res, err := n.proposeChange(ctx, configstate.Command{Op: configstate.OpRollout, Rollout: &wheelgauge.Rollout{RolloutRequest: order}, Retry: retry})
 	if err != nil {
 		return err
 	}
@@ -158,7 +158,7 @@
 	}
 	if r.Running() {
 		r.State, r.Cause = wheelgauge.RolloutRolledBack, "ended by an operator"
-		res, err := n.proposeChange(ctx, configlog.Command{Op: configlog.OpRolloutStep, Rollout: &r})
+		res, err := n.proposeChange(ctx, configstate.Command{Op: configstate.OpRolloutStep, Rollout: &r})
 		if err != nil {
 			return err
 		}
@@ -190,19 +190,19 @@
 	d := n.rolloutController.Decide(r, n.rolloutView(r))
 	next := r
 	switch d.Step {
-	case director.Wait:
+	case controller.Wait:
 		n.saveElapsed(ctx, r)
 		return
-	case director.Shift:
+	case controller.Shift:
 		next.Shifting = true
-	case director.Complete:
+	case controller.Complete:
 		next.State = wheelgauge.RolloutCompleted
-	case director.RollBack:
+	case controller.RollBack:
 		next.State, next.Cause = wheelgauge.RolloutRolledBack, d.Cause
 	}
 	proposeCtx, cancel := context.WithTimeout(ctx, rolloutProposeTimeout)
 	defer cancel()
-	res, err := n.proposeChange(proposeCtx, configlog.Command{Op: configlog.OpRolloutStep, Rollout: &next})
+	res, err := n.proposeChange(proposeCtx, configstate.Command{Op: configstate.OpRolloutStep, Rollout: &next})
 	if err != nil {
 		n.o.Log.Info("Rollout step could not be committed; the next evaluation retries.", "service", r.Service, "number", r.Number, "step", d.Step, "cause", err.Error())
 		return
@@ -221,14 +221,14 @@
 	}
 	proposeCtx, cancel := context.WithTimeout(ctx, rolloutProposeTimeout)
 	defer cancel()
-	if _, err := n.proposeChange(proposeCtx, configlog.Command{Op: configlog.OpRolloutAge, Rollout: &r}); err != nil {
+	if _, err := n.proposeChange(proposeCtx, configstate.Command{Op: configstate.OpRolloutAge, Rollout: &r}); err != nil {
 		n.meter.Count("rollouts.age.failed") // the next evaluation retries
 	}
 }
 
 // rolloutView returns what this store knows about the hosts and servers of a rollout.
-func (n *Node) rolloutView(r wheelgauge.Rollout) director.FleetView {
-	v := director.FleetView{Remaining: r.Left(), LiveHosts: map[string]uint64{}}
+func (n *Node) rolloutView(r wheelgauge.Rollout) controller.FleetView {
+	v := controller.FleetView{Remaining: r.Left(), LiveHosts: map[string]uint64{}}
 	hosts, _ := n.hosts.Hosts()
 	for _, h := range hosts {
 		v.LiveHosts[h.Name] = h.Boot
--- a/confstore/servers_test.go
+++ b/confstore/servers_test.go
@@ -11,7 +11,7 @@
 	"github.com/go-logr/logr"
 
 	"wheelgauge"
-	"wheelgauge/capbank"
+	"wheelgauge/capallocator"
 	"wheelgauge/hosttable"
 	"wheelgauge/native"
 	"wheelgauge/serverlist"
@@ -165,7 +165,7 @@
 func TestStaleListIsPolledByAnyStore(t *testing.T) {
 	n := &Node{
 		o: Options{Clock: wheelgauge.MonotonicClock{}, PeerAddress: "b", Region: "north", PollInterval: time.Second}, servers: serverlist.New(1, time.Now), hosts: hosttable.New(time.Now),
-		caps: capbank.New(capbank.Options{Self: "b", Boot: 1, Now: time.Now}),
+		caps: capallocator.New(capallocator.Options{Self: "b", Boot: 1, Now: time.Now}),
 	}
 	n.applyUpdate(wheelgauge.StoreUpdate{StoreBoot: 2, Address: "a", Region: "south"})
 	tests := []struct {
--- a/confstore/state_test.go
+++ b/confstore/state_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/configlog"
+	"wheelgauge/configstate"
 	"wheelgauge/quarantine"
 	"wheelgauge/statefeed"
 )
@@ -18,10 +18,10 @@
 // to 0.1 s after the state, the host would answer 502 and two more servers would crash.
 func TestFirstStatePartCarriesCrashes(t *testing.T) {
 	three := []wheelgauge.Crash{{Fingerprint: "p", Server: "a"}, {Fingerprint: "p", Server: "b"}, {Fingerprint: "p", Server: "c"}}
-	n := &Node{o: Options{Clock: wheelgauge.MonotonicClock{}}, machine: configlog.New(), crashes: quarantine.New(time.Now)}
+	n := &Node{o: Options{Clock: wheelgauge.MonotonicClock{}}, machine: configstate.New(), crashes: quarantine.New(time.Now)}
 	n.feed = statefeed.New(n.machine.State)
-	for _, c := range []configlog.Command{
-		{Op: configlog.OpPut, Version: 1, Body: json.RawMessage(`{}`)}, {Op: configlog.OpCrashes, Crashes: three},
+	for _, c := range []configstate.Command{
+		{Op: configstate.OpPut, Version: 1, Body: json.RawMessage(`{}`)}, {Op: configstate.OpCrashes, Crashes: three},
 	} {
 		data, err := json.Marshal(c)
 		if err != nil {
--- a/confstore/suspend_test.go
+++ b/confstore/suspend_test.go
@@ -8,7 +8,7 @@
 	"github.com/go-logr/logr"
 
 	"wheelgauge"
-	"wheelgauge/fake/fakeclock"
+	"wheelgauge/fake/suspendclock"
 	"wheelgauge/native"
 )
 
@@ -17,7 +17,7 @@
 // as readers of lists, and old crashes no longer count.
 func TestStoreAfterSuspend(t *testing.T) {
 	const suspended = 20 * time.Minute
-	clock := &fakeclock.Clock{}
+	clock := &suspendclock.Clock{}
 	address := "127.0.86.1:7803"
 	n, err := Open(context.Background(), Options{
 		Name: "s", Region: "north", Hall: "n", RegionByHall: map[string]string{"n": "north"}, Dir: t.TempDir(), PeerAddress: address,
--- a/callerconn/callerconn.go
+++ b/connpeek/callerconn.go
@@ -1,5 +1,5 @@
-// Package callerconn checks without reading whether the peer of a connection has closed it.
-package callerconn
+// Package connpeek checks without reading whether the peer of a connection has closed it.
+package connpeek
 
 import (
 	"net"
--- a/callerconn/callerconn_test.go
+++ b/connpeek/callerconn_test.go
@@ -1,4 +1,4 @@
-package callerconn
+package connpeek
 
 import (
 	"net"
--- a/entrynode/fleet_test.go
+++ b/entrynode/fleet_test.go
@@ -18,7 +18,7 @@
 
 	"wheelgauge"
 	"wheelgauge/confstore"
-	"wheelgauge/fake/fakeclock"
+	"wheelgauge/fake/suspendclock"
 	"wheelgauge/native"
 	"wheelgauge/retrybudget"
 )
@@ -203,7 +203,7 @@
 	stores []*confstore.Node
 	hosts  []*Node
 	// storeClocks and hostClocks are the clocks that stores and hosts use.
-	storeClocks, hostClocks [fleetSize]fakeclock.Clock
+	storeClocks, hostClocks [fleetSize]suspendclock.Clock
 }
 
 const fleetSize = 3
--- a/entrynode/limit_test.go
+++ b/entrynode/limit_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"wheelgauge/fake/judge"
+	"wheelgauge/fake/arrivalbound"
 )
 
 const (
@@ -90,7 +90,7 @@
 		arrivals := f.engines.arrivalsSince(name, from)
 		used += len(arrivals)
 		usedByServer = append(usedByServer, len(arrivals))
-		if err := judge.ServerLimit().Check(lc.rate, arrivals); err != nil {
+		if err := arrivalbound.ServerLimit().Check(lc.rate, arrivals); err != nil {
 			t.Errorf("requests to %s: %v", name, err)
 		}
 	}
--- a/entrynode/node.go
+++ b/entrynode/node.go
@@ -17,25 +17,25 @@
 	"github.com/valyala/fasthttp"
 
 	"wheelgauge"
-	"wheelgauge/beat"
 	"wheelgauge/bootclock"
 	"wheelgauge/callerhttp"
-	"wheelgauge/cappurse"
+	"wheelgauge/capclient"
 	"wheelgauge/countconn"
-	"wheelgauge/every"
+	"wheelgauge/heartbeat"
 	"wheelgauge/httpserve"
 	"wheelgauge/meter"
 	"wheelgauge/peerhttp"
 	"wheelgauge/peerset"
+	"wheelgauge/periodic"
 	"wheelgauge/permitclient"
 	"wheelgauge/quarantine"
 	"wheelgauge/retrybudget"
-	"wheelgauge/rollout/ledger"
+	"wheelgauge/rollout/selector"
 	"wheelgauge/rollout/tally"
 	"wheelgauge/routegate"
 	"wheelgauge/serverlimit"
 	"wheelgauge/serverset"
-	"wheelgauge/wake"
+	"wheelgauge/stallwatch"
 )
 
 const (
@@ -114,16 +114,16 @@
 	servers *serverset.Table
 	peers   *peerset.Table
 	budget  *retrybudget.Budget
-	caps    *cappurse.Client
+	caps    *capclient.Client
 	// quarantine rejects requests that crash servers.
 	quarantine *quarantine.Table
 	// limits are the rate limits that servers have reported.
 	limits       *serverlimit.Table
 	permits      *permitclient.Client
-	versions     *ledger.Selector
+	versions     *selector.Selector
 	tally        *tally.Tally
 	meter        *meter.Meter
-	heartbeats   atomic.Pointer[beat.Client]
+	heartbeats   atomic.Pointer[heartbeat.Client]
 	client       *peerhttp.Client
 	callerServer *callerhttp.Server
 	peerServer   *callerhttp.Server
@@ -154,14 +154,14 @@
 	n.servers = serverset.New(serverset.Place{Host: o.Name, Hall: o.Hall}, n.service, clock.Now)
 	n.peers = peerset.New(o.Region, o.FarHeartbeatInterval+crossRegionResponseTime, clock.Now)
 	n.budget = retrybudget.New(o.Budget, clock.Now)
-	n.caps = cappurse.New(cappurse.Options{Host: o.Name, Boot: n.boot, Stores: n.stores, Draw: n.requestCaps, Now: clock.Now})
+	n.caps = capclient.New(capclient.Options{Host: o.Name, Boot: n.boot, Stores: n.stores, Draw: n.requestCaps, Now: clock.Now})
 	n.quarantine = quarantine.New(clock.Now)
 	n.limits = serverlimit.New(clock.Now)
 	n.servers.SetLimits(n.limits.Rate)
 	n.permits = permitclient.New(permitclient.Options{
 		Host: o.Name, Limits: n.limits, Stores: n.regionStores, Sharers: n.servers.LowRateHosts, Request: n.requestPermit, Now: clock.Now,
 	})
-	n.versions = ledger.New(ledger.Options{Host: o.Name, Share: o.RolloutShare, Slack: o.RolloutSlack, Now: clock.Now})
+	n.versions = selector.New(selector.Options{Host: o.Name, Share: o.RolloutShare, Slack: o.RolloutSlack, Now: clock.Now})
 	n.tally = tally.New()
 	n.gate = routegate.New(routegate.Options{
 		Region: o.Region, Names: o.Names, Servers: n.servers, Peers: n.peers, Budget: n.budget, Meter: n.meter, Log: o.Log.WithName("gate"),
@@ -172,14 +172,14 @@
 		stop()
 		return nil, err
 	}
-	n.heartbeats.Store(beat.Start(beat.Options{
+	n.heartbeats.Store(heartbeat.Start(heartbeat.Options{
 		Self: n.self, Usage: n.servers.Uses, Crashes: n.quarantine, Limits: n.limits, Rollouts: rolloutReports{n.versions, n.tally}, Seeds: o.Seeds, Interval: o.HeartbeatInterval, FarInterval: o.FarHeartbeatInterval,
 		Clock: clock, Client: n.client, Receiver: n, Log: o.Log.WithName("beat"),
 	}))
-	go func() { n.pruneDone <- every.Run(ctx, pruneInterval, n.prune) }()
-	watcher := wake.New(clock, o.Log)
+	go func() { n.pruneDone <- periodic.Run(ctx, pruneInterval, n.prune) }()
+	watcher := stallwatch.New(clock, o.Log)
 	go func() {
-		n.warmDone <- every.Run(ctx, warmInterval, func(ctx context.Context) {
+		n.warmDone <- periodic.Run(ctx, warmInterval, func(ctx context.Context) {
 			n.checkSuspension(watcher)
 			n.peers.OpenIdle(ctx)
 		})
@@ -198,7 +198,7 @@
 
 // requestCaps requests units of workspaces' caps from a store.
 func (n *Node) requestCaps(ctx context.Context, address string, req wheelgauge.CapUnitsRequest) (resp wheelgauge.CapUnitsResponse, err error) {
-	err = n.client.Call(ctx, http.MethodPost, address, cappurse.Path, req, &resp)
+	err = n.client.Call(ctx, http.MethodPost, address, capclient.Path, req, &resp)
 	return resp, err
 }
 
@@ -277,7 +277,7 @@
 }
 
 // checkSuspension ends requests whose deadline passed while the host was suspended.
-func (n *Node) checkSuspension(w *wake.Watcher) {
+func (n *Node) checkSuspension(w *stallwatch.Watcher) {
 	if _, suspended := w.Check(warmInterval); suspended > 0 {
 		n.options.Log.Info("Requests are ended whose time went by.", "ended", n.gate.EndExpired())
 	}
@@ -344,7 +344,7 @@
 	limited, expire := context.WithCancel(ctx)
 	done := make(chan error, 1)
 	go func() {
-		done <- every.Run(limited, drainCheckInterval, func(context.Context) {
+		done <- periodic.Run(limited, drainCheckInterval, func(context.Context) {
 			if !n.options.Clock.Now().Before(end) {
 				expire()
 			}
--- a/entrynode/node_test.go
+++ b/entrynode/node_test.go
@@ -12,7 +12,7 @@
 	"github.com/go-logr/logr"
 
 	"wheelgauge"
-	"wheelgauge/fake/fakeclock"
+	"wheelgauge/fake/suspendclock"
 	"wheelgauge/native"
 	"wheelgauge/retrybudget"
 	"wheelgauge/routetable"
@@ -113,7 +113,7 @@
 	defer close(proceed)
 	server, received := slowServer(t, proceed)
 	const grace = 10 * time.Minute
-	clock := &fakeclock.Clock{}
+	clock := &suspendclock.Clock{}
 	n := openStandalone(t, server, grace, clock)
 	c, err := net.Dial("tcp", "127.0.82.1:7801")
 	if err != nil {
--- a/entrynode/pushback_test.go
+++ b/entrynode/pushback_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"wheelgauge/fake/judge"
+	"wheelgauge/fake/arrivalbound"
 	"wheelgauge/native"
 )
 
@@ -190,7 +190,7 @@
 	}
 	for pair, backoffs := range b.backoffs {
 		for _, at := range backoffs {
-			if err := judge.ServerBackoff().Check(at, requestedBackoff, b.arrivals[pair]); err != nil {
+			if err := arrivalbound.ServerBackoff().Check(at, requestedBackoff, b.arrivals[pair]); err != nil {
 				t.Errorf("%v: %v", pair, err)
 				break
 			}
--- a/entrynode/rollouts.go
+++ b/entrynode/rollouts.go
@@ -2,13 +2,13 @@
 
 import (
 	"wheelgauge"
-	"wheelgauge/rollout/ledger"
+	"wheelgauge/rollout/selector"
 	"wheelgauge/rollout/tally"
 )
 
 // rolloutReports is the source of the rollout reports that heartbeats carry.
 type rolloutReports struct {
-	versions *ledger.Selector
+	versions *selector.Selector
 	tally    *tally.Tally
 }
 
--- a/entrynode/suspension_test.go
+++ b/entrynode/suspension_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"wheelgauge/fake/judge"
+	"wheelgauge/fake/arrivalbound"
 )
 
 var (
@@ -86,7 +86,7 @@
 		f.engines.mu.Unlock()
 		sentAt := f.engines.firstLimitAt(name)
 		arrivals = slices.DeleteFunc(arrivals, func(a time.Time) bool { return sentAt.IsZero() || a.Before(sentAt.Add(limitPropagationTime)) })
-		if err := judge.ServerLimit().Check(rate, arrivals); err != nil {
+		if err := arrivalbound.ServerLimit().Check(rate, arrivals); err != nil {
 			t.Errorf("requests to %s: %v", name, err)
 		}
 	}
--- a/entrynode/updates.go
+++ b/entrynode/updates.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/entryset"
+	"wheelgauge/announcedhosts"
 	"wheelgauge/routetable"
 )
 
@@ -59,7 +59,7 @@
 			all = append(all, h.Name)
 		}
 	}
-	for _, h := range entryset.Minimum(own) {
+	for _, h := range announcedhosts.Minimum(own) {
 		announced = append(announced, h.Name)
 	}
 	if len(announced) == 0 {
--- a/entrynode/updates_test.go
+++ b/entrynode/updates_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"wheelgauge"
-	"wheelgauge/entryset"
+	"wheelgauge/announcedhosts"
 )
 
 // A store that has just started knows few hosts; the others must not be removed.
@@ -49,8 +49,8 @@
 	}
 	hosts = append(hosts, wheelgauge.FleetHost{Name: "far", Region: "there", Ready: true})
 	all, announced := hostsOf(hosts, "here")
-	if len(all) != 100 || len(announced) != entryset.MinHosts {
-		t.Errorf("got %d hosts, %d announced, want 100 and %d", len(all), len(announced), entryset.MinHosts)
+	if len(all) != 100 || len(announced) != announcedhosts.MinHosts {
+		t.Errorf("got %d hosts, %d announced, want 100 and %d", len(all), len(announced), announcedhosts.MinHosts)
 	}
 	for _, name := range []string{"g0", "g1", "far"} {
 		if slices.Contains(announced, name) {
--- a/fake/judge/backoff.go
+++ b/fake/arrivalbound/backoff.go
@@ -1,4 +1,4 @@
-package judge
+package arrivalbound
 
 import (
 	"fmt"
--- a/fake/judge/bound.go
+++ b/fake/arrivalbound/bound.go
@@ -1,6 +1,6 @@
-// Package judge checks the requests that backend servers received against what they may
+// Package arrivalbound checks the requests that backend servers received against what they may
 // receive from all hosts together. It is independent of how hosts decide.
-package judge
+package arrivalbound
 
 import (
 	"fmt"
--- a/fake/engine/cache.go
+++ b/fake/engine/cache.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"wheelgauge/fake/script"
+	"wheelgauge/fake/responsetext"
 )
 
 const (
@@ -51,14 +51,14 @@
 
 // missingTokens returns the number of a prompt's tokens that are not cached.
 func (c *cache) missingTokens(prompt string) int {
-	total := len(prompt)/script.CharsPerToken + 1
+	total := len(prompt)/responsetext.CharsPerToken + 1
 	for _, b := range blockHashes(prompt) {
 		e, ok := c.blocks[b]
 		if !ok {
 			break
 		}
 		c.lru.MoveToFront(e)
-		total -= blockChars / script.CharsPerToken
+		total -= blockChars / responsetext.CharsPerToken
 	}
 	return total
 }
--- a/fake/engine/engine.go
+++ b/fake/engine/engine.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/fake/script"
+	"wheelgauge/fake/responsetext"
 	"wheelgauge/httpserve"
 )
 
@@ -207,7 +207,7 @@
 		missing := e.cache.missingTokens(s.prompt)
 		s.prefillLeft = missing
 		e.coldTokens += int64(missing)
-		e.promptTokens += int64(len(s.prompt)/script.CharsPerToken) + 1
+		e.promptTokens += int64(len(s.prompt)/responsetext.CharsPerToken) + 1
 		e.running = append(e.running, s)
 		if e.o.CrashOn != "" && strings.Contains(s.prompt, e.o.CrashOn) {
 			e.o.Crash()
@@ -230,7 +230,7 @@
 		budget -= n
 	}
 	select {
-	case s.tokens <- script.Token(s.prompt, s.nextToken):
+	case s.tokens <- responsetext.Token(s.prompt, s.nextToken):
 		s.nextToken++
 	default: // the reader is slow
 	}
--- a/fake/script/script.go
+++ b/fake/responsetext/script.go
@@ -1,6 +1,6 @@
-// Package script generates the fake engines' response to a prompt, so that a caller can
+// Package responsetext generates the fake engines' response to a prompt, so that a caller can
 // distinguish a correct response from a mixed-up or truncated one.
-package script
+package responsetext
 
 import (
 	"strconv"
--- a/fake/fakeclock/clock.go
+++ b/fake/suspendclock/clock.go
@@ -1,6 +1,6 @@
-// Package fakeclock is a clock that a test can move forward, as if the machine had been
+// Package suspendclock is a clock that a test can move forward, as if the machine had been
 // suspended.
-package fakeclock
+package suspendclock
 
 import (
 	"sync/atomic"
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -8,11 +8,11 @@
 
 	"wheelgauge"
 	"wheelgauge/admission"
-	"wheelgauge/away"
 	"wheelgauge/catalog"
-	"wheelgauge/entrylist"
+	"wheelgauge/clienthosts"
 	"wheelgauge/pushback"
 	"wheelgauge/rendezvous"
+	"wheelgauge/spillover"
 )
 
 // usualFirstByte is a time to the first byte that does not indicate a queue.
@@ -26,7 +26,7 @@
 	if rq.class.Rate == 0 {
 		return nil
 	}
-	share := entrylist.LimitShare(rq.catalog, rq.identity, g.options.Region, g.options.Host, g.usable)
+	share := clienthosts.LimitShare(rq.catalog, rq.identity, g.options.Region, g.options.Host, g.usable)
 	wait := g.limiter.Take(rq.identity.Client, rendezvous.Hash(rq.identity.Client), rq.class, share, rq.started)
 	if wait == 0 {
 		return nil
@@ -121,7 +121,7 @@
 	defer candidateSets.Put(cs)
 	g.collectCandidates(cs, rq.catalog, rq.route, rq.model, nil)
 	service := g.inflight.MeanDuration(rq.route.Pool)
-	here := away.RegionState{Region: g.options.Region, Wait: g.localWait(rq, cs, service), Price: rq.catalog.Region(g.options.Region).Price}
+	here := spillover.RegionState{Region: g.options.Region, Wait: g.localWait(rq, cs, service), Price: rq.catalog.Region(g.options.Region).Price}
 	fits := cs.slots > 0 && !admission.ShouldShed(rq.call.Priority, here.Wait, g.options.MaxWait) &&
 		!admission.MissesDeadline(here.Wait, minService, time.Until(g.localDeadline(rq)))
 	if !rq.forwarded {
@@ -146,7 +146,7 @@
 	return max(queueWait(cs.load, cs.slots, service), observed)
 }
 
-func (g *Gateway) overloadError(rq *request, here away.RegionState, slots int) error {
+func (g *Gateway) overloadError(rq *request, here spillover.RegionState, slots int) error {
 	if slots == 0 {
 		if after, ok := g.backoffLeft(rq); ok {
 			return backoffError(rq, g.options.Region, after)
@@ -164,8 +164,8 @@
 }
 
 // chooseRegion returns the region to forward a request to, by the away policy.
-func (g *Gateway) chooseRegion(rq *request, here away.RegionState, fits bool, service time.Duration) (string, bool) {
-	var places [maxRegions]away.RegionState
+func (g *Gateway) chooseRegion(rq *request, here spillover.RegionState, fits bool, service time.Duration) (string, bool) {
+	var places [maxRegions]spillover.RegionState
 	n := 0
 	for _, region := range rq.catalog.Regions() {
 		if region == g.options.Region || n == maxRegions || !rq.catalog.Allows(rq.identity, region) {
@@ -178,13 +178,13 @@
 		}
 		link := time.Duration(rq.catalog.Region(g.options.Region).LinkDelaysMS[region] * float64(time.Millisecond))
 		observed := g.inflight.RecentFirstByte(regionCounter(region)) - usualFirstByte - 2*link
-		places[n] = away.RegionState{
+		places[n] = spillover.RegionState{
 			Region: region, Wait: max(queueWait(pool.Running+pool.Waiting, pool.Slots, service), observed), Price: rq.catalog.Region(region).Price, Latency: link,
 			Granted: g.hostGrant(rq.catalog, pool), InFlight: g.inflight.Count(regionCounter(region)),
 		}
 		n++
 	}
-	best := g.options.Decider.Decide(here, fits, away.RequestSize{Bytes: len(rq.call.Body), Tokens: rq.tokens}, places[:n])
+	best := g.options.Decider.Decide(here, fits, spillover.RequestSize{Bytes: len(rq.call.Body), Tokens: rq.tokens}, places[:n])
 	if best < 0 {
 		return "", false
 	}
--- a/gateway/caller.go
+++ b/gateway/caller.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fasthttp"
 
 	"wheelgauge"
-	"wheelgauge/callerconn"
-	"wheelgauge/entrylist"
+	"wheelgauge/clienthosts"
+	"wheelgauge/connpeek"
 	"wheelgauge/peerhttp"
 	"wheelgauge/rendezvous"
 )
@@ -69,7 +69,7 @@
 		return
 	}
 	conn := ctx.Conn()
-	rq.callerGone = func() bool { return rq.cancelled.Load() || callerconn.PeerClosed(conn) }
+	rq.callerGone = func() bool { return rq.cancelled.Load() || connpeek.PeerClosed(conn) }
 	g.execute(ctx, rq)
 }
 
@@ -109,7 +109,7 @@
 }
 
 func (g *Gateway) entries(rq *request) []wheelgauge.EntryHost {
-	return entrylist.List(rq.catalog, rq.identity, g.options.Region, g.usable)
+	return clienthosts.List(rq.catalog, rq.identity, g.options.Region, g.usable)
 }
 
 // homeRegion returns the region that stores the claims of a client.
--- a/gateway/decide_test.go
+++ b/gateway/decide_test.go
@@ -10,13 +10,13 @@
 	"github.com/go-logr/logr"
 
 	"wheelgauge"
-	"wheelgauge/away"
 	"wheelgauge/catalog"
+	"wheelgauge/circuitbreaker"
 	"wheelgauge/membership"
 	"wheelgauge/meter"
 	"wheelgauge/rendezvous"
 	"wheelgauge/routing/affinity"
-	"wheelgauge/setaside"
+	"wheelgauge/spillover"
 )
 
 // newTestGateway returns a gateway in region r0 without listeners or stores.
@@ -26,9 +26,9 @@
 	g := &Gateway{
 		options: Options{
 			Host: "h0", Region: "r0", Picker: affinity.New(0), MaxWait: 10 * time.Second,
-			Decider: away.New(away.PolicyCost, away.Weights{SecondValue: 1, ForwardCost: 0.05, ColdPrefill: 60 * time.Millisecond}),
+			Decider: spillover.New(spillover.PolicyCost, spillover.Weights{SecondValue: 1, ForwardCost: 0.05, ColdPrefill: 60 * time.Millisecond}),
 		},
-		setAside: setaside.New(), meter: meter.New(), clock: wheelgauge.MonotonicClock{}, ctx: ctx, cancel: cancel,
+		setAside: circuitbreaker.New(), meter: meter.New(), clock: wheelgauge.MonotonicClock{}, ctx: ctx, cancel: cancel,
 	}
 	g.node = membership.Start(ctx, membership.Options{
 		Host: "h0", Region: "r0", Interval: time.Hour, Catalog: func() *catalog.Catalog { return nil }, Log: logr.Discard(),
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/away"
 	"wheelgauge/catalog"
 	"wheelgauge/membership"
 	"wheelgauge/rendezvous"
+	"wheelgauge/spillover"
 )
 
 const (
@@ -103,7 +103,7 @@
 		tried = append(tried, server.Name)
 	}
 	if last == nil {
-		return nil, g.overloadError(rq, away.RegionState{}, 0)
+		return nil, g.overloadError(rq, spillover.RegionState{}, 0)
 	}
 	if !rq.mayHaveRun {
 		if after, ok := g.backoffLeft(rq); ok {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -18,9 +18,9 @@
 	"wheelgauge/adapter/engine"
 	"wheelgauge/adapter/service"
 	"wheelgauge/admission"
-	"wheelgauge/away"
 	"wheelgauge/bootclock"
 	"wheelgauge/catalog"
+	"wheelgauge/circuitbreaker"
 	"wheelgauge/confwatch"
 	"wheelgauge/gate"
 	"wheelgauge/httpserve"
@@ -30,7 +30,7 @@
 	"wheelgauge/peerhttp"
 	"wheelgauge/quarantine"
 	"wheelgauge/serverlimit"
-	"wheelgauge/setaside"
+	"wheelgauge/spillover"
 	"wheelgauge/upstream"
 )
 
@@ -64,7 +64,7 @@
 	AffinityBytes     int
 
 	Picker    wheelgauge.Picker
-	Decider   *away.Decider
+	Decider   *spillover.Decider
 	Directory wheelgauge.ClientDirectory
 	HostList  wheelgauge.HostList
 	CallerTLS *tls.Config
@@ -92,7 +92,7 @@
 	node     *membership.Node
 	limiter  *admission.Limiter
 	budget   *admission.RetryBudget
-	setAside *setaside.Breakers
+	setAside *circuitbreaker.Breakers
 	// quarantine refuses requests that crash servers.
 	quarantine *quarantine.Table
 	// limits are those that servers have stated; permits enforces them over all hosts of the
@@ -129,7 +129,7 @@
 	g := &Gateway{
 		options: o, boot: uint64(time.Now().UnixNano()), meter: meter.New(), clock: clock, client: peerhttp.NewClient(peerDialer, ""),
 		servers: upstream.New(plainDialer), peers: upstream.New(peerDialer), limiter: admission.NewLimiter(),
-		budget: admission.NewRetryBudget(), setAside: setaside.New(), quarantine: quarantine.New(clock.Now), serving: gate.New(), ctx: ctx, cancel: cancel,
+		budget: admission.NewRetryBudget(), setAside: circuitbreaker.New(), quarantine: quarantine.New(clock.Now), serving: gate.New(), ctx: ctx, cancel: cancel,
 	}
 	g.openPermits()
 	plain := peerhttp.NewClient(plainDialer, "")
--- a/gateway/hints.go
+++ b/gateway/hints.go
@@ -8,7 +8,7 @@
 	"github.com/go-logr/logr"
 
 	"wheelgauge"
-	"wheelgauge/every"
+	"wheelgauge/periodic"
 )
 
 const hintsInterval = 2 * time.Second
@@ -41,7 +41,7 @@
 		return nil
 	}
 	h.read(ctx)
-	return every.Run(ctx, hintsInterval, h.read)
+	return periodic.Run(ctx, hintsInterval, h.read)
 }
 
 func (h *hints) read(ctx context.Context) {
--- a/gateway/pushback_test.go
+++ b/gateway/pushback_test.go
@@ -15,7 +15,7 @@
 	"wheelgauge/adapter/service"
 	"wheelgauge/admission"
 	"wheelgauge/catalog"
-	"wheelgauge/fake/fakeclock"
+	"wheelgauge/fake/suspendclock"
 	"wheelgauge/membership"
 	"wheelgauge/peerhttp"
 	"wheelgauge/quarantine"
@@ -23,9 +23,9 @@
 )
 
 // newSendingGateway returns a gateway that can send to servers, and its fake clock.
-func newSendingGateway(t *testing.T) (*Gateway, *fakeclock.Clock) {
+func newSendingGateway(t *testing.T) (*Gateway, *suspendclock.Clock) {
 	t.Helper()
-	g, clock := newTestGateway(t), &fakeclock.Clock{}
+	g, clock := newTestGateway(t), &suspendclock.Clock{}
 	g.clock = clock
 	g.budget, g.quarantine = admission.NewRetryBudget(), quarantine.New(clock.Now)
 	g.openPermits()
--- a/gateway/suspend_test.go
+++ b/gateway/suspend_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/fake/fakeclock"
+	"wheelgauge/fake/suspendclock"
 )
 
 // A request held by a suspended host must not be sent after the host wakes if its deadline has
@@ -26,7 +26,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g, clock := newTestGateway(t), &fakeclock.Clock{}
+			g, clock := newTestGateway(t), &suspendclock.Clock{}
 			g.clock = clock
 			g.openPermits()
 			clock.Suspend(time.Minute) // before the request arrives
@@ -51,7 +51,7 @@
 // own deadline is on the steady clock, which excludes the suspended time.
 func TestCallInFlightExpiresAfterSuspend(t *testing.T) {
 	const limit = time.Hour
-	g, clock := newTestGateway(t), &fakeclock.Clock{}
+	g, clock := newTestGateway(t), &suspendclock.Clock{}
 	g.clock = clock
 	rq := newTestRequest(testCatalog(1), 1)
 	rq.call.Deadline = time.Now().Add(limit)
--- a/beat/client.go
+++ b/heartbeat/client.go
@@ -1,7 +1,7 @@
-// Package beat is an entry host's side of membership: it sends heartbeats to
+// Package heartbeat is an entry host's side of membership: it sends heartbeats to
 // all stores it knows of, starting from a few seeds, and takes updates from one
 // of them, the primary.
-package beat
+package heartbeat
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"github.com/go-logr/logr"
 
 	"wheelgauge"
-	"wheelgauge/every"
 	"wheelgauge/peerhttp"
+	"wheelgauge/periodic"
 	"wheelgauge/statefetch"
 )
 
@@ -146,7 +146,7 @@
 		c.options.Clock = wheelgauge.MonotonicClock{}
 	}
 	c.addStores(o.Seeds)
-	go func() { c.done <- every.Run(ctx, min(startupInterval, o.Interval)/2, c.tick) }()
+	go func() { c.done <- periodic.Run(ctx, min(startupInterval, o.Interval)/2, c.tick) }()
 	return c
 }
 
--- a/beat/limits_test.go
+++ b/heartbeat/limits_test.go
@@ -1,4 +1,4 @@
-package beat
+package heartbeat
 
 import (
 	"slices"
--- a/beat/suspend_test.go
+++ b/heartbeat/suspend_test.go
@@ -1,4 +1,4 @@
-package beat
+package heartbeat
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/go-logr/logr"
 
 	"wheelgauge"
-	"wheelgauge/fake/fakeclock"
+	"wheelgauge/fake/suspendclock"
 )
 
 // A host that resumes after a suspension counts no store as reachable before it answers
@@ -15,7 +15,7 @@
 // their due times.
 func TestHostResumes(t *testing.T) {
 	store := newStore(t, "here", 3)
-	clock := &fakeclock.Clock{}
+	clock := &suspendclock.Clock{}
 	c := startWith(t, []*fakeStore{store}, Options{
 		Self:        func() wheelgauge.FleetHost { return wheelgauge.FleetHost{Name: "g", Region: "here"} },
 		FarInterval: interval, Receiver: &recorder{}, Log: logr.Discard(), Clock: clock,
--- a/load/runner.go
+++ b/load/runner.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/fake/script"
+	"wheelgauge/fake/responsetext"
 )
 
 const (
@@ -313,7 +313,7 @@
 }
 
 func checkStream(p *plannedRequest, text string, complete bool, out *Result) {
-	want := script.Text(p.prompt, p.answerTokens)
+	want := responsetext.Text(p.prompt, p.answerTokens)
 	switch {
 	case !strings.HasPrefix(want, text):
 		out.Wrong = "response does not belong to this request"
--- a/membership/node.go
+++ b/membership/node.go
@@ -14,8 +14,8 @@
 
 	"wheelgauge"
 	"wheelgauge/catalog"
-	"wheelgauge/every"
 	"wheelgauge/peerhttp"
+	"wheelgauge/periodic"
 	"wheelgauge/quarantine"
 	"wheelgauge/rendezvous"
 	"wheelgauge/serverlimit"
@@ -134,7 +134,7 @@
 
 func (n *Node) run(ctx context.Context) error {
 	n.tick(ctx)
-	return every.Run(ctx, n.options.Interval, n.tick)
+	return periodic.Run(ctx, n.options.Interval, n.tick)
 }
 
 // tick polls servers, sends the heartbeat and exchanges summaries for one interval.
--- a/operators/tokens.go
+++ b/operatorauth/tokens.go
@@ -1,5 +1,5 @@
-// Package operators authenticates operators by token and checks their roles.
-package operators
+// Package operatorauth authenticates operators by token and checks their roles.
+package operatorauth
 
 import (
 	"crypto/sha256"
--- a/orders/reconciler.go
+++ b/orders/reconciler.go
@@ -19,7 +19,7 @@
 
 	"wheelgauge"
 	"wheelgauge/catalog"
-	"wheelgauge/every"
+	"wheelgauge/periodic"
 )
 
 const (
@@ -81,7 +81,7 @@
 		o.Clock = wheelgauge.MonotonicClock{}
 	}
 	r := &Reconciler{o: o, pendingLoads: map[string]time.Time{}, cancel: cancel, done: make(chan error, 1)}
-	go func() { r.done <- every.Run(ctx, o.Interval, r.tick) }()
+	go func() { r.done <- periodic.Run(ctx, o.Interval, r.tick) }()
 	return r
 }
 
--- a/orders/reconciler_test.go
+++ b/orders/reconciler_test.go
@@ -14,7 +14,7 @@
 
 	"wheelgauge"
 	"wheelgauge/catalog"
-	"wheelgauge/fake/fakeclock"
+	"wheelgauge/fake/suspendclock"
 )
 
 // fakeEngines is a fake of all engines. Orders take effect at once.
@@ -57,7 +57,7 @@
 // suspendedLeader is a leader whose machine is suspended during the read barrier.
 type suspendedLeader struct {
 	fakeLeader
-	clock *fakeclock.Clock
+	clock *suspendclock.Clock
 	sleep time.Duration
 }
 
@@ -83,7 +83,7 @@
 	for _, tt := range tests {
 		e := &fakeEngines{ready: map[string][]string{}}
 		c := buildCatalog(`{"model":"m","version":"1","servers":["e1"]}`)
-		clock := &fakeclock.Clock{}
+		clock := &suspendclock.Clock{}
 		r := &Reconciler{pendingLoads: map[string]time.Time{}, o: Options{
 			MaxLoads: 2, LoadTimeout: time.Hour, Engines: e, Clock: clock, Log: logr.Discard(),
 			Leadership: &suspendedLeader{fakeLeader{true, 7, nil}, clock, tt.sleep}, Catalog: func() *catalog.Catalog { return c },
--- a/peerset/table.go
+++ b/peerset/table.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/entryset"
+	"wheelgauge/announcedhosts"
 	"wheelgauge/serverconn"
 )
 
@@ -115,7 +115,7 @@
 	}
 	names := map[string]bool{}
 	for _, list := range regions {
-		for _, h := range entryset.Minimum(list) {
+		for _, h := range announcedhosts.Minimum(list) {
 			names[h.Name] = true
 		}
 	}
--- a/peerset/table_test.go
+++ b/peerset/table_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/entryset"
+	"wheelgauge/announcedhosts"
 )
 
 const (
@@ -180,8 +180,8 @@
 	for range 2000 {
 		used[tb.Choose("north", service, 1, 0, nil).Name()] = true
 	}
-	if len(used) != entryset.MinHosts {
-		t.Errorf("%d gateways used, want the %d that are announced to callers", len(used), entryset.MinHosts)
+	if len(used) != announcedhosts.MinHosts {
+		t.Errorf("%d gateways used, want the %d that are announced to callers", len(used), announcedhosts.MinHosts)
 	}
 }
 
--- a/acceptor/acceptor.go
+++ b/pendingrules/acceptor.go
@@ -1,6 +1,6 @@
-// Package acceptor accepts pending residency rules once every configured host and
+// Package pendingrules accepts pending residency rules once every configured host and
 // every store has them.
-package acceptor
+package pendingrules
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"github.com/go-logr/logr"
 
 	"wheelgauge"
-	"wheelgauge/every"
-	"wheelgauge/inforce"
+	"wheelgauge/appliedgen"
 	"wheelgauge/peerhttp"
+	"wheelgauge/periodic"
 	"wheelgauge/registry"
 	"wheelgauge/replica"
 )
@@ -39,7 +39,7 @@
 type Acceptor struct {
 	registry *registry.Registry
 	replica  *replica.Replica
-	table    *inforce.Table
+	table    *appliedgen.Table
 	client   *peerhttp.Client
 	log      logr.Logger
 	cancel   context.CancelFunc
@@ -47,10 +47,10 @@
 }
 
 // Start runs an Acceptor until it is closed.
-func Start(ctx context.Context, reg *registry.Registry, rep *replica.Replica, table *inforce.Table, client *peerhttp.Client, log logr.Logger) *Acceptor {
+func Start(ctx context.Context, reg *registry.Registry, rep *replica.Replica, table *appliedgen.Table, client *peerhttp.Client, log logr.Logger) *Acceptor {
 	ctx, cancel := context.WithCancel(ctx)
 	a := &Acceptor{registry: reg, replica: rep, table: table, client: client, log: log, cancel: cancel, done: make(chan error, 1)}
-	go func() { a.done <- every.Run(ctx, checkInterval, a.tick) }()
+	go func() { a.done <- periodic.Run(ctx, checkInterval, a.tick) }()
 	return a
 }
 
@@ -126,7 +126,7 @@
 	for i := range reports {
 		lists[i] = reports[i].Hosts
 	}
-	return inforce.Merge(lists...)
+	return appliedgen.Merge(lists...)
 }
 
 // Lagging returns the names of the hosts and stores that do not have a generation yet.
--- a/every/every.go
+++ b/periodic/every.go
@@ -1,5 +1,5 @@
-// Package every calls a function at an interval.
-package every
+// Package periodic calls a function at an interval.
+package periodic
 
 import (
 	"context"
--- a/permitclient/model_test.go
+++ b/permitclient/model_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/fake/judge"
+	"wheelgauge/fake/arrivalbound"
 	"wheelgauge/permitissuer"
 	"wheelgauge/serverlimit"
 )
@@ -303,7 +303,7 @@
 	for _, at := range s.arrivalsSince(limitFrom + boundDelay) {
 		got = append(got, time.Unix(0, 0).Add(at))
 	}
-	bound, most := judge.ServerLimit(), 0.0
+	bound, most := arrivalbound.ServerLimit(), 0.0
 	bound.EachWindow(got, func(from, to time.Time, count int) {
 		first, last := from.Sub(time.Unix(0, 0)), to.Sub(time.Unix(0, 0))
 		if rate, limited := s.maxRate(max(limitFrom, first-lowerLimitDelay), last); limited {
--- a/answerhead/head.go
+++ b/responsehead/head.go
@@ -1,5 +1,5 @@
-// Package answerhead validates the heads of servers' responses before they are parsed.
-package answerhead
+// Package responsehead validates the heads of servers' responses before they are parsed.
+package responsehead
 
 import (
 	"bufio"
--- a/answerhead/head_test.go
+++ b/responsehead/head_test.go
@@ -1,4 +1,4 @@
-package answerhead
+package responsehead
 
 import (
 	"bufio"
--- a/rollout/director/director.go
+++ b/rollout/controller/director.go
@@ -1,8 +1,8 @@
-// Package director decides on a store how a rollout proceeds: when the target version has
+// Package controller decides on a store how a rollout proceeds: when the target version has
 // proved good, when it is bad, and when the rollout is complete. Every store receives the
 // reports of all hosts, so a new leader knows what the previous one knew. Only the leader's
 // decisions are proposed to the replication group.
-package director
+package controller
 
 import (
 	"fmt"
--- a/rollout/director/director_test.go
+++ b/rollout/controller/director_test.go
@@ -1,4 +1,4 @@
-package director
+package controller
 
 import (
 	"testing"
--- a/rollout/director/simulation_test.go
+++ b/rollout/controller/simulation_test.go
@@ -1,4 +1,4 @@
-package director_test
+package controller_test
 
 import (
 	"cmp"
@@ -12,11 +12,11 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/rollout/director"
-	"wheelgauge/rollout/fixed"
-	"wheelgauge/rollout/ledger"
+	"wheelgauge/rollout/controller"
+	"wheelgauge/rollout/selector"
 	"wheelgauge/rollout/sequential"
 	"wheelgauge/rollout/tally"
+	"wheelgauge/rollout/threshold"
 )
 
 // The simulation runs rollouts without a network: hosts dispatch requests by their ledgers
@@ -149,7 +149,7 @@
 	// events holds the scheduled events by tick.
 	events  map[int64][]func()
 	hosts   []*simHost
-	stores  []*director.Controller
+	stores  []*controller.Controller
 	rollout wheelgauge.Rollout
 	pending bool
 	// inFlight and answers are by server.
@@ -171,7 +171,7 @@
 type simHost struct {
 	name              string
 	boot              uint64
-	ledger            *ledger.Selector
+	ledger            *selector.Selector
 	tally             *tally.Tally
 	disconnectedUntil time.Duration
 	suspendedUntil    time.Duration
@@ -201,7 +201,7 @@
 		s.hosts = append(s.hosts, h)
 	}
 	for range simStores {
-		s.stores = append(s.stores, director.New(newEvaluator, s.now))
+		s.stores = append(s.stores, controller.New(newEvaluator, s.now))
 	}
 	return s
 }
@@ -210,7 +210,7 @@
 	h.boot++
 	s.oldInFlight -= h.oldInFlight // ended with the process
 	h.oldInFlight = 0
-	h.ledger = ledger.New(ledger.Options{Host: h.name, Share: simShare, Slack: simSlack, Now: s.now})
+	h.ledger = selector.New(selector.Options{Host: h.name, Share: simShare, Slack: simSlack, Now: s.now})
 	h.ledger.SetHosts(s.deployment.hosts)
 	h.tally = tally.New()
 	h.reportedChanges = 0
@@ -443,7 +443,7 @@
 	}
 }
 
-func (s *simulation) sendReport(h *simHost, store *director.Controller) {
+func (s *simulation) sendReport(h *simHost, store *controller.Controller) {
 	reports := h.ledger.Reports()
 	for i, r := range reports {
 		reports[i].Stats = h.tally.Counts(service, r.Number)
@@ -478,30 +478,30 @@
 			live[h.name] = h.boot
 		}
 	}
-	d := s.stores[n].Decide(s.rollout, director.FleetView{Remaining: s.limit - s.elapsed, LiveHosts: live, TargetServers: s.deployment.servers})
+	d := s.stores[n].Decide(s.rollout, controller.FleetView{Remaining: s.limit - s.elapsed, LiveHosts: live, TargetServers: s.deployment.servers})
 	switch {
-	case s.injected.neverRollsBack && d.Step == director.RollBack:
-		d.Step = director.Wait
+	case s.injected.neverRollsBack && d.Step == controller.RollBack:
+		d.Step = controller.Wait
 	case s.injected.skipsWaiting && s.rollout.Shifting:
-		d.Step = director.Complete
+		d.Step = controller.Complete
 	case s.injected.alwaysRollsBack && d.Answers > 20:
-		d.Step = director.RollBack
+		d.Step = controller.RollBack
 	}
-	if d.Step == director.Wait {
+	if d.Step == controller.Wait {
 		return
 	}
 	s.pending = true
 	s.schedule(100*time.Millisecond, func() { s.commit(d) })
 }
 
-func (s *simulation) commit(d director.Decision) {
+func (s *simulation) commit(d controller.Decision) {
 	s.pending = false
 	switch d.Step {
-	case director.Shift:
+	case controller.Shift:
 		s.rollout.Shifting = true
-	case director.Complete:
+	case controller.Complete:
 		s.rollout.State, s.endedAt, s.inFlightAtEnd = wheelgauge.RolloutCompleted, s.elapsed, s.oldInFlight
-	case director.RollBack:
+	case controller.RollBack:
 		s.rollout.State, s.endedAt, s.cause = wheelgauge.RolloutRolledBack, s.elapsed, d.Cause
 	}
 	s.announceState()
@@ -532,7 +532,7 @@
 func evaluators() map[string]func() wheelgauge.VersionEvaluator {
 	return map[string]func() wheelgauge.VersionEvaluator{
 		"sequential": func() wheelgauge.VersionEvaluator { return sequential.New() },
-		"fixed":      func() wheelgauge.VersionEvaluator { return fixed.New() },
+		"fixed":      func() wheelgauge.VersionEvaluator { return threshold.New() },
 	}
 }
 
--- a/rollout/director/small_faults_test.go
+++ b/rollout/controller/small_faults_test.go
@@ -1,4 +1,4 @@
-package director_test
+package controller_test
 
 import (
 	"fmt"
--- a/rollout/ledger/ledger.go
+++ b/rollout/selector/ledger.go
@@ -1,8 +1,8 @@
-// Package ledger decides on an entry host which version of a service serves a request during
+// Package selector decides on an entry host which version of a service serves a request during
 // a rollout. Each host limits the target version to a share of its own requests, so all hosts
 // together keep to that share of the service's requests. This needs no coordination, and
 // holds for a host that is cut off, suspended or restarted.
-package ledger
+package selector
 
 import (
 	"math"
--- a/rollout/ledger/ledger_test.go
+++ b/rollout/selector/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package selector
 
 import (
 	"fmt"
--- a/rollout/fixed/evaluator.go
+++ b/rollout/threshold/evaluator.go
@@ -1,6 +1,6 @@
-// Package fixed evaluates the target version of a rollout by fixed thresholds over a sliding
+// Package threshold evaluates the target version of a rollout by fixed thresholds over a sliding
 // window. It is the baseline that other evaluators are compared with.
-package fixed
+package threshold
 
 import (
 	"fmt"
--- a/routegate/dispatch.go
+++ b/routegate/dispatch.go
@@ -12,9 +12,9 @@
 	"github.com/valyala/fasthttp"
 
 	"wheelgauge"
-	"wheelgauge/answerhead"
 	"wheelgauge/httpfield"
 	"wheelgauge/peerset"
+	"wheelgauge/responsehead"
 	"wheelgauge/serverconn"
 	"wheelgauge/serverset"
 )
@@ -86,7 +86,7 @@
 	if err := x.roundTrip(head); err != nil {
 		x.err = err
 		c.cause = err.Error()
-		if _, ok := errors.AsType[*answerhead.MalformedError](err); ok {
+		if _, ok := errors.AsType[*responsehead.MalformedError](err); ok {
 			c.gate.options.Meter.Count("answers.foreign")
 		}
 		// The true wait is longer still; the next predictions have to account for it.
--- a/routegate/gate.go
+++ b/routegate/gate.go
@@ -20,7 +20,7 @@
 	"wheelgauge/prompt"
 	"wheelgauge/quarantine"
 	"wheelgauge/retrybudget"
-	"wheelgauge/rollout/ledger"
+	"wheelgauge/rollout/selector"
 	"wheelgauge/rollout/tally"
 	"wheelgauge/routetable"
 	"wheelgauge/serverlimit"
@@ -68,7 +68,7 @@
 	Permits wheelgauge.PermitSource
 	// Versions chooses the service versions that may get a request during a rollout, and Tally
 	// counts how they answer. When nil, the gate uses empty ones of its own.
-	Versions *ledger.Selector
+	Versions *selector.Selector
 	Tally    *tally.Tally
 	Meter    *meter.Meter
 	Log      logr.Logger
@@ -112,7 +112,7 @@
 		o.Limits = serverlimit.New(time.Now)
 	}
 	if o.Versions == nil {
-		o.Versions = ledger.New(ledger.Options{Now: time.Now})
+		o.Versions = selector.New(selector.Options{Now: time.Now})
 	}
 	if o.Tally == nil {
 		o.Tally = tally.New()
--- a/routegate/suspend_test.go
+++ b/routegate/suspend_test.go
@@ -11,14 +11,14 @@
 	"time"
 
 	"wheelgauge"
-	"wheelgauge/fake/fakeclock"
+	"wheelgauge/fake/suspendclock"
 )
 
 // suspendingLimiter suspends the host while cap units are taken: after a request was admitted
 // and before it is sent.
 type suspendingLimiter struct {
 	fakeLimiter
-	clock    *fakeclock.Clock
+	clock    *suspendclock.Clock
 	duration time.Duration
 }
 
@@ -45,7 +45,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			b := newBackend(t)
 			g, c := newGate(t, routes(), b)
-			clock := &fakeclock.Clock{}
+			clock := &suspendclock.Clock{}
 			g.options.Clock = clock
 			withCaps(g, &suspendingLimiter{fakeLimiter: fakeLimiter{remaining: 9}, clock: clock, duration: tt.suspend})
 			resp, _, err := get(t, c, "/safe/", "Wheelgauge-Key: capped-key\r\nWheelgauge-Deadline-Ms: 5000\r\n")
@@ -70,7 +70,7 @@
 // unknown keys with 503, so that callers try another host; they do not retry after a 401.
 func TestKeysAfterSuspend(t *testing.T) {
 	g, c := newGate(t, routes(), newBackend(t))
-	clock := &fakeclock.Clock{}
+	clock := &suspendclock.Clock{}
 	g.options.Clock = clock
 	withWorkspaces(g)
 	g.ConfirmConfig()
@@ -133,7 +133,7 @@
 				}
 			})}
 			g, c := newGate(t, routes(), b)
-			clock := &fakeclock.Clock{}
+			clock := &suspendclock.Clock{}
 			g.options.Clock = clock
 			got := make(chan int, 1)
 			go func() {
--- a/serverconn/conn.go
+++ b/serverconn/conn.go
@@ -17,9 +17,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wheelgauge/answerhead"
-	"wheelgauge/callerconn"
+	"wheelgauge/connpeek"
 	"wheelgauge/httpfield"
+	"wheelgauge/responsehead"
 )
 
 const (
@@ -82,7 +82,7 @@
 
 // isQuiet reports whether no byte, end or error has arrived since the last response.
 func (c *Conn) isQuiet() bool {
-	return c.in.Buffered() == 0 && !callerconn.Readable(c.net)
+	return c.in.Buffered() == 0 && !connpeek.Readable(c.net)
 }
 
 // Abort makes reads and writes in progress fail at once. It is safe for concurrent use.
@@ -139,11 +139,11 @@
 // readFinal reads the head of a final response and skips informational ones.
 func (c *Conn) readFinal() (*fasthttp.ResponseHeader, error) {
 	for {
-		head, err := answerhead.Peek(c.in)
+		head, err := responsehead.Peek(c.in)
 		if err != nil {
 			return nil, fmt.Errorf("read response: %w", err)
 		}
-		if err := answerhead.Check(head); err != nil {
+		if err := responsehead.Check(head); err != nil {
 			return nil, fmt.Errorf("read response: %w", err)
 		}
 		h := &fasthttp.ResponseHeader{}
--- a/serverconn/conn_test.go
+++ b/serverconn/conn_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"wheelgauge/fake/fakeclock"
+	"wheelgauge/fake/suspendclock"
 )
 
 const testTimeout = 10 * time.Second
@@ -151,7 +151,7 @@
 	}{{"not suspended", 0, 1}, {"for less than it may rest", nearIdleTimeout / 4, 1}, {"for longer", nearIdleTimeout, 2}}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			clock := &fakeclock.Clock{}
+			clock := &suspendclock.Clock{}
 			p := startServer(t, answer, answer)
 			p.link.Now = clock.Now
 			for n := range 2 {
--- a/away/away_test.go
+++ b/spillover/away_test.go
@@ -1,4 +1,4 @@
-package away
+package spillover
 
 import (
 	"testing"
--- a/away/decider.go
+++ b/spillover/decider.go
@@ -1,5 +1,5 @@
-// Package away decides whether a request is forwarded to another region.
-package away
+// Package spillover decides whether a request is forwarded to another region.
+package spillover
 
 import (
 	"sync"
--- a/wake/watch.go
+++ b/stallwatch/watch.go
@@ -1,6 +1,6 @@
-// Package wake detects that the process was stalled: its machine was suspended, or the
+// Package stallwatch detects that the process was stalled: its machine was suspended, or the
 // process was stopped or not scheduled.
-package wake
+package stallwatch
 
 import (
 	"time"
--- a/wake/watch_test.go
+++ b/stallwatch/watch_test.go
@@ -1,4 +1,4 @@
-package wake
+package stallwatch
 
 import (
 	"strings"
@@ -8,7 +8,7 @@
 	"github.com/go-logr/logr"
 	"github.com/go-logr/logr/funcr"
 
-	"wheelgauge/fake/fakeclock"
+	"wheelgauge/fake/suspendclock"
 )
 
 // manualClock is a clock that a test sets.
@@ -55,7 +55,7 @@
 }
 
 func TestFakeClock(t *testing.T) {
-	c := &fakeclock.Clock{}
+	c := &suspendclock.Clock{}
 	w := New(c, logr.Discard())
 	c.Suspend(time.Minute)
 	if _, suspended := w.Check(0); suspended < time.Minute-time.Second || suspended > time.Minute+time.Second {
--- a/storeapi/api.go
+++ b/storeapi/api.go
@@ -12,14 +12,14 @@
 	"github.com/valyala/fasthttp"
 
 	"wheelgauge"
-	"wheelgauge/acceptor"
+	"wheelgauge/appliedgen"
 	"wheelgauge/claims"
 	"wheelgauge/confwatch"
-	"wheelgauge/inforce"
 	"wheelgauge/membership"
 	"wheelgauge/meter"
-	"wheelgauge/operators"
+	"wheelgauge/operatorauth"
 	"wheelgauge/peerhttp"
+	"wheelgauge/pendingrules"
 	"wheelgauge/permitclient"
 	"wheelgauge/registry"
 	"wheelgauge/replica"
@@ -46,10 +46,10 @@
 	Registry           *registry.Registry
 	Replica            *replica.Replica
 	Claims             *claims.Table
-	AppliedGenerations *inforce.Table
-	Acceptor           *acceptor.Acceptor
+	AppliedGenerations *appliedgen.Table
+	Acceptor           *pendingrules.Acceptor
 	Hub                *membership.Hub
-	Tokens             *operators.Authenticator
+	Tokens             *operatorauth.Authenticator
 	Meter              *meter.Meter
 	// Context ends when the store stops. It bounds calls that wait, watches among them.
 	Context context.Context
@@ -59,7 +59,7 @@
 type Status struct {
 	Replica         replica.Status                 `json:"replica"`
 	Generation      uint64                         `json:"generation"`
-	Stores          []acceptor.StoreReport         `json:"stores"`
+	Stores          []pendingrules.StoreReport     `json:"stores"`
 	HostGenerations []wheelgauge.AppliedGeneration `json:"hosts"`
 	LiveHosts       []wheelgauge.HostStatus        `json:"live"`
 	Pending         []Pending                      `json:"pending,omitempty"`
@@ -115,7 +115,7 @@
 		peerhttp.WriteJSON(ctx, a.Registry.List(""))
 	case confwatch.PathGeneration:
 		peerhttp.WriteJSON(ctx, wheelgauge.WatchResponse{Generation: a.Registry.Generation(), Connected: a.Replica.LeaderAddress() != ""})
-	case acceptor.PathReport:
+	case pendingrules.PathReport:
 		peerhttp.WriteJSON(ctx, a.Acceptor.OwnReport())
 	case PathClaims:
 		a.claim(ctx)
@@ -151,7 +151,7 @@
 	reports := a.Acceptor.Reports(a.Context)
 	s := Status{
 		Replica: a.Replica.Status(), Generation: a.Registry.Generation(), Stores: reports,
-		HostGenerations: acceptor.MergeHosts(reports), LiveHosts: a.Hub.Hosts(), Claims: a.Claims.Len(),
+		HostGenerations: pendingrules.MergeHosts(reports), LiveHosts: a.Hub.Hosts(), Claims: a.Claims.Len(),
 	}
 	for i := range s.Stores {
 		s.Stores[i].Hosts = nil
--- a/storenode/node.go
+++ b/storenode/node.go
@@ -13,19 +13,19 @@
 
 	"github.com/go-logr/logr"
 
-	"wheelgauge/acceptor"
 	"wheelgauge/adapter/engine"
+	"wheelgauge/appliedgen"
 	"wheelgauge/bootclock"
 	"wheelgauge/catalog"
 	"wheelgauge/claims"
-	"wheelgauge/every"
 	"wheelgauge/httpserve"
-	"wheelgauge/inforce"
 	"wheelgauge/membership"
 	"wheelgauge/meter"
-	"wheelgauge/operators"
+	"wheelgauge/operatorauth"
 	"wheelgauge/orders"
 	"wheelgauge/peerhttp"
+	"wheelgauge/pendingrules"
+	"wheelgauge/periodic"
 	"wheelgauge/registry"
 	"wheelgauge/replica"
 	"wheelgauge/storeapi"
@@ -55,7 +55,7 @@
 	Heartbeat    time.Duration
 	ClaimTTL     time.Duration
 	MaxClockSkew time.Duration
-	Tokens       *operators.Authenticator
+	Tokens       *operatorauth.Authenticator
 	// The next three configure the model orders; see orders.Options.
 	OrderInterval time.Duration
 	MaxLoads      int
@@ -73,7 +73,7 @@
 	registry     *registry.Registry
 	replica      *replica.Replica
 	claims       *claims.Table
-	acceptor     *acceptor.Acceptor
+	acceptor     *pendingrules.Acceptor
 	hub          *membership.Hub
 	client       *peerhttp.Client
 	stop         context.CancelFunc
@@ -110,7 +110,7 @@
 		stop()
 		return nil, err
 	}
-	go func() { n.exchangeDone <- every.Run(ctx, o.Heartbeat, n.exchange) }()
+	go func() { n.exchangeDone <- periodic.Run(ctx, o.Heartbeat, n.exchange) }()
 	o.Log.Info("Store serves.", "peer", o.PeerAddress, "operator", o.OperatorAddress)
 	return n, nil
 }
@@ -131,8 +131,8 @@
 		return errors.Join(err, n.claims.Close())
 	}
 	n.hub = membership.NewHub(o.Region, uint64(time.Now().UnixNano()), o.Heartbeat, n.currentCatalog, clock.Now)
-	table := inforce.New()
-	n.acceptor = acceptor.Start(context.WithoutCancel(ctx), n.registry, n.replica, table, n.client, o.Log.WithName("acceptor"))
+	table := appliedgen.New()
+	n.acceptor = pendingrules.Start(context.WithoutCancel(ctx), n.registry, n.replica, table, n.client, o.Log.WithName("acceptor"))
 	plain := peerhttp.NewDialer(o.SourceIP, nil)
 	n.reconciler = orders.Start(context.WithoutCancel(ctx), orders.Options{
 		Interval: o.OrderInterval, MaxLoads: o.MaxLoads, LoadTimeout: o.LoadTimeout, Leadership: n.replica, Catalog: n.currentCatalog,
--- a/systemtest/caller_test.go
+++ b/systemtest/caller_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/uuid"
 
 	"wheelgauge"
-	"wheelgauge/fake/script"
+	"wheelgauge/fake/responsetext"
 	"wheelgauge/load"
 )
 
@@ -138,7 +138,7 @@
 		}
 		text += c.Choices[0].Delta.Content
 	}
-	if want := script.Text(prompt, tokens); text != want || !complete {
+	if want := responsetext.Text(prompt, tokens); text != want || !complete {
 		return fmt.Errorf("terminated by [DONE]: %t, got %d characters, want %d; correct prefix: %t", complete, len(text), len(want), strings.HasPrefix(want, text))
 	}
 	return nil
--- a/systemtest/compare_test.go
+++ b/systemtest/compare_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"wheelgauge/away"
 	"wheelgauge/load"
 	"wheelgauge/routing/baseline"
+	"wheelgauge/spillover"
 )
 
 var (
@@ -27,12 +27,12 @@
 	compareOut       = flag.String("compare-out", "", "write the results to this CSV file")
 	compareLinkCost  = 0.05
 	comparedPolicies = []policy{
-		{"ours", "affinity", away.PolicyCost},
-		{"random", baseline.Random, away.PolicyLocal},
-		{"round robin", baseline.RoundRobin, away.PolicyLocal},
-		{"least in flight", baseline.LeastInFlight, away.PolicyLocal},
-		{"sticky prefix", baseline.StickyPrefix, away.PolicyLocal},
-		{"cheapest", baseline.LeastInFlight, away.PolicyCheapest},
+		{"ours", "affinity", spillover.PolicyCost},
+		{"random", baseline.Random, spillover.PolicyLocal},
+		{"round robin", baseline.RoundRobin, spillover.PolicyLocal},
+		{"least in flight", baseline.LeastInFlight, spillover.PolicyLocal},
+		{"sticky prefix", baseline.StickyPrefix, spillover.PolicyLocal},
+		{"cheapest", baseline.LeastInFlight, spillover.PolicyCheapest},
 	}
 )
 
--- a/systemtest/fault_limit_test.go
+++ b/systemtest/fault_limit_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"wheelgauge/fake/judge"
+	"wheelgauge/fake/arrivalbound"
 )
 
 // engineRateLimit is what each engine accepts, in requests per second.
@@ -49,7 +49,7 @@
 	time.Sleep(2 * time.Second) // the hosts exchange the limits
 	from := time.Now()
 	served.Store(0)
-	time.Sleep(2 * judge.ServerLimit().Window())
+	time.Sleep(2 * arrivalbound.ServerLimit().Window())
 	to := time.Now()
 	cancel()
 	got := served.Load()
@@ -69,7 +69,7 @@
 				arrivals = append(arrivals, time.UnixMilli(ms))
 			}
 		}
-		if err := judge.ServerLimit().Check(engineRateLimit, arrivals); err != nil {
+		if err := arrivalbound.ServerLimit().Check(engineRateLimit, arrivals); err != nil {
 			t.Errorf("%s: %v", e.name, err)
 		}
 	}
--- a/systemtest/fault_pushback_test.go
+++ b/systemtest/fault_pushback_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"wheelgauge/fake/arrivalbound"
 	"wheelgauge/fake/engine"
-	"wheelgauge/fake/judge"
 )
 
 const (
@@ -27,7 +27,7 @@
 	load := launchPushbackLoad(t)
 	until := time.Now().Add(refusalPeriod)
 	load.command(t, fmt.Sprintf("/v1/back-off?for_ms=%d&retry_after=%g", refusalPeriod.Milliseconds(), requestedBackoff.Seconds()))
-	time.Sleep(time.Until(until.Add(requestedBackoff + judge.ServerBackoff().ReuseWithin())))
+	time.Sleep(time.Until(until.Add(requestedBackoff + arrivalbound.ServerBackoff().ReuseWithin())))
 	load.await(t, "each engine gets requests again after its backoff", func() bool {
 		for _, s := range load.engines {
 			if at := load.lastArrival(t, s); at.Before(until.Add(requestedBackoff)) {
@@ -49,7 +49,7 @@
 					continue
 				}
 				refused++
-				if err := judge.ServerBackoff().Check(arrivals[i], requestedBackoff, arrivals); err != nil {
+				if err := arrivalbound.ServerBackoff().Check(arrivals[i], requestedBackoff, arrivals); err != nil {
 					t.Errorf("%s, requests from %s: %v", s.name, host, err)
 					break
 				}
--- a/upstream/guard.go
+++ b/upstream/guard.go
@@ -6,7 +6,7 @@
 	"net"
 	"net/http"
 
-	"wheelgauge/answerhead"
+	"wheelgauge/responsehead"
 )
 
 // guardBufferBytes is the read buffer's size: the largest answer head that the parser accepts.
@@ -50,13 +50,13 @@
 
 // checkHead checks the next head without consuming it.
 func (g *guardedConn) checkHead() error {
-	head, err := answerhead.Peek(g.in)
+	head, err := responsehead.Peek(g.in)
 	if err != nil {
 		return err
 	}
-	if err := answerhead.Check(head); err != nil {
+	if err := responsehead.Check(head); err != nil {
 		return fmt.Errorf("read answer: %w", err)
 	}
-	g.headLeft, g.inBody = len(head), answerhead.Status(head) >= http.StatusOK
+	g.headLeft, g.inBody = len(head), responsehead.Status(head) >= http.StatusOK
 	return nil
 }
