--- a/adapter/directory/directory.go
+++ b/adapter/directory/directory.go
@@ -38,7 +38,7 @@
 	at       time.Time
 }
 
-// Directory implements wheelgauge.Directory.
+// Directory implements wheelgauge.ClientDirectory.
 type Directory struct {
 	address string
 	client  *peerhttp.Client
@@ -51,7 +51,7 @@
 	return &Directory{address: address, client: client, entries: map[uint64]entry{}}
 }
 
-// Lookup implements wheelgauge.Directory.
+// Lookup implements wheelgauge.ClientDirectory.
 func (d *Directory) Lookup(ctx context.Context, credential string) (wheelgauge.Identity, error) {
 	if credential == "" {
 		return wheelgauge.Identity{}, unknownCredential()
--- a/adapter/engine/engine.go
+++ b/adapter/engine/engine.go
@@ -13,7 +13,7 @@
 	"wheelgauge/upstream"
 )
 
-// Adapter implements wheelgauge.OrderTaker.
+// Adapter implements wheelgauge.ModelEngine.
 type Adapter struct {
 	pool   *upstream.Pool
 	client *peerhttp.Client
@@ -55,7 +55,7 @@
 	return r, err
 }
 
-// Order implements wheelgauge.OrderTaker.
+// Order implements wheelgauge.ModelEngine.
 func (a *Adapter) Order(ctx context.Context, address string, o wheelgauge.Order) error {
 	return a.client.Call(ctx, http.MethodPost, address, "/v1/orders", o, nil)
 }
--- a/announcedhosts/choose.go
+++ b/announcedhosts/choose.go
@@ -46,7 +46,7 @@
 }
 
 // Minimum returns those of a region's hosts that are announced even at the lowest load: the
-// first Least of those that are ready and not leaving.
+// first MinHosts of those that are ready and not leaving.
 func Minimum(region []wheelgauge.FleetHost) []wheelgauge.FleetHost {
 	fits := slices.DeleteFunc(slices.Clone(region), func(h wheelgauge.FleetHost) bool { return !h.Ready || h.Leaving })
 	return Choose(fits, MinHosts)
--- a/callerhttp/request.go
+++ b/callerhttp/request.go
@@ -16,11 +16,11 @@
 	"wheelgauge"
 )
 
-// maxWriteBytes bounds one write, which must finish within Options.Unread.
+// maxWriteBytes bounds one write, which must finish within Options.WriteTimeout.
 const maxWriteBytes = 8 << 10
 
 // Request is a request with the methods to respond to it. A handler calls exactly
-// one of Answer, Begin, Refuse and Cut first.
+// one of Respond, StartResponse, RespondError and Abort first.
 type Request struct {
 	conn        *conn
 	request     fasthttp.Request
--- a/callerhttp/server.go
+++ b/callerhttp/server.go
@@ -26,7 +26,7 @@
 	// keepAliveIdle and keepAliveInterval detect a caller whose machine is unreachable.
 	keepAliveIdle     = 10 * time.Second
 	keepAliveInterval = 5 * time.Second
-	// defaultWriteTimeout is the default of Options.Unread.
+	// defaultWriteTimeout is the default of Options.WriteTimeout.
 	defaultWriteTimeout = 5 * time.Second
 )
 
--- a/capallocator/allocator_test.go
+++ b/capallocator/allocator_test.go
@@ -21,11 +21,11 @@
 func (c *clock) now() time.Time          { return c.at }
 func (c *clock) advance(d time.Duration) { c.at = c.at.Add(d) }
 func newClock() *clock                   { return &clock{at: time.Unix(1000, 0)} }
-func (c *clock) newBank(self string, boot uint64, members []string) *Allocator {
-	return c.newBankWithSlack(self, boot, members, testSlack)
+func (c *clock) newAllocator(self string, boot uint64, members []string) *Allocator {
+	return c.newAllocatorWithSlack(self, boot, members, testSlack)
 }
 
-func (c *clock) newBankWithSlack(self string, boot uint64, members []string, slack float64) *Allocator {
+func (c *clock) newAllocatorWithSlack(self string, boot uint64, members []string, slack float64) *Allocator {
 	b := New(Options{Self: self, Boot: boot, Window: testWindow, Overage: testOverage, Slack: slack, Now: c.now})
 	b.SetMembers(members)
 	b.SetCaps(caps())
@@ -70,7 +70,7 @@
 	members := []string{"a", "b", "c", "d", "e"}
 	var stores []*Allocator
 	for _, m := range members {
-		stores = append(stores, c.newBankWithSlack(m, 1, members, 0))
+		stores = append(stores, c.newAllocatorWithSlack(m, 1, members, 0))
 	}
 	granted := 0
 	for range 200 {
@@ -115,7 +115,7 @@
 		boots := make([]uint64, len(members))
 		for i, m := range members {
 			boots[i] = 1
-			stores = append(stores, c.newBank(m, 1, members))
+			stores = append(stores, c.newAllocator(m, 1, members))
 		}
 		for step := range 300 {
 			c.advance(time.Duration(r.IntN(300)) * time.Millisecond)
@@ -123,7 +123,7 @@
 			switch {
 			case i == j && r.IntN(4) == 0:
 				boots[i]++
-				stores[i] = c.newBank(members[i], boots[i], members)
+				stores[i] = c.newAllocator(members[i], boots[i], members)
 			case i == j:
 				draw(stores[i], 1e5*r.Float64())
 				drawFrom(stores[i], "tiny", 1)
@@ -150,7 +150,7 @@
 func TestSharesFollowDemand(t *testing.T) {
 	c := newClock()
 	members := []string{"a", "b"}
-	a, b := c.newBank("a", 1, members), c.newBank("b", 1, members)
+	a, b := c.newAllocator("a", 1, members), c.newAllocator("b", 1, members)
 	exchange := func() {
 		exchangeLease(c, a, b, 1)
 		exchangeLease(c, b, a, 1)
@@ -186,7 +186,7 @@
 func TestRestartedStoreWaitsForPeers(t *testing.T) {
 	c := newClock()
 	members := []string{"a", "b", "c"}
-	a, b, third := c.newBank("a", 1, members), c.newBank("b", 1, members), c.newBank("c", 1, members)
+	a, b, third := c.newAllocator("a", 1, members), c.newAllocator("b", 1, members), c.newAllocator("c", 1, members)
 	if shareOfCap(a) != 0 {
 		t.Fatal("a store that has just started uses its share")
 	}
@@ -197,7 +197,7 @@
 	if shareOfCap(a) == 0 {
 		t.Fatal("a store that all others have answered uses no share")
 	}
-	a = c.newBank("a", 2, members)
+	a = c.newAllocator("a", 2, members)
 	exchangeLease(c, b, a, 1)
 	exchangeLease(c, b, a, 1)
 	exchangeLease(c, a, b, 2)
@@ -215,15 +215,15 @@
 func TestAllStoresRestarted(t *testing.T) {
 	c := newClock()
 	members := []string{"a", "b", "c"}
-	a, b, blank := c.newBank("a", 2, members), c.newBank("b", 5, members), c.newBank("c", 9, nil)
+	a, b, blank := c.newAllocator("a", 2, members), c.newAllocator("b", 5, members), c.newAllocator("c", 9, nil)
 	exchangeLease(c, a, b, 2)
 	exchangeLease(c, a, blank, 2)
 	if shareOfCap(a) == 0 {
 		t.Error("the store uses no share though nobody holds a lease")
 	}
-	old := c.newBank("b", 5, members)
+	old := c.newAllocator("b", 5, members)
 	old.ApplyLease("a", c.now(), wheelgauge.CapLease{Lessor: 1, Number: 4, Shares: []wheelgauge.CapShare{{Workspace: "w", Share: 0.3}}})
-	again := c.newBank("a", 3, members)
+	again := c.newAllocator("a", 3, members)
 	exchangeLease(c, again, old, 3)
 	exchangeLease(c, again, blank, 3)
 	if shareOfCap(again) != 0 {
@@ -246,7 +246,7 @@
 	}
 	for _, tt := range tests {
 		c := newClock()
-		b := c.newBank("a", 1, []string{"a"})
+		b := c.newAllocator("a", 1, []string{"a"})
 		before := shareOfCap(b)
 		g := draw(b, 1)
 		if g.StandaloneRate <= 0 || g.StandaloneMS <= 0 {
@@ -262,7 +262,7 @@
 
 func TestDraw(t *testing.T) {
 	c := newClock()
-	b := c.newBank("a", 1, []string{"a"})
+	b := c.newAllocator("a", 1, []string{"a"})
 	c.advance(time.Minute)
 	if g := b.Draw(wheelgauge.CapUnitsRequest{Host: "h", Items: []wheelgauge.CapUnitsItem{{Workspace: "free", Units: 1e12}}}).Grants[0]; !g.Granted {
 		t.Error("a workspace without a cap is refused")
@@ -296,7 +296,7 @@
 // small cap.
 func TestCapChanges(t *testing.T) {
 	c := newClock()
-	b := c.newBank("a", 1, []string{"a"})
+	b := c.newAllocator("a", 1, []string{"a"})
 	c.advance(time.Minute)
 	b.SetCaps([]wheelgauge.Workspace{{Name: "w", Cap: wheelgauge.Cap{Rate: 36000, Burst: 36000, Unit: wheelgauge.CapTokens}}})
 	if g := draw(b, 30000); !g.Granted {
@@ -343,7 +343,7 @@
 		boots := []uint64{1, 1, 1, 1}
 		var stores []*Allocator
 		for _, m := range members {
-			stores = append(stores, c.newBank(m, 1, members))
+			stores = append(stores, c.newAllocator(m, 1, members))
 		}
 		for n, step := range steps {
 			i, j := int(step&3), int(step>>2&3)
@@ -357,7 +357,7 @@
 				draw(stores[i], 1e5)
 			default:
 				boots[i]++
-				stores[i] = c.newBank(members[i], boots[i], members)
+				stores[i] = c.newAllocator(members[i], boots[i], members)
 			}
 			sum := 0.0
 			for _, b := range stores {
--- a/capallocator/peer.go
+++ b/capallocator/peer.go
@@ -12,7 +12,7 @@
 
 // lease is a set of shares that one store has granted to another.
 type lease struct {
-	lender  uint64
+	lessor  uint64
 	number  uint64
 	expires time.Time
 	shares  map[string]float64
@@ -106,7 +106,7 @@
 	now := a.options.Now()
 	n := wheelgauge.CapUpdate{Ready: a.ready(now)}
 	if p := a.peers[to]; p != nil {
-		n.Lessor, n.LeaseNumber = p.held.lender, p.held.number
+		n.Lessor, n.LeaseNumber = p.held.lessor, p.held.number
 	}
 	for name, b := range a.buckets {
 		b.refill(now)
@@ -171,7 +171,7 @@
 	l := lease{number: p.lastNumber, expires: now.Add(leaseTime), shares: map[string]float64{}}
 	out := wheelgauge.CapLease{Lessor: a.options.Boot, Number: p.lastNumber}
 	if now.Before(p.held.expires) {
-		out.HeldLessor = p.held.lender
+		out.HeldLessor = p.held.lessor
 	}
 	a.recompute(now)
 	for name, b := range a.buckets {
@@ -238,7 +238,7 @@
 	defer a.mu.Unlock()
 	now := a.options.Now()
 	p := a.peer(from)
-	p.held = lease{lender: l.Lessor, number: l.Number, expires: sent.Add(leaseTime), shares: map[string]float64{}}
+	p.held = lease{lessor: l.Lessor, number: l.Number, expires: sent.Add(leaseTime), shares: map[string]float64{}}
 	if l.HeldLessor == 0 || l.HeldLessor == a.options.Boot {
 		p.confirmed = true
 	}
--- a/capclient/client.go
+++ b/capclient/client.go
@@ -133,22 +133,22 @@
 }
 
 // Close cancels prefetches in progress and waits for them.
-func (p *Client) Close() {
-	p.cancel()
-	p.prefetches.Wait()
+func (c *Client) Close() {
+	c.cancel()
+	c.prefetches.Wait()
 }
 
 // Acquire implements wheelgauge.CapLimiter.
-func (p *Client) Acquire(ctx context.Context, w *wheelgauge.Workspace, units float64) *wheelgauge.Error {
-	if p.takeCached(w.Name, units) {
+func (c *Client) Acquire(ctx context.Context, w *wheelgauge.Workspace, units float64) *wheelgauge.Error {
+	if c.takeCached(w.Name, units) {
 		return nil
 	}
-	for _, s := range p.reachable() {
-		g, ok := p.draw(ctx, s, w.Name, units, false)
+	for _, s := range c.reachable() {
+		g, ok := c.draw(ctx, s, w.Name, units, false)
 		if ok && g.OtherStore != "" {
 			// Shares of caps follow demand within about 0.5 s; until then another store may
 			// have the units that this one lacks.
-			if there, answered := p.draw(ctx, wheelgauge.StoreEndpoint{Address: g.OtherStore}, w.Name, units, true); answered {
+			if there, answered := c.draw(ctx, wheelgauge.StoreEndpoint{Address: g.OtherStore}, w.Name, units, true); answered {
 				g = there
 			}
 		}
@@ -162,62 +162,62 @@
 		}
 		return capExceeded(time.Duration(g.RetryAfterMS) * time.Millisecond)
 	}
-	return p.takeStandalone(w.Name, units)
+	return c.takeStandalone(w.Name, units)
 }
 
 // Refund implements wheelgauge.CapLimiter.
-func (p *Client) Refund(w *wheelgauge.Workspace, units float64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.cacheOf(w.Name).add(units, p.options.Now())
+func (c *Client) Refund(w *wheelgauge.Workspace, units float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cacheOf(w.Name).add(units, c.options.Now())
 }
 
 // cacheOf returns the cache of a workspace. The lock must be held.
-func (p *Client) cacheOf(workspace string) *unitCache {
-	if p.cached[workspace] == nil {
-		p.cached[workspace] = &unitCache{drawRate: meanrate.New(rateTimeConstant)}
+func (c *Client) cacheOf(workspace string) *unitCache {
+	if c.cached[workspace] == nil {
+		c.cached[workspace] = &unitCache{drawRate: meanrate.New(rateTimeConstant)}
 	}
-	return p.cached[workspace]
+	return c.cached[workspace]
 }
 
 // takeCached takes cached units, and starts a prefetch in time if the store is far.
-func (p *Client) takeCached(workspace string, units float64) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := p.options.Now()
-	c := p.cacheOf(workspace)
-	c.record(units, now)
-	cached := c.available(now)
+func (c *Client) takeCached(workspace string, units float64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.options.Now()
+	cache := c.cacheOf(workspace)
+	cache.record(units, now)
+	cached := cache.available(now)
 	if cached < units {
 		return false
 	}
-	c.units = cached - units
-	if c.farStore != "" && !c.prefetching && c.units < c.target()/2 && p.ctx.Err() == nil {
-		c.prefetching = true
-		p.prefetches.Add(1)
-		go p.prefetch(wheelgauge.StoreEndpoint{Address: c.farStore}, workspace)
+	cache.units = cached - units
+	if cache.farStore != "" && !cache.prefetching && cache.units < cache.target()/2 && c.ctx.Err() == nil {
+		cache.prefetching = true
+		c.prefetches.Add(1)
+		go c.prefetch(wheelgauge.StoreEndpoint{Address: cache.farStore}, workspace)
 	}
 	return true
 }
 
 // prefetch draws units ahead of requests.
-func (p *Client) prefetch(s wheelgauge.StoreEndpoint, workspace string) {
-	defer p.prefetches.Done()
-	p.draw(p.ctx, s, workspace, 0, false)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.cacheOf(workspace).prefetching = false
+func (c *Client) prefetch(s wheelgauge.StoreEndpoint, workspace string) {
+	defer c.prefetches.Done()
+	c.draw(c.ctx, s, workspace, 0, false)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cacheOf(workspace).prefetching = false
 }
 
 // reachable returns the stores to try; none if all of them were silent lately.
-func (p *Client) reachable() []wheelgauge.StoreEndpoint {
-	all := p.options.Stores()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := p.options.Now()
+func (c *Client) reachable() []wheelgauge.StoreEndpoint {
+	all := c.options.Stores()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.options.Now()
 	out := make([]wheelgauge.StoreEndpoint, 0, maxStoresPerRequest)
 	for _, s := range all {
-		if len(out) < maxStoresPerRequest && !now.Before(p.silentUntil[s.Address]) {
+		if len(out) < maxStoresPerRequest && !now.Before(c.silentUntil[s.Address]) {
 			out = append(out, s)
 		}
 	}
@@ -225,71 +225,71 @@
 }
 
 // draw draws units from one store; ok is false when the store does not answer.
-func (p *Client) draw(parent context.Context, s wheelgauge.StoreEndpoint, workspace string, units float64, moved bool) (g wheelgauge.CapGrant, ok bool) {
+func (c *Client) draw(parent context.Context, s wheelgauge.StoreEndpoint, workspace string, units float64, moved bool) (g wheelgauge.CapGrant, ok bool) {
 	timeout := farTimeout
 	if s.SameRegion {
 		timeout = nearTimeout
 	}
 	ctx, cancel := context.WithTimeout(parent, timeout)
 	defer cancel()
-	sent := p.options.Now()
+	sent := c.options.Now()
 	want := wheelgauge.CapUnitsItem{Workspace: workspace, Units: units}
 	if !s.SameRegion && !moved {
-		want.Prefetch = p.prefetchAmount(workspace)
+		want.Prefetch = c.prefetchAmount(workspace)
 	}
-	answer, err := p.options.Draw(ctx, s.Address, wheelgauge.CapUnitsRequest{Host: p.options.Host, Boot: p.options.Boot, Redirected: moved, Items: []wheelgauge.CapUnitsItem{want}})
+	answer, err := c.options.Draw(ctx, s.Address, wheelgauge.CapUnitsRequest{Host: c.options.Host, Boot: c.options.Boot, Redirected: moved, Items: []wheelgauge.CapUnitsItem{want}})
 	if err != nil || len(answer.Grants) != 1 {
 		// A request whose own deadline has passed says nothing about the store.
 		if parent.Err() == nil {
-			p.markSilent(s.Address)
+			c.markSilent(s.Address)
 		}
 		return g, false
 	}
 	g = answer.Grants[0]
 	if !moved {
-		p.updateStandalone(workspace, g, sent)
-		p.addPrefetched(workspace, s, g.Prefetched)
+		c.updateStandalone(workspace, g, sent)
+		c.addPrefetched(workspace, s, g.Prefetched)
 	}
 	return g, true
 }
 
 // prefetchAmount returns how many units are missing for future requests.
-func (p *Client) prefetchAmount(workspace string) float64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	c := p.cacheOf(workspace)
-	return max(0, c.target()-c.available(p.options.Now()))
+func (c *Client) prefetchAmount(workspace string) float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	cache := c.cacheOf(workspace)
+	return max(0, cache.target()-cache.available(c.options.Now()))
 }
 
 // addPrefetched adds units that a store granted for future requests.
-func (p *Client) addPrefetched(workspace string, s wheelgauge.StoreEndpoint, units float64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	c := p.cacheOf(workspace)
-	c.farStore = ""
+func (c *Client) addPrefetched(workspace string, s wheelgauge.StoreEndpoint, units float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	cache := c.cacheOf(workspace)
+	cache.farStore = ""
 	if !s.SameRegion {
-		c.farStore = s.Address
+		cache.farStore = s.Address
 	}
-	c.add(units, p.options.Now())
+	cache.add(units, c.options.Now())
 }
 
-func (p *Client) markSilent(address string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.silentUntil[address] = p.options.Now().Add(silentStorePause)
+func (c *Client) markSilent(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.silentUntil[address] = c.options.Now().Add(silentStorePause)
 }
 
 // updateStandalone applies a store's answer on what the host may send standalone. Units spent
 // while standalone earlier stay spent.
-func (p *Client) updateStandalone(workspace string, g wheelgauge.CapGrant, sent time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	b := p.standalone[workspace]
+func (c *Client) updateStandalone(workspace string, g wheelgauge.CapGrant, sent time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	b := c.standalone[workspace]
 	if b == nil {
 		b = &standaloneBucket{level: standaloneBurst * g.StandaloneRate, refilled: sent}
-		p.standalone[workspace] = b
+		c.standalone[workspace] = b
 	}
-	b.refill(p.options.Now())
+	b.refill(c.options.Now())
 	b.rate, b.expires = g.StandaloneRate, sent.Add(time.Duration(g.StandaloneMS)*time.Millisecond)
 }
 
@@ -300,11 +300,11 @@
 }
 
 // takeStandalone takes units from the host's standalone rate.
-func (p *Client) takeStandalone(workspace string, units float64) *wheelgauge.Error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := p.options.Now()
-	b := p.standalone[workspace]
+func (c *Client) takeStandalone(workspace string, units float64) *wheelgauge.Error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.options.Now()
+	b := c.standalone[workspace]
 	if b == nil || !now.Before(b.expires) {
 		return noStoreAnswers()
 	}
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -69,7 +69,7 @@
 }
 
 // Build returns a catalog of resources. It leaves out resources that cannot be
-// decoded and returns them from Faults; a residency rule that cannot be decoded
+// decoded and returns them from DecodeErrors; a residency rule that cannot be decoded
 // forbids every region.
 func Build(generation uint64, resources []wheelgauge.Resource) *Catalog {
 	c := &Catalog{
--- a/circuitbreaker/table.go
+++ b/circuitbreaker/table.go
@@ -31,10 +31,10 @@
 
 // Allowed reports whether a server may get work now. After failureThreshold
 // failures one caller at a time is allowed once the pause is over.
-func (t *Breakers) Allowed(name string, now time.Time) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	r := t.records[name]
+func (b *Breakers) Allowed(name string, now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	r := b.records[name]
 	if r == nil || r.failures < failureThreshold {
 		return true
 	}
@@ -42,22 +42,22 @@
 }
 
 // CallStarted records that an allowed server gets a call.
-func (t *Breakers) CallStarted(name string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if r := t.records[name]; r != nil && r.failures >= failureThreshold {
+func (b *Breakers) CallStarted(name string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if r := b.records[name]; r != nil && r.failures >= failureThreshold {
 		r.probing = true
 	}
 }
 
 // Failed records a failure.
-func (t *Breakers) Failed(name string, now time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	r := t.records[name]
+func (b *Breakers) Failed(name string, now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	r := b.records[name]
 	if r == nil {
 		r = &record{}
-		t.records[name] = r
+		b.records[name] = r
 	}
 	r.failures++
 	r.probing = false
@@ -66,8 +66,8 @@
 }
 
 // Succeeded records a success and resets the failures.
-func (t *Breakers) Succeeded(name string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	delete(t.records, name)
+func (b *Breakers) Succeeded(name string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	delete(b.records, name)
 }
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -295,7 +295,7 @@
 }
 
 // isFirstDisk reports whether the operator set up this disk as the region's first by
-// Found: then no earlier claim can have been lost.
+// Initialize: then no earlier claim can have been lost.
 func (t *Table) isFirstDisk() bool { return t.diskSince.IsZero() }
 
 func decideRepeated(c, prev wheelgauge.Claim) (wheelgauge.Claim, *wheelgauge.Claim, error) {
--- a/confstore/node.go
+++ b/confstore/node.go
@@ -76,7 +76,7 @@
 	Bootstrap    bool
 	Tick         time.Duration
 	PollInterval time.Duration
-	// CapWindow, CapOverage and CapSlack bound the use of caps; see capbank.Options.
+	// CapWindow, CapOverage and CapSlack bound the use of caps; see capallocator.Options.
 	CapWindow  time.Duration
 	CapOverage float64
 	CapSlack   float64
--- a/entrynode/node.go
+++ b/entrynode/node.go
@@ -91,7 +91,7 @@
 	// lastRequestMargin if zero.
 	LastRequestMargin time.Duration
 	Budget            retrybudget.Options
-	// MemoryLimit limit of the process in bytes; 0 means none.
+	// MemoryLimit is the memory limit of the process in bytes; 0 means none.
 	MemoryLimit int64
 	// Before a rollout's time limit, all hosts together may send this share of the service's
 	// requests to the target version, plus a fixed number of requests.
@@ -190,8 +190,8 @@
 
 // stores returns the stores that may be called; none before the heartbeat client has started.
 func (n *Node) stores() []wheelgauge.StoreEndpoint {
-	if beats := n.heartbeats.Load(); beats != nil {
-		return beats.Stores()
+	if client := n.heartbeats.Load(); client != nil {
+		return client.Stores()
 	}
 	return nil
 }
@@ -204,8 +204,8 @@
 
 // regionStores returns the stores of the host's region; none before the heartbeat client has started.
 func (n *Node) regionStores() []wheelgauge.RegionStore {
-	if beats := n.heartbeats.Load(); beats != nil {
-		return beats.RegionStores()
+	if client := n.heartbeats.Load(); client != nil {
+		return client.RegionStores()
 	}
 	return nil
 }
--- a/fleet.go
+++ b/fleet.go
@@ -27,12 +27,12 @@
 	PrefillTokens int `json:"t,omitempty"`
 	// Work is both by rank.
 	Work Work `json:"w,omitempty"`
-	// SlowdownSum is the sum of the slowdown factors that SlowdownHosts hosts derive from the server's reports,
-	// in hundredths: 100 for a host means that work takes the usual time.
+	// SlowdownSum is the sum of the slowdown factors that SlowdownHosts hosts derive from the
+	// server's reports, in hundredths: 100 for a host means that work takes the usual time.
 	SlowdownSum   int `json:"p,omitempty"`
 	SlowdownHosts int `json:"q,omitempty"`
-	// UnreachableFrom is the number of hosts that recently failed to reach the server or found another
-	// one at its address.
+	// UnreachableFrom is the number of hosts that recently failed to reach the server or found
+	// another one at its address.
 	UnreachableFrom int `json:"x,omitempty"`
 }
 
@@ -87,8 +87,8 @@
 	Primary bool `json:"primary,omitempty"`
 	// IntervalMS is the time until the next heartbeat to this store, in ms.
 	IntervalMS int64 `json:"interval_ms"`
-	// StoreBoot is the boot of the store whose tables of hosts and servers this host holds; HostsVersion
-	// and ServersVersion are their versions.
+	// StoreBoot is the boot of the store whose tables of hosts and servers this host holds;
+	// HostsVersion and ServersVersion are their versions.
 	StoreBoot      uint64 `json:"store,omitempty"`
 	HostsVersion   uint64 `json:"hosts,omitempty"`
 	ServersVersion uint64 `json:"servers,omitempty"`
@@ -231,7 +231,7 @@
 	Region      string             `json:"region"`
 	ServerLists []RegionServerList `json:"parts,omitempty"`
 	Loads       []RegionLoad       `json:"loads,omitempty"`
-	// ServerUsage are sent only to stores of the same region.
+	// ServerUsage is sent only to stores of the same region.
 	ServerUsage []ServerUsage `json:"uses,omitempty"`
 	Caps        CapUpdate     `json:"caps,omitzero"`
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Gate admits work until Shut. It is safe for concurrent use.
+// Gate admits work until Close. It is safe for concurrent use.
 type Gate struct {
 	mu    sync.Mutex
 	count int
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -58,7 +58,7 @@
 		if s.Leaving || contains(tried, s.Name) {
 			continue
 		}
-		if !g.setAside.Allowed(s.Name, now) || g.deferrals.blocks(s.Name, now) {
+		if !g.breakers.Allowed(s.Name, now) || g.deferrals.blocks(s.Name, now) {
 			cs.excluded = true
 			continue
 		}
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -138,7 +138,7 @@
 	}
 	i := g.options.Picker.Pick(rq.prefix, cs.candidates)
 	name := cs.candidates[i].Name
-	g.setAside.CallStarted(name)
+	g.breakers.CallStarted(name)
 	return rq.catalog.Server(name), true
 }
 
@@ -172,13 +172,13 @@
 		g.inflight.End(s.Name, 0)
 		g.inflight.End(rq.route.Pool, 0)
 		if !rq.callerLeft() && !listener.backoff.Load() && wheelgauge.AsError(err).Reason() != wheelgauge.ReasonOverloaded {
-			g.setAside.Failed(s.Name, g.clock.Now())
+			g.breakers.Failed(s.Name, g.clock.Now())
 			g.options.Log.V(1).Info("Attempt failed.", "server", s.Name, "cause", err.Error())
 		}
 		return nil, err
 	}
 	if !listener.backoff.Load() {
-		g.setAside.Succeeded(s.Name)
+		g.breakers.Succeeded(s.Name)
 	}
 	g.observeLimit(s.Name, answer, sent)
 	rq.target.Store(&target{server: s.Name, region: g.options.Region})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -92,7 +92,7 @@
 	node     *membership.Node
 	limiter  *admission.Limiter
 	budget   *admission.RetryBudget
-	setAside *circuitbreaker.Breakers
+	breakers *circuitbreaker.Breakers
 	// quarantine refuses requests that crash servers.
 	quarantine *quarantine.Table
 	// limits are those that servers have stated; permits enforces them over all hosts of the
@@ -129,7 +129,7 @@
 	g := &Gateway{
 		options: o, boot: uint64(time.Now().UnixNano()), meter: meter.New(), clock: clock, client: peerhttp.NewClient(peerDialer, ""),
 		servers: upstream.New(plainDialer), peers: upstream.New(peerDialer), limiter: admission.NewLimiter(),
-		budget: admission.NewRetryBudget(), setAside: circuitbreaker.New(), quarantine: quarantine.New(clock.Now), serving: gate.New(), ctx: ctx, cancel: cancel,
+		budget: admission.NewRetryBudget(), breakers: circuitbreaker.New(), quarantine: quarantine.New(clock.Now), serving: gate.New(), ctx: ctx, cancel: cancel,
 	}
 	g.openPermits()
 	plain := peerhttp.NewClient(plainDialer, "")
--- a/gateway/pushback.go
+++ b/gateway/pushback.go
@@ -115,7 +115,7 @@
 	case ok && wait > 0:
 		l.backoff.Store(true)
 		g.meter.Count("servers.backoffs")
-		g.setAside.Succeeded(l.server) // the server has said itself when it takes work again
+		g.breakers.Succeeded(l.server) // the server has said itself when it takes work again
 		if g.pushbacks.backOff(l.server, wait, now) {
 			g.options.Log.Info("A server asks to back off.", "server", l.server, "backoff_ms", wait.Milliseconds())
 		}
--- a/heartbeat/client.go
+++ b/heartbeat/client.go
@@ -71,7 +71,7 @@
 
 // LimitTable holds the rate limits that servers have announced.
 type LimitTable interface {
-	// Heard returns those that this host received itself after a change, and the number of
+	// LocalSince returns those that this host received itself after a change, and the number of
 	// the last change.
 	LocalSince(change uint64) ([]wheelgauge.ServerLimit, uint64)
 	// Merge adds those that others received.
@@ -132,7 +132,7 @@
 	// current list was requested.
 	serversKnown bool
 	listTime     time.Time
-	// deliverMu serialises calls of News: one answer at a time.
+	// deliverMu serialises calls of the Receiver: one answer at a time.
 	deliverMu sync.Mutex
 	// fetcher is used by one fetch at a time.
 	fetcher *statefetch.Fetcher
@@ -367,8 +367,8 @@
 	}
 }
 
-// deliver passes an answer to News: the updates of the primary, and that the state is
-// current.
+// deliver passes an answer to the Receiver: the updates of the primary, and that the state
+// is current.
 func (c *Client) deliver(b wheelgauge.FleetHeartbeat, a wheelgauge.FleetHeartbeatResponse, sentAt time.Time) {
 	n := c.options.Receiver
 	// A store that is cut off from the others may not know of a newer state.
--- a/heartbeat/client_test.go
+++ b/heartbeat/client_test.go
@@ -26,10 +26,10 @@
 
 // fakeStore answers heartbeats with a fixed answer.
 type fakeStore struct {
-	mu     sync.Mutex
-	answer wheelgauge.FleetHeartbeatResponse
-	beats  []wheelgauge.FleetHeartbeat
-	http   *httpserve.Server
+	mu         sync.Mutex
+	answer     wheelgauge.FleetHeartbeatResponse
+	heartbeats []wheelgauge.FleetHeartbeat
+	http       *httpserve.Server
 	// latency is added to each answer, as by a long link.
 	latency time.Duration
 	// silent is set while answers come after the client's timeout.
@@ -85,7 +85,7 @@
 	time.Sleep(s.latency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.beats = append(s.beats, b)
+	s.heartbeats = append(s.heartbeats, b)
 	a := s.answer
 	if b.Primary {
 		a.ServersVersion = 1
@@ -103,19 +103,19 @@
 func (s *fakeStore) last() wheelgauge.FleetHeartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.beats) == 0 {
+	if len(s.heartbeats) == 0 {
 		return wheelgauge.FleetHeartbeat{}
 	}
-	return s.beats[len(s.beats)-1]
+	return s.heartbeats[len(s.heartbeats)-1]
 }
 
 func (s *fakeStore) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.beats)
+	return len(s.heartbeats)
 }
 
-// recorder is a News that records states and the source of the last server list.
+// recorder is a Receiver that records states and the source of the last server list.
 type recorder struct {
 	mu          sync.Mutex
 	generations []uint64
--- a/heartbeat/crashes_test.go
+++ b/heartbeat/crashes_test.go
@@ -15,7 +15,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []wheelgauge.Crash
-	for _, b := range s.beats {
+	for _, b := range s.heartbeats {
 		out = append(out, b.Crashes...)
 	}
 	return out
@@ -24,7 +24,7 @@
 func (s *fakeStore) forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.beats = nil
+	s.heartbeats = nil
 }
 
 // A crash is sent to each store at once, whenever its next heartbeat is due, and again to a
--- a/heartbeat/limits_test.go
+++ b/heartbeat/limits_test.go
@@ -15,7 +15,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
-	for _, b := range s.beats {
+	for _, b := range s.heartbeats {
 		for _, l := range b.Limits {
 			out = append(out, l.Server)
 		}
--- a/heartbeat/state.go
+++ b/heartbeat/state.go
@@ -73,14 +73,14 @@
 	return out
 }
 
-// fetch fetches one state and passes it to News.
+// fetch fetches one state and passes it to the Receiver.
 func (c *Client) fetch(stores []string, held wheelgauge.FleetState) {
 	began := c.now()
 	s, err := c.fetcher.Fetch(c.ctx, stores, held)
 	c.deliverMu.Lock()
 	defer c.deliverMu.Unlock()
 	if err != nil {
-		c.options.Log.Info("State could not be fetched.", "generation", held.Generation, "took_ms", c.now().Sub(began).Milliseconds(),
+		c.options.Log.Info("State is not fetched.", "generation", held.Generation, "took_ms", c.now().Sub(began).Milliseconds(),
 			"bytes", c.fetcher.ReceivedBytes(), "cause", err.Error())
 		c.fetchEnded(held, fetchRetryDelay)
 		return
--- a/hosttable/sums.go
+++ b/hosttable/sums.go
@@ -33,10 +33,10 @@
 	b[region].add(hosts, uses)
 }
 
-// serverUses is what is in flight at each server, by region and instance.
-type serverUses map[string]map[string]wheelgauge.ServerUsage
+// serverUsage is what is in flight at each server, by region and instance.
+type serverUsage map[string]map[string]wheelgauge.ServerUsage
 
-func (a serverUses) add(region string, uses []wheelgauge.ServerUsage) {
+func (a serverUsage) add(region string, uses []wheelgauge.ServerUsage) {
 	if a[region] == nil {
 		a[region] = map[string]wheelgauge.ServerUsage{}
 	}
@@ -52,12 +52,12 @@
 	direct    regionLoads
 	local     regionLoads
 	combined  regionLoads
-	uses      serverUses
-	localUses serverUses
+	uses      serverUsage
+	localUses serverUsage
 }
 
 func newSums() sums {
-	return sums{direct: regionLoads{}, local: regionLoads{}, combined: regionLoads{}, uses: serverUses{}, localUses: serverUses{}}
+	return sums{direct: regionLoads{}, local: regionLoads{}, combined: regionLoads{}, uses: serverUsage{}, localUses: serverUsage{}}
 }
 
 func (s *sums) add(e *entry) {
--- a/membership/crashes_test.go
+++ b/membership/crashes_test.go
@@ -28,8 +28,8 @@
 		}
 	}
 	for n, h := range hubs {
-		beat := wheelgauge.Heartbeat{Host: regions[n] + "-2", Boot: 1}
-		v := h.Heartbeat(beat)
+		heartbeat := wheelgauge.Heartbeat{Host: regions[n] + "-2", Boot: 1}
+		v := h.Heartbeat(heartbeat)
 		var servers []string
 		for _, c := range v.Crashes {
 			servers = append(servers, c.Server)
@@ -37,8 +37,8 @@
 		if !slices.Equal(servers, regions) {
 			t.Errorf("region %s: hosts got crashes of servers %v, want those of all regions", regions[n], servers)
 		}
-		beat.HubBoot, beat.ViewVersion, beat.CrashesVersion = v.HubBoot, v.Version, v.CrashesVersion
-		if v = h.Heartbeat(beat); v.Crashes != nil {
+		heartbeat.HubBoot, heartbeat.ViewVersion, heartbeat.CrashesVersion = v.HubBoot, v.Version, v.CrashesVersion
+		if v = h.Heartbeat(heartbeat); v.Crashes != nil {
 			t.Errorf("region %s: crashes were sent again: %v", regions[n], v.Crashes)
 		}
 		for _, r := range v.Regions {
--- a/membership/hub_test.go
+++ b/membership/hub_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-func BenchmarkBeat(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	c := &clock{time.Unix(0, 0)}
 	h := testHub(c)
 	for i := range 82 {
--- a/peerhttp/client.go
+++ b/peerhttp/client.go
@@ -42,7 +42,7 @@
 // each connection, so that rotated keys take effect.
 type TLSConfigFunc func(host string) *tls.Config
 
-// Dialer connects by TCP, with TLS if it has a Secure. Its errors satisfy
+// Dialer connects by TCP, with TLS if it has a TLSConfigFunc. Its errors satisfy
 // NotSent: no byte of a request is sent before the handshake is done.
 type Dialer struct {
 	net    net.Dialer
--- a/permitclient/client.go
+++ b/permitclient/client.go
@@ -61,7 +61,7 @@
 	return &Client{options: o, shares: coldrate.New(o.Now), silentUntil: map[string]time.Time{}}
 }
 
-// Acquire implements wheelgauge.Permits.
+// Acquire implements wheelgauge.PermitSource.
 func (c *Client) Acquire(ctx context.Context, server string, maxWait time.Duration) (after time.Duration, ok bool) {
 	rate, limited := c.options.Limits.Rate(server)
 	if !limited {
--- a/quarantine/attribution_test.go
+++ b/quarantine/attribution_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestJoin(t *testing.T) {
+func TestMergePersisted(t *testing.T) {
 	many := func(request wheelgauge.Fingerprint, count int) []wheelgauge.Crash {
 		var out []wheelgauge.Crash
 		for n := range count {
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestForget(t *testing.T) {
+func TestRemoveRequests(t *testing.T) {
 	persisted := slices.Concat(crashesAt("p", "abc"), crashesAt("q", "ab"))
 	if got, changed := RemoveRequests(persisted, []wheelgauge.Fingerprint{"p"}); !changed || !slices.Equal(got, crashesAt("q", "ab")) {
 		t.Errorf("got %v, changed %v, want only the crashes of q and a change", got, changed)
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -64,7 +64,7 @@
 	mu         sync.Mutex
 	answer     *wheelgauge.Response
 	bodyClosed bool
-	ending     Summary
+	summary    Summary
 	closing    sync.Once
 	timer      *time.Timer
 }
@@ -147,7 +147,7 @@
 func (s *Stream) Summary() Summary {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ending
+	return s.summary
 }
 
 // Close stops the relay, waits for it and calls OnEnd.
@@ -215,7 +215,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answer, s.bodyClosed = answer, false
-	s.ending.Resumes++
+	s.summary.Resumes++
 	return true
 }
 
@@ -270,13 +270,13 @@
 	for event := range bytes.SplitSeq(events, separator) {
 		switch {
 		case bytes.HasPrefix(event, doneEvent):
-			s.ending.Complete = true
+			s.summary.Complete = true
 			return true
 		case bytes.HasPrefix(event, dataPrefix):
-			if s.ending.Tokens == 0 {
-				s.ending.TimeToFirstToken = time.Since(s.started)
+			if s.summary.Tokens == 0 {
+				s.summary.TimeToFirstToken = time.Since(s.started)
 			}
-			s.ending.Tokens++
+			s.summary.Tokens++
 		}
 	}
 	return false
--- a/relay/stream_test.go
+++ b/relay/stream_test.go
@@ -82,7 +82,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var ending Summary
+			var summary Summary
 			resume := func(_ context.Context, skip int) (*wheelgauge.Response, error) {
 				if len(tt.rest) == 0 {
 					return nil, errCut
@@ -94,7 +94,7 @@
 				}
 				return next, nil
 			}
-			s := New(context.Background(), tt.first, Options{Started: time.Now(), Resume: resume, OnEnd: func(e Summary) { ending = e }})
+			s := New(context.Background(), tt.first, Options{Started: time.Now(), Resume: resume, OnEnd: func(e Summary) { summary = e }})
 			got, err := io.ReadAll(s)
 			if err := s.Close(); err != nil {
 				t.Fatal(err)
@@ -105,8 +105,8 @@
 			if tt.err != nil && strings.Contains(string(got), "[DONE]") {
 				t.Fatal("a broken stream ended as complete")
 			}
-			if ending.Complete != (tt.err == nil) || ending.Resumes != tt.resumes {
-				t.Fatalf("unexpected ending: got %+v", ending)
+			if summary.Complete != (tt.err == nil) || summary.Resumes != tt.resumes {
+				t.Fatalf("unexpected ending: got %+v", summary)
 			}
 		})
 	}
@@ -114,8 +114,8 @@
 
 // TestCallerLeaves closes a stream while its backend server is silent.
 func TestCallerLeaves(t *testing.T) {
-	var ending Summary
-	s := New(context.Background(), answer(nil, event(0)), Options{OnEnd: func(e Summary) { ending = e }})
+	var summary Summary
+	s := New(context.Background(), answer(nil, event(0)), Options{OnEnd: func(e Summary) { summary = e }})
 	buf := make([]byte, 100)
 	if n, err := s.Read(buf); err != nil || string(buf[:n]) != event(0) {
 		t.Fatalf("got %q, %v, want the first event", buf[:n], err)
@@ -126,8 +126,8 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if !ending.CallerLeft || ending.Complete {
-		t.Fatalf("got ending %+v, want Left and not Complete", ending)
+	if !summary.CallerLeft || summary.Complete {
+		t.Fatalf("got ending %+v, want Left and not Complete", summary)
 	}
 }
 
--- a/replica/disk.go
+++ b/replica/disk.go
@@ -54,7 +54,7 @@
 	r.core.SuspendWrites()
 	r.disk.lastAttempt = time.Now()
 	if !r.disk.unwritable.Swap(true) {
-		r.options.Log.Error(cause, "Disk is not writable: replica takes no part in elections and commits.", "term", r.core.Term(), "commit", r.core.Commit())
+		r.options.Log.Error(cause, "Disk takes no writes: replica takes no part in decisions.", "term", r.core.Term(), "commit", r.core.Commit())
 	}
 	err := diskUnwritableError().WithOutcome(wheelgauge.OutcomeUnknown)
 	for index, w := range r.waiters {
--- a/responsehead/head.go
+++ b/responsehead/head.go
@@ -74,7 +74,7 @@
 	return status
 }
 
-// Check returns a *ForeignError for a head that is not valid, or from which parsers may read
+// Check returns a *MalformedError for a head that is not valid, or from which parsers may read
 // different body lengths (RFC 9112, sections 2 to 6). fasthttp's parser accepts both.
 func Check(head []byte) error {
 	start, rest, _ := bytes.Cut(head, []byte("\n"))
--- a/rollout/controller/director.go
+++ b/rollout/controller/controller.go
@@ -87,7 +87,7 @@
 	trackers     map[string]*tracker
 }
 
-// New returns a director without any reports. newEvaluator creates the evaluator of each
+// New returns a controller without any reports. newEvaluator creates the evaluator of each
 // rollout.
 func New(newEvaluator func() wheelgauge.VersionEvaluator, now func() time.Time) *Controller {
 	return &Controller{newEvaluator: newEvaluator, now: now, trackers: map[string]*tracker{}}
--- a/rollout/controller/simulation_test.go
+++ b/rollout/controller/simulation_test.go
@@ -19,7 +19,7 @@
 	"wheelgauge/rollout/threshold"
 )
 
-// The simulation runs rollouts without a network: hosts dispatch requests by their ledgers
+// The simulation runs rollouts without a network: hosts dispatch requests by their selectors
 // and count the answers, reports reach the stores with a delay, the leading store decides,
 // and its decisions reach the hosts with a delay. The checks look at what servers received: a
 // bad version gets no more than its share of all requests within the time limit and nothing
@@ -126,7 +126,7 @@
 type injectedFault struct {
 	name string
 	// ignoresShare: hosts send part of their requests to the target version regardless of the
-	// ledger. neverRollsBack: stores never roll back. skipsWaiting: stores complete the
+	// selector. neverRollsBack: stores never roll back. skipsWaiting: stores complete the
 	// rollout without waiting for hosts. missesRollback: hosts do not learn that the version
 	// was rolled back. alwaysRollsBack: stores roll back any version.
 	ignoresShare, neverRollsBack, skipsWaiting, missesRollback, alwaysRollsBack bool
@@ -171,11 +171,11 @@
 type simHost struct {
 	name              string
 	boot              uint64
-	ledger            *selector.Selector
+	selector          *selector.Selector
 	tally             *tally.Tally
 	disconnectedUntil time.Duration
 	suspendedUntil    time.Duration
-	// reportedChanges is the ledger's change number at the last report.
+	// reportedChanges is the selector's change number at the last report.
 	reportedChanges uint64
 	// oldInFlight counts requests in flight at servers of the old version.
 	oldInFlight int
@@ -210,12 +210,12 @@
 	h.boot++
 	s.oldInFlight -= h.oldInFlight // ended with the process
 	h.oldInFlight = 0
-	h.ledger = selector.New(selector.Options{Host: h.name, Share: simShare, Slack: simSlack, Now: s.now})
-	h.ledger.SetHosts(s.deployment.hosts)
+	h.selector = selector.New(selector.Options{Host: h.name, Share: simShare, Slack: simSlack, Now: s.now})
+	h.selector.SetHosts(s.deployment.hosts)
 	h.tally = tally.New()
 	h.reportedChanges = 0
 	if s.rollout.Number > 0 {
-		h.ledger.SetRollouts([]wheelgauge.Rollout{s.currentRollout()})
+		h.selector.SetRollouts([]wheelgauge.Rollout{s.currentRollout()})
 	}
 }
 
@@ -270,7 +270,7 @@
 		return
 	}
 	if !s.injected.missesRollback || s.rollout.Running() {
-		h.ledger.SetRollouts([]wheelgauge.Rollout{s.currentRollout()})
+		h.selector.SetRollouts([]wheelgauge.Rollout{s.currentRollout()})
 	}
 }
 
@@ -323,9 +323,9 @@
 	return n
 }
 
-// dispatch sends one request to a server of a version that the ledger allows.
+// dispatch sends one request to a server of a version that the selector allows.
 func (s *simulation) dispatch(h *simHost, r simRoute, retry bool) {
-	choice, release := h.ledger.Choose(service, r.name, r.duration*5/2, retry)
+	choice, release := h.selector.Choose(service, r.name, r.duration*5/2, retry)
 	if !choice.Allows(oldVersion) && !choice.Allows(newVersion) {
 		release()
 		s.refused++
@@ -339,7 +339,7 @@
 		v = only
 	}
 	server := fmt.Sprint(v, "-", s.rng.IntN(s.deployment.servers))
-	h.ledger.RecordSent(service, r.name, v)
+	h.selector.RecordSent(service, r.name, v)
 	s.countRequest(v, h)
 	s.inFlight[server]++
 	s.answers[server]++
@@ -350,7 +350,7 @@
 		percent := time.Duration(cmp.Or(s.version.slowFactor, 4) * 100)
 		firstByte, duration = percent*firstByte/100, duration+(percent-100)*firstByte/100
 	}
-	boot, number, fresh := h.boot, h.ledger.RunningRollouts()[service], v == newVersion && s.elapsed < warmUpTime
+	boot, number, fresh := h.boot, h.selector.RunningRollouts()[service], v == newVersion && s.elapsed < warmUpTime
 	s.schedule(duration, func() {
 		release()
 		s.inFlight[server]--
@@ -429,11 +429,11 @@
 		if s.elapsed < h.disconnectedUntil || s.elapsed < h.suspendedUntil {
 			continue
 		}
-		changes := h.ledger.Changes()
+		changes := h.selector.Changes()
 		urgent := changes != h.reportedChanges
 		h.reportedChanges = changes
 		if s.elapsed%(150*time.Millisecond) == 0 {
-			h.ledger.ConfirmState()
+			h.selector.ConfirmState()
 		}
 		for i, store := range s.stores {
 			if urgent || i == n%simStores && s.elapsed%(150*time.Millisecond) == 0 || (s.elapsed+time.Duration(n)*50*time.Millisecond)%time.Second == 0 {
@@ -444,7 +444,7 @@
 }
 
 func (s *simulation) sendReport(h *simHost, store *controller.Controller) {
-	reports := h.ledger.Reports()
+	reports := h.selector.Reports()
 	for i, r := range reports {
 		reports[i].Stats = h.tally.Counts(service, r.Number)
 	}
--- a/rollout/selector/ledger.go
+++ b/rollout/selector/selector.go
@@ -49,7 +49,7 @@
 	rateTimeConstant = time.Second
 )
 
-// Options of a Ledger.
+// Options of a Selector.
 type Options struct {
 	// Host is the name of the entry host.
 	Host string
@@ -99,7 +99,7 @@
 	reportedComplete bool
 }
 
-// New returns a ledger without rollouts.
+// New returns a selector without rollouts.
 func New(o Options) *Selector {
 	return &Selector{options: o, hostCount: 1, services: map[string]*service{}}
 }
--- a/rollout/selector/ledger_test.go
+++ b/rollout/selector/selector_test.go
@@ -22,7 +22,7 @@
 
 func (c *clock) now() time.Time { return c.at }
 
-func newLedger(share, slack float64) (*Selector, *clock) {
+func newSelector(share, slack float64) (*Selector, *clock) {
 	c := &clock{time.Unix(1000, 0)}
 	return New(Options{Host: "h", Share: share, Slack: slack, Now: c.now}), c
 }
@@ -64,7 +64,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l, c := newLedger(1, 50)
+			l, c := newSelector(1, 50)
 			if len(tt.rollouts) > 0 {
 				l.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
 			}
@@ -132,7 +132,7 @@
 // A host is complete once the other versions are closed and it has no requests in flight
 // there.
 func TestHostComplete(t *testing.T) {
-	l, c := newLedger(0.1, 1000)
+	l, c := newSelector(0.1, 1000)
 	_, releaseEarlier := l.Choose(name, "r", 0, false)
 	l.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
 	complete := func() bool { return l.Reports()[0].Complete }
@@ -166,7 +166,7 @@
 
 // A complete host whose share is used up rejects requests until the time limit.
 func TestCompleteHostWithoutShare(t *testing.T) {
-	l, c := newLedger(0.1, 40)
+	l, c := newSelector(0.1, 40)
 	l.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
 	l.SetRollouts(rollout(wheelgauge.RolloutRunning, true, 19_500*time.Millisecond))
 	_, release := l.Choose(name, "r", 0, false)
@@ -206,7 +206,7 @@
 		{"rolled back in the meantime", rollout(wheelgauge.RolloutRolledBack, true, 0), only, true, wheelgauge.VersionFilter{}, false},
 	}
 	for _, tt := range tests {
-		l, _ := newLedger(0.1, 50)
+		l, _ := newSelector(0.1, 50)
 		l.SetRollouts(tt.rollouts)
 		got, _, ok := l.ChooseFallback(name, tt.prev, tt.listed)
 		if got != tt.want || ok != tt.ok {
@@ -216,7 +216,7 @@
 }
 
 func BenchmarkChoose(b *testing.B) {
-	l, _ := newLedger(0.1, 50)
+	l, _ := newSelector(0.1, 50)
 	l.SetRollouts(rollout(wheelgauge.RolloutRunning, true, 0))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -230,7 +230,7 @@
 // the slack.
 func TestSlackCanariesCoverRareRoutes(t *testing.T) {
 	const share, slack = 0.1, 60.0
-	l, c := newLedger(share, slack)
+	l, c := newSelector(share, slack)
 	l.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
 	sent, canaries := 0, map[string]int{}
 	early := 0
--- a/rollout/sequential/evaluator.go
+++ b/rollout/sequential/evaluator.go
@@ -191,7 +191,7 @@
 	return max(0, recent, t.totals.excess(servers, t.baseline.badRate()))
 }
 
-// Evaluator implements wheelgauge.VersionJudge with sequential tests. It is not safe for
+// Evaluator implements wheelgauge.VersionEvaluator with sequential tests. It is not safe for
 // concurrent use.
 type Evaluator struct {
 	tests map[string][]*routeTest
@@ -201,7 +201,7 @@
 // New returns an evaluator without any answers.
 func New() *Evaluator { return &Evaluator{tests: map[string][]*routeTest{}} }
 
-// Add implements wheelgauge.VersionJudge.
+// Add implements wheelgauge.VersionEvaluator.
 func (e *Evaluator) Add(at time.Time, counts []wheelgauge.VersionStats) {
 	elapsed := max(0, at.Sub(e.at))
 	e.at = at
@@ -241,7 +241,7 @@
 	}
 }
 
-// Evaluate implements wheelgauge.VersionJudge.
+// Evaluate implements wheelgauge.VersionEvaluator.
 func (e *Evaluator) Evaluate(servers int) wheelgauge.Verdict {
 	var worst *routeTest
 	for _, tests := range e.tests {
--- a/rollout/sequential/evaluator_test.go
+++ b/rollout/sequential/evaluator_test.go
@@ -45,7 +45,7 @@
 
 // A version is compared with the others, and a single faulty server of several does not make
 // it bad.
-func TestVerdict(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	healthy := wheelgauge.VersionStats{Responses: 100, Failed: 1, Compared: 100, Slow: 1}
 	failingOthers := wheelgauge.VersionStats{Responses: 100, Failed: 40, Compared: 60, Slow: 30}
 	good := wheelgauge.VersionStats{Responses: 5, Compared: 5}
--- a/rollout/tally/tally.go
+++ b/rollout/tally/tally.go
@@ -41,8 +41,8 @@
 	Failed bool
 	// Fresh is set for a server that started recently; its latency is not counted.
 	Fresh bool
-	// FirstByte is the time to the first byte or event, EventInterval the time for each further event, 0
-	// if there was none.
+	// FirstByte is the time to the first byte or event, EventInterval the time for each further
+	// event, 0 if there was none.
 	FirstByte     time.Duration
 	EventInterval time.Duration
 }
--- a/rollout/threshold/evaluator.go
+++ b/rollout/threshold/evaluator.go
@@ -25,7 +25,7 @@
 	counts []wheelgauge.VersionStats
 }
 
-// Evaluator implements wheelgauge.VersionJudge with fixed thresholds. It is not safe for
+// Evaluator implements wheelgauge.VersionEvaluator with fixed thresholds. It is not safe for
 // concurrent use.
 type Evaluator struct {
 	samples []sample
@@ -34,7 +34,7 @@
 // New returns an evaluator without any answers.
 func New() *Evaluator { return &Evaluator{} }
 
-// Add implements wheelgauge.VersionJudge.
+// Add implements wheelgauge.VersionEvaluator.
 func (e *Evaluator) Add(at time.Time, counts []wheelgauge.VersionStats) {
 	e.samples = append(e.samples, sample{at, counts})
 	for at.Sub(e.samples[0].at) > window {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Evaluate implements wheelgauge.VersionJudge.
+// Evaluate implements wheelgauge.VersionEvaluator.
 func (e *Evaluator) Evaluate(int) wheelgauge.Verdict {
 	type tally struct{ answers, bad uint64 }
 	routes := map[string]*[2]tally{}
--- a/rollouts.go
+++ b/rollouts.go
@@ -18,9 +18,9 @@
 	RolloutRolledBack RolloutState = "rolled-back"
 )
 
-// OldVersionGracePeriod is how long after the time limit of a completed rollout servers of other versions
-// are treated as leftovers of it. Those still listed after that were added since and may receive
-// requests.
+// OldVersionGracePeriod is how long after the time limit of a completed rollout servers of
+// other versions are treated as leftovers of it. Those still listed after that were added
+// since and may receive requests.
 const OldVersionGracePeriod = time.Minute
 
 // RolloutRequest is an order to move the requests of a service to servers of another version.
@@ -135,12 +135,12 @@
 	Cause string
 	// RegressionScore is the evidence against the version, as a fraction of what would make it bad.
 	RegressionScore float64
-	// EquivalenceScore is the evidence that the version is as good, as a fraction of what is required to
-	// show it. Below 0 the version is more likely to be worse.
+	// EquivalenceScore is the evidence that the version is as good, as a fraction of what is
+	// required to show it. Below 0 the version is more likely to be worse.
 	EquivalenceScore float64
-	// DetectableFailureShare is the smallest fraction of failing responses that would have been detected by now
-	// if the version had failed at that rate from the beginning, given the requests that it
-	// received; 1 if it received none.
+	// DetectableFailureShare is the smallest fraction of failing responses that would have been
+	// detected by now if the version had failed at that rate from the beginning, given the
+	// requests that it received; 1 if it received none.
 	DetectableFailureShare float64
 }
 
--- a/routegate/call.go
+++ b/routegate/call.go
@@ -69,9 +69,9 @@
 	// permitWait is the time spent on waiting for permits.
 	permitWait time.Duration
 
-	// versionChoice holds the versions that may get the request; releaseChoice ends that
+	// versionFilter holds the versions that may get the request; releaseChoice ends that
 	// choice.
-	versionChoice wheelgauge.VersionFilter
+	versionFilter wheelgauge.VersionFilter
 	releaseChoice func()
 	// sentVersion is the version of the last server that the request was sent to.
 	sentVersion string
--- a/routegate/gate.go
+++ b/routegate/gate.go
@@ -210,7 +210,7 @@
 	c.close()
 }
 
-// runTracked runs a request and registers it, so that Wake can end it.
+// runTracked runs a request and registers it, so that EndExpired can end it.
 func (g *Gate) runTracked(ctx context.Context, c *call) {
 	g.active.add(c)
 	defer g.active.remove(c)
--- a/routegate/inflight.go
+++ b/routegate/inflight.go
@@ -23,9 +23,9 @@
 	delete(f.calls, c)
 }
 
-// EndExpired ends the requests that have expired, and returns how many. Connection deadlines use the
-// monotonic clock, which stops during suspension, so without Wake these requests would wait on
-// for answers that no caller expects any more.
+// EndExpired ends the requests that have expired, and returns how many. Connection deadlines
+// use the monotonic clock, which stops during suspension, so otherwise these requests would
+// wait on for answers that no caller expects any more.
 func (g *Gate) EndExpired() int {
 	g.active.mu.Lock()
 	defer g.active.mu.Unlock()
--- a/routegate/place.go
+++ b/routegate/place.go
@@ -97,7 +97,7 @@
 }
 
 func (c *call) job() serverset.Job {
-	return serverset.NewJob(c.service, c.prompt, c.rank, c.triedServers).WithRegions(c.allowedIn).WithVersions(c.versionChoice)
+	return serverset.NewJob(c.service, c.prompt, c.rank, c.triedServers).WithRegions(c.allowedIn).WithVersions(c.versionFilter)
 }
 
 // excess returns how much longer than predicted a request would wait here than elsewhere;
--- a/routegate/pushback.go
+++ b/routegate/pushback.go
@@ -84,7 +84,7 @@
 func (c *call) backoffLeft() (after time.Duration, ok bool) {
 	o := c.gate.options
 	if c.allowedIn(o.Region) {
-		job := serverset.NewJob(c.service, c.prompt, c.rank, nil).WithRegions(c.allowedIn).WithVersions(c.versionChoice)
+		job := serverset.NewJob(c.service, c.prompt, c.rank, nil).WithRegions(c.allowedIn).WithVersions(c.versionFilter)
 		if after, ok = o.Servers.BackoffEnds(job); ok && after == 0 {
 			return 0, false
 		}
--- a/routegate/slowreader_test.go
+++ b/routegate/slowreader_test.go
@@ -102,7 +102,7 @@
 	slowLimit = 2 * time.Minute
 )
 
-// A stream that its caller does not read uses no more memory than SlowConnBytes, by which
+// A stream that its caller does not read uses no more memory than MaxSlowConnBytes, by which
 // connections are limited.
 func TestMemoryOfSlowReaders(t *testing.T) {
 	f := &endlessStream{ended: make(chan error, 2*slowStreams)}
--- a/routegate/version.go
+++ b/routegate/version.go
@@ -16,17 +16,17 @@
 func (c *call) placeForVersion(ctx context.Context) placement {
 	g := c.gate.options
 	c.releaseVersions()
-	c.versionChoice, c.releaseChoice = g.Versions.Choose(c.service, c.route.Name, c.longestDuration(), c.runs > 0)
+	c.versionFilter, c.releaseChoice = g.Versions.Choose(c.service, c.route.Name, c.longestDuration(), c.runs > 0)
 	p := c.placeWithPermit(ctx)
-	if _, only := c.versionChoice.Only(); !only || p.pick != nil || ctx.Err() != nil {
+	if _, only := c.versionFilter.Only(); !only || p.pick != nil || ctx.Err() != nil {
 		return p
 	}
-	fallback, release, ok := g.Versions.ChooseFallback(c.service, c.versionChoice, g.Servers.HasVersion(c.service, c.versionChoice))
+	fallback, release, ok := g.Versions.ChooseFallback(c.service, c.versionFilter, g.Servers.HasVersion(c.service, c.versionFilter))
 	if !ok {
 		return p
 	}
 	c.releaseVersions()
-	c.versionChoice, c.releaseChoice = fallback, release
+	c.versionFilter, c.releaseChoice = fallback, release
 	return c.placeWithPermit(ctx)
 }
 
--- a/stallwatch/watch_test.go
+++ b/stallwatch/watch_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestFakeClock(t *testing.T) {
+func TestSuspendClock(t *testing.T) {
 	c := &suspendclock.Clock{}
 	w := New(c, logr.Discard())
 	c.Suspend(time.Minute)
