--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -31,25 +31,25 @@
 				now = now.Add(tt.gap)
 			}
 			if got != tt.allowed {
-				t.Fatalf("%d of %d were allowed, want %d", got, tt.calls, tt.allowed)
+				t.Fatalf("%d of %d requests were allowed, want %d", got, tt.calls, tt.allowed)
 			}
 		})
 	}
 }
 
-func TestFloodDoesNotTouchOthers(t *testing.T) {
+func TestFloodingClientDoesNotLimitOthers(t *testing.T) {
 	l, now := NewLimiter(), time.Unix(0, 0)
 	class := wheelgauge.ClientClassSpec{Rate: 5, Burst: 5}
 	for range 1000 {
 		l.Take("flood", 7, class, 1, now)
 	}
 	if l.Take("calm", 7, class, 1, now) != 0 {
-		t.Fatal("a calm client pays for a flooding one")
+		t.Fatal("a client under its rate is limited because of another one in its shard")
 	}
 }
 
-func TestShedAndLate(t *testing.T) {
-	const longest = 10 * time.Second
+func TestShouldShedAndMissesDeadline(t *testing.T) {
+	const maxWait = 10 * time.Second
 	tests := []struct {
 		name     string
 		priority int
@@ -65,28 +65,28 @@
 		{"cannot make it", 9, 5 * time.Second, 5 * time.Second, false, true},
 	}
 	for _, tt := range tests {
-		if got := Shed(tt.priority, tt.wait, longest); got != tt.shed {
-			t.Errorf("%s: shed %t", tt.name, got)
+		if got := ShouldShed(tt.priority, tt.wait, maxWait); got != tt.shed {
+			t.Errorf("%s: shed is %t", tt.name, got)
 		}
-		if got := Late(tt.wait, 10*time.Millisecond, tt.left); got != tt.late {
-			t.Errorf("%s: late %t", tt.name, got)
+		if got := MissesDeadline(tt.wait, 10*time.Millisecond, tt.left); got != tt.late {
+			t.Errorf("%s: misses its deadline is %t", tt.name, got)
 		}
 	}
 }
 
-// TestBudget bounds attempts when everything fails.
-func TestBudget(t *testing.T) {
-	b, retries := NewBudget(), 0
+// TestRetryBudget checks that retries stay bounded when every attempt fails.
+func TestRetryBudget(t *testing.T) {
+	b, retries := NewRetryBudget(), 0
 	for range 1000 {
-		b.First()
+		b.FirstAttempt()
 		for range 2 {
-			if b.Retry() {
+			if b.TakeRetry() {
 				retries++
 			}
 		}
 	}
-	if most := 1000*retryPart + mostRetries; float64(retries) > most {
-		t.Fatalf("%d retries for 1000 requests, at most %g", retries, most)
+	if limit := 1000*retriesPerRequest + maxRetries; float64(retries) > limit {
+		t.Fatalf("got %d retries for 1000 requests, want at most %g", retries, limit)
 	}
 }
 
@@ -95,12 +95,12 @@
 	for range 100 {
 		d := RetryAfter(time.Second)
 		if d < time.Second || d > 2*time.Second {
-			t.Fatalf("got %s", d)
+			t.Fatalf("got %s, want between 1 s and 2 s", d)
 		}
 		seen[d] = true
 	}
 	if len(seen) < 50 {
-		t.Fatalf("only %d different times", len(seen))
+		t.Fatalf("got only %d distinct times, want at least 50", len(seen))
 	}
 }
 
--- a/gateway/caller.go
+++ b/gateway/caller.go
@@ -14,30 +14,30 @@
 	"wheelgauge/rendezvous"
 )
 
-const refusedBody = 1
+const refusedBodyBytes = 1
 
-// headerReceived decides residency before the body is read: a request that
-// will be refused is handed over after the first byte of its body.
+// headerReceived checks residency before the body is read: a request that will be
+// refused is passed to the handler after the first byte of its body.
 func (g *Gateway) headerReceived(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	var rq request
-	if err := g.place(h, &rq); err != nil {
-		return fasthttp.RequestConfig{MaxRequestBodySize: refusedBody}
+	if err := g.identify(h, &rq); err != nil {
+		return fasthttp.RequestConfig{MaxRequestBodySize: refusedBodyBytes}
 	}
 	return fasthttp.RequestConfig{}
 }
 
-// badRequest answers what could not be read as a request.
-func (g *Gateway) badRequest(ctx *fasthttp.RequestCtx, err error) {
+// answerReadError answers a request that could not be parsed or read.
+func (g *Gateway) answerReadError(ctx *fasthttp.RequestCtx, err error) {
 	g.meter.Count("refused.malformed")
 	fault := badRequest("the request cannot be read: " + err.Error())
 	if _, ok := errors.AsType[*fasthttp.ErrSmallBuffer](err); ok {
 		fault = wheelgauge.NewError(wheelgauge.ReasonTooLarge, wheelgauge.OutcomeNotRun, http.StatusRequestHeaderFieldsTooLarge, "the headers are too large")
 	}
 	if slow, ok := errors.AsType[net.Error](err); ok && slow.Timeout() {
-		fault = wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusRequestTimeout, "the request did not come whole in time")
+		fault = wheelgauge.NewError(wheelgauge.ReasonBadRequest, wheelgauge.OutcomeNotRun, http.StatusRequestTimeout, "the request was not received completely in time")
 	}
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-		fault = g.tooLarge()
+		fault = g.bodyTooLarge()
 	}
 	ctx.SetConnectionClose()
 	peerhttp.AnswerError(ctx, fault)
@@ -49,33 +49,33 @@
 		g.serveEntry(ctx)
 		return
 	}
-	rq, err := g.fromCaller(ctx)
+	rq, err := g.readCallerRequest(ctx)
 	g.serve(ctx, rq, err, g.admitCaller)
 }
 
-// serve admits a request and runs it while the gate is open. Whoever ends the
-// request leaves the gate.
+// serve admits a request and runs it while the gate is open. The code that ends the
+// request must call Leave on the gate.
 func (g *Gateway) serve(ctx *fasthttp.RequestCtx, rq *request, err error, admit func(*fasthttp.RequestCtx, *request) error) {
 	if err == nil && !g.serving.Enter() {
 		err = wheelgauge.NewError(wheelgauge.ReasonDraining, wheelgauge.OutcomeNotRun, http.StatusServiceUnavailable,
-			"this host is leaving").WithEntries(g.entries(rq))
+			"this host is draining").WithEntries(g.entries(rq))
 	}
 	if err != nil {
 		g.refuse(ctx, rq, err)
 		return
 	}
 	if err := admit(ctx, rq); err != nil {
-		g.finish(ctx, rq, err)
+		g.finishWithError(ctx, rq, err)
 		return
 	}
 	conn := ctx.Conn()
-	rq.gone = func() bool { return rq.cancelled.Load() || callerconn.Gone(conn) }
-	g.run(ctx, rq)
+	rq.callerGone = func() bool { return rq.cancelled.Load() || callerconn.Gone(conn) }
+	g.execute(ctx, rq)
 }
 
-// admitCaller checks what concerns the caller, reads the body and finds the route.
+// admitCaller applies the caller's rate limit, reads the body and finds the route.
 func (g *Gateway) admitCaller(ctx *fasthttp.RequestCtx, rq *request) error {
-	if err := g.limit(rq); err != nil {
+	if err := g.applyRateLimit(rq); err != nil {
 		return err
 	}
 	if err := g.readBody(ctx, rq); err != nil {
@@ -85,7 +85,7 @@
 }
 
 // refuse answers a request that was not dispatched. The connection is closed
-// when its body was not taken in.
+// if its body was not read.
 func (g *Gateway) refuse(ctx *fasthttp.RequestCtx, rq *request, err error) {
 	fault := wheelgauge.AsError(err).WithRequestID(rq.call.ID)
 	g.meter.Count("refused." + string(fault.Reason()))
@@ -99,21 +99,21 @@
 // serveEntry answers GET /v1/entry.
 func (g *Gateway) serveEntry(ctx *fasthttp.RequestCtx) {
 	var rq request
-	err := g.place(&ctx.Request.Header, &rq)
+	err := g.identify(&ctx.Request.Header, &rq)
 	if err != nil && wheelgauge.AsError(err).Reason() != wheelgauge.ReasonResidency {
 		peerhttp.AnswerError(ctx, err)
 		return
 	}
 	g.meter.Count("entry.lists")
-	peerhttp.Answer(ctx, wheelgauge.EntryList{Entries: g.entries(&rq), TTLMS: g.o.EntryTTL.Milliseconds()})
+	peerhttp.Answer(ctx, wheelgauge.EntryList{Entries: g.entries(&rq), TTLMS: g.options.EntryTTL.Milliseconds()})
 }
 
 func (g *Gateway) entries(rq *request) []wheelgauge.Entry {
-	return entrylist.List(rq.catalog, rq.identity, g.o.Region, g.usable)
+	return entrylist.List(rq.catalog, rq.identity, g.options.Region, g.usable)
 }
 
-// home returns the region that keeps the claims of a client.
-func (rq *request) home() string {
+// homeRegion returns the region that stores the claims of a client.
+func (rq *request) homeRegion() string {
 	regions := rq.catalog.AllowedRegions(rq.identity)
 	for _, region := range regions {
 		if region == rq.identity.Home {
