--- a/appliedgen/table.go
+++ b/appliedgen/table.go
@@ -48,15 +48,15 @@
 func Merge(lists ...[]wheelgauge.AppliedGeneration) []wheelgauge.AppliedGeneration {
 	newest := map[string]wheelgauge.AppliedGeneration{}
 	for _, list := range lists {
-		for _, f := range list {
-			if known, ok := newest[f.Host]; !ok || f.AgeMS < known.AgeMS {
-				newest[f.Host] = f
+		for _, r := range list {
+			if known, ok := newest[r.Host]; !ok || r.AgeMS < known.AgeMS {
+				newest[r.Host] = r
 			}
 		}
 	}
 	out := make([]wheelgauge.AppliedGeneration, 0, len(newest))
-	for _, f := range newest {
-		out = append(out, f)
+	for _, r := range newest {
+		out = append(out, r)
 	}
 	slices.SortFunc(out, func(a, b wheelgauge.AppliedGeneration) int { return strings.Compare(a.Host, b.Host) })
 	return out
--- a/capallocator/allocator.go
+++ b/capallocator/allocator.go
@@ -1,7 +1,7 @@
 // Package capallocator divides the caps of workspaces among stores. Each store has an equal base
 // share of every cap and leases the part that its own hosts do not use to stores whose hosts
 // need it. Hosts draw units from a store before they send requests. Leases expire by
-// themselves, and the lender counts a share as gone until its lease has expired for sure: the
+// themselves, and the lessor counts a share as gone until its lease has expired for sure: the
 // shares of all stores never add up to more than the cap, whatever messages are lost, stores
 // restart, or regions are partitioned.
 package capallocator
@@ -215,7 +215,7 @@
 		b.refill(now)
 		share := a.ownShare(b, now)
 		for _, p := range a.peers {
-			share += p.borrowed(name, now) - p.maxLent(name, now)
+			share += p.leasedFrom(name, now) - p.maxLeasedTo(name, now)
 		}
 		for _, h := range silent {
 			share -= h.standaloneShares[name]
--- a/capallocator/allocator_test.go
+++ b/capallocator/allocator_test.go
@@ -26,10 +26,10 @@
 }
 
 func (c *clock) newAllocatorWithSlack(self string, boot uint64, members []string, slack float64) *Allocator {
-	b := New(Options{Self: self, Boot: boot, Window: testWindow, Overage: testOverage, Slack: slack, Now: c.now})
-	b.SetMembers(members)
-	b.SetCaps(caps())
-	return b
+	a := New(Options{Self: self, Boot: boot, Window: testWindow, Overage: testOverage, Slack: slack, Now: c.now})
+	a.SetMembers(members)
+	a.SetCaps(caps())
+	return a
 }
 
 func caps() []wheelgauge.Workspace {
@@ -48,19 +48,19 @@
 	return lease
 }
 
-func shareOfCap(b *Allocator) float64 { return shareOf(b, "w") }
+func shareOfCap(a *Allocator) float64 { return shareOf(a, "w") }
 
-func shareOf(b *Allocator, workspace string) float64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.recompute(b.options.Now())
-	return b.buckets[workspace].share
+func shareOf(a *Allocator, workspace string) float64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.recompute(a.options.Now())
+	return a.buckets[workspace].share
 }
 
-func draw(b *Allocator, units float64) wheelgauge.CapGrant { return drawFrom(b, "w", units) }
+func draw(a *Allocator, units float64) wheelgauge.CapGrant { return drawFrom(a, "w", units) }
 
-func drawFrom(b *Allocator, workspace string, units float64) wheelgauge.CapGrant {
-	return b.Draw(wheelgauge.CapUnitsRequest{Host: "h", Boot: 1, Items: []wheelgauge.CapUnitsItem{{Workspace: workspace, Units: units}}}).Grants[0]
+func drawFrom(a *Allocator, workspace string, units float64) wheelgauge.CapGrant {
+	return a.Draw(wheelgauge.CapUnitsRequest{Host: "h", Boot: 1, Items: []wheelgauge.CapUnitsItem{{Workspace: workspace, Units: units}}}).Grants[0]
 }
 
 // A cap of two requests a second works through any of five stores: it is not divided into
--- a/capallocator/peer.go
+++ b/capallocator/peer.go
@@ -49,8 +49,8 @@
 	return p.demand[workspace]
 }
 
-// maxLent is the largest share that the peer may be using under leases from this store.
-func (p *peer) maxLent(workspace string, now time.Time) float64 {
+// maxLeasedTo is the largest share that the peer may be using under leases from this store.
+func (p *peer) maxLeasedTo(workspace string, now time.Time) float64 {
 	largest := 0.0
 	for _, l := range p.granted {
 		if now.Before(l.expires) {
@@ -60,8 +60,8 @@
 	return largest
 }
 
-// borrowed is the share that the peer has leased to this store.
-func (p *peer) borrowed(workspace string, now time.Time) float64 {
+// leasedFrom is the share that the peer has leased to this store.
+func (p *peer) leasedFrom(workspace string, now time.Time) float64 {
 	if now.Before(p.held.expires) {
 		return p.held.shares[workspace]
 	}
@@ -104,19 +104,19 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.options.Now()
-	n := wheelgauge.CapUpdate{Ready: a.ready(now)}
+	update := wheelgauge.CapUpdate{Ready: a.ready(now)}
 	if p := a.peers[to]; p != nil {
-		n.Lessor, n.LeaseNumber = p.held.lessor, p.held.number
+		update.Lessor, update.LeaseNumber = p.held.lessor, p.held.number
 	}
 	for name, b := range a.buckets {
 		b.refill(now)
 		d := wheelgauge.CapDemand{Workspace: name, Units: int64(b.demand.At(now))}
 		if d.Units > 0 || a.hasRemoteDemand(name, now) {
 			d.Spare = int64(b.available())
-			n.Demands = append(n.Demands, d)
+			update.Demands = append(update.Demands, d)
 		}
 	}
-	return n
+	return update
 }
 
 // hasRemoteDemand reports whether hosts of other stores request units of a workspace's cap.
@@ -149,8 +149,8 @@
 }
 
 // GrantLease applies another store's report and returns the lease granted to it, which holds from
-// when the report was sent. The lender counts the shares as gone for as long from now.
-func (a *Allocator) GrantLease(from string, boot uint64, n wheelgauge.CapUpdate) wheelgauge.CapLease {
+// when the report was sent. The lessor counts the shares as gone for as long from now.
+func (a *Allocator) GrantLease(from string, boot uint64, update wheelgauge.CapUpdate) wheelgauge.CapLease {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.options.Now()
@@ -158,13 +158,13 @@
 	if p.boot != boot {
 		p.restarted(boot)
 	}
-	p.lastReport, p.ready, p.demand, p.spare = now, n.Ready, map[string]float64{}, map[string]float64{}
+	p.lastReport, p.ready, p.demand, p.spare = now, update.Ready, map[string]float64{}, map[string]float64{}
 	p.dropExpired(now)
-	for _, d := range n.Demands {
+	for _, d := range update.Demands {
 		p.demand[d.Workspace], p.spare[d.Workspace] = float64(d.Units), float64(d.Spare)
 	}
-	if n.Lessor == a.options.Boot {
-		p.dropBefore(n.LeaseNumber)
+	if update.Lessor == a.options.Boot {
+		p.dropBefore(update.LeaseNumber)
 		p.confirmed = true
 	}
 	p.lastNumber++
@@ -213,7 +213,7 @@
 	unleased := ownShare
 	for address, other := range a.peers {
 		if address != from {
-			unleased -= other.maxLent(b.name, now)
+			unleased -= other.maxLeasedTo(b.name, now)
 		}
 	}
 	return max(0, min(surplus*peerDeficit/totalDeficit, peerDeficit, unleased))
--- a/capallocator/suspend_test.go
+++ b/capallocator/suspend_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// suspendableClock is the clock of a store whose machine is suspended at times; the steady
-// clock does not count that time.
+// suspendableClock is the clock of a store whose machine is suspended at times; the
+// monotonic clock does not count that time.
 type suspendableClock struct {
 	base      *clock
 	suspended time.Duration
-	steady    bool
+	monotonic bool
 }
 
 func (s *suspendableClock) now() time.Time {
-	if s.steady {
+	if s.monotonic {
 		return s.base.now().Add(-s.suspended)
 	}
 	return s.base.now()
@@ -24,17 +24,17 @@
 // maxShareSum runs stores that are suspended for 3, 10 or 60 s each, one at a time, and
 // returns the largest sum of all shares of a cap. A suspended store does not count, the shares
 // it uses after it resumes do.
-func maxShareSum(seed uint64, steady bool) float64 {
+func maxShareSum(seed uint64, monotonic bool) float64 {
 	r, c := rand.New(rand.NewPCG(seed, 9)), newClock()
 	members := []string{"a", "b", "c"}
 	var stores []*Allocator
 	var clocks []*suspendableClock
 	for _, m := range members {
-		s := &suspendableClock{base: c, steady: steady}
-		b := New(Options{Self: m, Boot: 1, Window: testWindow, Overage: testOverage, Slack: testSlack, Now: s.now})
-		b.SetMembers(members)
-		b.SetCaps(caps())
-		stores, clocks = append(stores, b), append(clocks, s)
+		s := &suspendableClock{base: c, monotonic: monotonic}
+		a := New(Options{Self: m, Boot: 1, Window: testWindow, Overage: testOverage, Slack: testSlack, Now: s.now})
+		a.SetMembers(members)
+		a.SetCaps(caps())
+		stores, clocks = append(stores, a), append(clocks, s)
 	}
 	exchangeAll := func(except int) {
 		for i, from := range stores {
@@ -73,7 +73,7 @@
 }
 
 // A store resumes with shares of 10 s leases that others have been granted since. By the
-// steady clock, which does not count the suspension, the shares of all stores add up to 1.5 of
+// monotonic clock, which does not count the suspension, the shares of all stores add up to 1.5 of
 // the cap; by a clock that counts it they never exceed the cap.
 func TestSuspendedStore(t *testing.T) {
 	worst, before := 0.0, 0.0
--- a/capclient/client.go
+++ b/capclient/client.go
@@ -225,7 +225,7 @@
 }
 
 // draw draws units from one store; ok is false when the store does not answer.
-func (c *Client) draw(parent context.Context, s wheelgauge.StoreEndpoint, workspace string, units float64, moved bool) (g wheelgauge.CapGrant, ok bool) {
+func (c *Client) draw(parent context.Context, s wheelgauge.StoreEndpoint, workspace string, units float64, redirected bool) (g wheelgauge.CapGrant, ok bool) {
 	timeout := farTimeout
 	if s.SameRegion {
 		timeout = nearTimeout
@@ -233,11 +233,11 @@
 	ctx, cancel := context.WithTimeout(parent, timeout)
 	defer cancel()
 	sent := c.options.Now()
-	want := wheelgauge.CapUnitsItem{Workspace: workspace, Units: units}
-	if !s.SameRegion && !moved {
-		want.Prefetch = c.prefetchAmount(workspace)
+	item := wheelgauge.CapUnitsItem{Workspace: workspace, Units: units}
+	if !s.SameRegion && !redirected {
+		item.Prefetch = c.prefetchAmount(workspace)
 	}
-	answer, err := c.options.Draw(ctx, s.Address, wheelgauge.CapUnitsRequest{Host: c.options.Host, Boot: c.options.Boot, Redirected: moved, Items: []wheelgauge.CapUnitsItem{want}})
+	answer, err := c.options.Draw(ctx, s.Address, wheelgauge.CapUnitsRequest{Host: c.options.Host, Boot: c.options.Boot, Redirected: redirected, Items: []wheelgauge.CapUnitsItem{item}})
 	if err != nil || len(answer.Grants) != 1 {
 		// A request whose own deadline has passed says nothing about the store.
 		if parent.Err() == nil {
@@ -246,7 +246,7 @@
 		return g, false
 	}
 	g = answer.Grants[0]
-	if !moved {
+	if !redirected {
 		c.updateStandalone(workspace, g, sent)
 		c.addPrefetched(workspace, s, g.Prefetched)
 	}
--- a/capclient/client_test.go
+++ b/capclient/client_test.go
@@ -156,7 +156,7 @@
 }
 
 // Units of a request that was not run are used for another one until they expire.
-func TestReturn(t *testing.T) {
+func TestRefund(t *testing.T) {
 	tests := []struct {
 		name  string
 		after time.Duration
--- a/capclient/schedule_test.go
+++ b/capclient/schedule_test.go
@@ -266,11 +266,11 @@
 	})
 }
 
-func (s *schedule) takeUnits(ctx context.Context, p *Client, h int, w *workspace, spec *wheelgauge.Workspace, units float64) *wheelgauge.Error {
+func (s *schedule) takeUnits(ctx context.Context, c *Client, h int, w *workspace, spec *wheelgauge.Workspace, units float64) *wheelgauge.Error {
 	if s.take != nil {
 		return s.take(ctx, h, w, units)
 	}
-	return p.Acquire(ctx, spec, units)
+	return c.Acquire(ctx, spec, units)
 }
 
 // generateLoad sends the requests of one host's callers for one workspace.
@@ -331,15 +331,15 @@
 	s.set(func() { s.started = time.Now() })
 	for h := range s.hosts {
 		region := s.regions[h%len(s.regions)]
-		var p *Client
+		var c *Client
 		var boot uint64
 		// The lock is held.
 		client := func() *Client {
-			if b := s.boot(h); p == nil || b != boot {
-				p, boot = s.newClient(h, region, b), b
-				s.clients = append(s.clients, p)
+			if b := s.boot(h); c == nil || b != boot {
+				c, boot = s.newClient(h, region, b), b
+				s.clients = append(s.clients, c)
 			}
-			return p
+			return c
 		}
 		phase := float64(h%len(s.regions)) / float64(len(s.regions))
 		// Regions have their busy hours in turn: load goes from 0.17 to 2.8 times the mean
--- a/confstore/crashes.go
+++ b/confstore/crashes.go
@@ -72,13 +72,13 @@
 // addCrashes adds the crashes of quarantine candidates if they changed, and again once this
 // store knows all that the replica group has persisted. The lowest bit of the version marks
 // that it does not know them yet.
-func (n *Node) addCrashes(a *wheelgauge.FleetHeartbeatResponse, b wheelgauge.FleetHeartbeat) {
+func (n *Node) addCrashes(a *wheelgauge.FleetHeartbeatResponse, hb wheelgauge.FleetHeartbeat) {
 	candidates, version := n.crashes.Candidates()
 	a.CrashesVersion = 2 * version
 	if a.Partial || !a.Connected {
 		a.CrashesVersion++
 	}
-	if b.StoreBoot != n.boot || b.CrashesVersion != a.CrashesVersion {
+	if hb.StoreBoot != n.boot || hb.CrashesVersion != a.CrashesVersion {
 		a.Crashes = candidates
 	}
 }
--- a/confstore/crashes_test.go
+++ b/confstore/crashes_test.go
@@ -14,9 +14,9 @@
 func TestHeartbeatSendsChangedCrashes(t *testing.T) {
 	three := []wheelgauge.Crash{{Fingerprint: "p", Server: "a"}, {Fingerprint: "p", Server: "b"}, {Fingerprint: "p", Server: "c"}}
 	n := &Node{o: Options{Clock: wheelgauge.MonotonicClock{}}, boot: 7, crashes: quarantine.New(time.Now)}
-	respond := func(b wheelgauge.FleetHeartbeat, connected bool) wheelgauge.FleetHeartbeatResponse {
+	respond := func(hb wheelgauge.FleetHeartbeat, connected bool) wheelgauge.FleetHeartbeatResponse {
 		a := wheelgauge.FleetHeartbeatResponse{Connected: connected}
-		n.addCrashes(&a, b)
+		n.addCrashes(&a, hb)
 		return a
 	}
 	n.crashes.Merge(three[:2])
--- a/confstore/heartbeat.go
+++ b/confstore/heartbeat.go
@@ -13,14 +13,14 @@
 
 // serveHeartbeat handles an entry host's heartbeat; false means another path.
 func (n *Node) serveHeartbeat(ctx *fasthttp.RequestCtx) bool {
-	return serve(ctx, heartbeat.Path, func(b wheelgauge.FleetHeartbeat) (wheelgauge.FleetHeartbeatResponse, error) {
+	return serve(ctx, heartbeat.Path, func(hb wheelgauge.FleetHeartbeat) (wheelgauge.FleetHeartbeatResponse, error) {
 		n.meter.Count("beats")
-		n.hosts.RecordHeartbeat(b, time.Duration(b.IntervalMS)*time.Millisecond)
-		n.caps.HostSeen(b.Host.Name, b.Host.Boot)
-		n.crashes.Merge(b.Crashes)
-		n.limits.Merge(b.Limits)
-		n.rolloutController.Take(b.Host.Name, b.Host.Boot, b.Rollouts)
-		return n.heartbeatResponse(b), nil
+		n.hosts.RecordHeartbeat(hb, time.Duration(hb.IntervalMS)*time.Millisecond)
+		n.caps.HostSeen(hb.Host.Name, hb.Host.Boot)
+		n.crashes.Merge(hb.Crashes)
+		n.limits.Merge(hb.Limits)
+		n.rolloutController.Take(hb.Host.Name, hb.Host.Boot, hb.Rollouts)
+		return n.heartbeatResponse(hb), nil
 	})
 }
 
@@ -52,22 +52,22 @@
 	return true
 }
 
-func (n *Node) heartbeatResponse(b wheelgauge.FleetHeartbeat) wheelgauge.FleetHeartbeatResponse {
-	a := n.localResponse(b)
+func (n *Node) heartbeatResponse(hb wheelgauge.FleetHeartbeat) wheelgauge.FleetHeartbeatResponse {
+	a := n.localResponse(hb)
 	a.Connected, a.StoreAddresses = n.replica.LeaderAddress() != "", n.replica.MemberAddresses()
-	if b.Primary {
-		n.addCrashes(&a, b)
+	if hb.Primary {
+		n.addCrashes(&a, hb)
 	}
 	return a
 }
 
 // localResponse returns the heartbeat response without the fields that the replica provides.
-func (n *Node) localResponse(b wheelgauge.FleetHeartbeat) wheelgauge.FleetHeartbeatResponse {
+func (n *Node) localResponse(hb wheelgauge.FleetHeartbeat) wheelgauge.FleetHeartbeatResponse {
 	a := wheelgauge.FleetHeartbeatResponse{StoreBoot: n.boot, Generation: n.machine.State().Generation, Region: n.o.Region, Hall: n.o.Hall}
-	if !b.Primary {
+	if !hb.Primary {
 		return a
 	}
-	sameStore := b.StoreBoot == n.boot // versions count from one start of a store
+	sameStore := hb.StoreBoot == n.boot // versions count from one start of a store
 	hosts, version := n.hosts.Hosts()
 	a.Partial = n.now().Sub(n.started) < warmUpPeriod
 	// The lowest bit marks a partial table, so that hosts get the table again once it is complete.
@@ -75,12 +75,12 @@
 	if a.Partial {
 		a.HostsVersion++
 	}
-	if !sameStore || b.HostsVersion != a.HostsVersion {
+	if !sameStore || hb.HostsVersion != a.HostsVersion {
 		a.Hosts = hosts
 	}
-	n.addServers(&a, b, sameStore)
-	n.addLimits(&a, b)
-	a.ServerUsage = n.hosts.UsageWithout(b.Host.Region, b.Host.Name)
+	n.addServers(&a, hb, sameStore)
+	n.addLimits(&a, hb)
+	a.ServerUsage = n.hosts.UsageWithout(hb.Host.Region, hb.Host.Name)
 	a.Regions = n.regionUses()
 	return a
 }
--- a/confstore/heartbeat_bench_test.go
+++ b/confstore/heartbeat_bench_test.go
@@ -12,7 +12,8 @@
 	"wheelgauge/serverlist"
 )
 
-// newLoadedNode returns a store with hosts and busy servers of three regions, and the heartbeat of its first host.
+// newLoadedNode returns a store with hosts and busy servers of three regions, and the heartbeat
+// of its first host.
 func newLoadedNode(hosts, servers int) (*Node, wheelgauge.FleetHeartbeat) {
 	regions := []string{"north", "south", "west"}
 	n := &Node{o: Options{Clock: wheelgauge.MonotonicClock{}, RegionByHall: map[string]string{}}, machine: configstate.New(), hosts: hosttable.New(time.Now), started: time.Now().Add(-time.Hour)}
@@ -33,7 +34,7 @@
 	}
 	var first wheelgauge.FleetHeartbeat
 	for i := range hosts {
-		b := wheelgauge.FleetHeartbeat{
+		hb := wheelgauge.FleetHeartbeat{
 			Host: wheelgauge.FleetHost{
 				Name: fmt.Sprintf("frontend-north-hall-%d", i), Region: regions[i%3], Hall: regions[i%3] + "-hall",
 				CallerAddress: "10.1.0.17:8144", PeerAddress: "10.1.0.17:7660", Boot: 1 << 60, Ready: true,
@@ -42,10 +43,10 @@
 			ServiceTotals: []wheelgauge.ServiceUsage{{Service: "lm", Running: 40, PrefillTokens: 9000}},
 		}
 		// A host has requests at only some of the region's servers.
-		b.ServerUsage = uses[:min(len(uses), 12)]
-		n.hosts.RecordHeartbeat(b, time.Hour)
+		hb.ServerUsage = uses[:min(len(uses), 12)]
+		n.hosts.RecordHeartbeat(hb, time.Hour)
 		if i == 0 {
-			first = b
+			first = hb
 		}
 	}
 	return n, first
@@ -57,17 +58,17 @@
 	sizes := []struct{ hosts, servers int }{{8, 15}, {58, 68}, {410, 600}}
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("%d_hosts_%d_servers", s.hosts, s.servers), func(b *testing.B) {
-			n, beat := newLoadedNode(s.hosts, s.servers)
+			n, hb := newLoadedNode(s.hosts, s.servers)
 			_, hostsVersion := n.hosts.Hosts()
 			_, serversVersion := n.servers.All()
-			beat.StoreBoot, beat.HostsVersion, beat.ServersVersion = n.boot, 2*hostsVersion, serversVersion
-			request, err := json.Marshal(beat)
+			hb.StoreBoot, hb.HostsVersion, hb.ServersVersion = n.boot, 2*hostsVersion, serversVersion
+			request, err := json.Marshal(hb)
 			if err != nil {
 				b.Fatal(err)
 			}
 			size := 0
 			for b.Loop() {
-				response := n.localResponse(beat)
+				response := n.localResponse(hb)
 				data, err := json.Marshal(response)
 				if err != nil {
 					b.Fatal(err)
--- a/confstore/node.go
+++ b/confstore/node.go
@@ -37,7 +37,8 @@
 
 const (
 	folderReplica = "replica"
-	// servedPrefix marks, in metrics, calls that the store serves; calls that it makes have no prefix.
+	// servedPrefix marks, in metrics, calls that the store serves; calls that it makes have no
+	// prefix.
 	servedPrefix = "served"
 	// voters is the size of the quorum group: five voters survive the loss of two disks at once.
 	voters = 5
@@ -67,12 +68,14 @@
 	// RegionByHall gives the region of each hall.
 	RegionByHall map[string]string
 	Dir          string
-	// PeerAddress is the address of the listener for other stores and hosts, MetricsAddress that of the metrics listener.
+	// PeerAddress is the address of the listener for other stores and hosts, MetricsAddress
+	// that of the metrics listener.
 	PeerAddress    string
 	MetricsAddress string
 	// Seeds are peer addresses of stores; this store may be among them.
 	Seeds []string
-	// Bootstrap is set at the first start of the whole system: the seeds found the replica group.
+	// Bootstrap is set at the first start of the whole system: the seeds form the replica
+	// group.
 	Bootstrap    bool
 	Tick         time.Duration
 	PollInterval time.Duration
@@ -102,7 +105,8 @@
 	meter     *meter.Meter
 	listeners []*httpserve.Server
 	stop      context.CancelFunc
-	// taskResults has one channel for each periodic task; it receives the result when the task ends.
+	// taskResults has one channel for each periodic task; it receives the result when the task
+	// ends.
 	taskResults []chan error
 
 	servers *serverlist.Table
--- a/confstore/peerstores.go
+++ b/confstore/peerstores.go
@@ -29,30 +29,30 @@
 }
 
 // get returns the state of a store, created if needed. The caller holds the lock.
-func (m *peerStores) get(address string) *peerStore {
-	if m.byAddress == nil {
-		m.byAddress = map[string]*peerStore{}
+func (p *peerStores) get(address string) *peerStore {
+	if p.byAddress == nil {
+		p.byAddress = map[string]*peerStore{}
 	}
-	if m.byAddress[address] == nil {
-		m.byAddress[address] = &peerStore{acked: map[string]uint64{}, sentAt: map[string]time.Time{}}
+	if p.byAddress[address] == nil {
+		p.byAddress[address] = &peerStore{acked: map[string]uint64{}, sentAt: map[string]time.Time{}}
 	}
-	return m.byAddress[address]
+	return p.byAddress[address]
 }
 
 // recordUpdate records that a store sent an update.
-func (m *peerStores) recordUpdate(address, region string, now time.Time) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	s := m.get(address)
+func (p *peerStores) recordUpdate(address, region string, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s := p.get(address)
 	s.region, s.lastUpdate = region, now
 }
 
 // beginCall marks the start of a call to a store and returns a copy of its state; false
 // while an earlier call is in progress.
-func (m *peerStores) beginCall(address string) (peerStore, bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	s := m.get(address)
+func (p *peerStores) beginCall(address string) (peerStore, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s := p.get(address)
 	if s.inCall {
 		return peerStore{}, false
 	}
@@ -63,10 +63,10 @@
 }
 
 // endCall marks the end of a call and records which server lists the store has now.
-func (m *peerStores) endCall(address string, sentAt time.Time, parts []wheelgauge.RegionServerList, missing []string, err error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	s := m.get(address)
+func (p *peerStores) endCall(address string, sentAt time.Time, parts []wheelgauge.RegionServerList, missing []string, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s := p.get(address)
 	s.inCall = false
 	for _, part := range parts {
 		if err != nil || slices.Contains(missing, part.Region) {
@@ -81,11 +81,11 @@
 // reader returns the address of the store that reads a region's list: the lowest address
 // of the stores in that region that sent an update since, or of all of them if the region
 // has none. The store itself, self in selfRegion, always counts.
-func (m *peerStores) reader(self, selfRegion, region string, since time.Time) string {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (p *peerStores) reader(self, selfRegion, region string, since time.Time) string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	first, local := self, selfRegion == region
-	for address, s := range m.byAddress {
+	for address, s := range p.byAddress {
 		if s.lastUpdate.Before(since) {
 			continue
 		}
--- a/confstore/permits.go
+++ b/confstore/permits.go
@@ -33,9 +33,9 @@
 }
 
 // addLimits adds the limits that changed since the version that the host has.
-func (n *Node) addLimits(a *wheelgauge.FleetHeartbeatResponse, b wheelgauge.FleetHeartbeat) {
-	since := b.LimitsVersion
-	if b.StoreBoot != n.boot {
+func (n *Node) addLimits(a *wheelgauge.FleetHeartbeatResponse, hb wheelgauge.FleetHeartbeat) {
+	since := hb.LimitsVersion
+	if hb.StoreBoot != n.boot {
 		since = 0 // the version counts from another start of a store
 	}
 	a.Limits, a.LimitsVersion = n.limits.Since(since)
--- a/confstore/rollouts.go
+++ b/confstore/rollouts.go
@@ -41,17 +41,17 @@
 }
 
 // elapsed returns how long a rollout has run.
-func (a *rolloutClock) elapsed(r wheelgauge.Rollout, now time.Time) time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.starts == nil {
-		a.starts = map[string]rolloutStart{}
+func (c *rolloutClock) elapsed(r wheelgauge.Rollout, now time.Time) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.starts == nil {
+		c.starts = map[string]rolloutStart{}
 	}
 	recorded := now.Add(-time.Duration(r.ElapsedMS) * time.Millisecond)
-	s, ok := a.starts[r.Service]
+	s, ok := c.starts[r.Service]
 	if !ok || s.number != r.Number || recorded.Before(s.at) {
 		s = rolloutStart{r.Number, recorded}
-		a.starts[r.Service] = s
+		c.starts[r.Service] = s
 	}
 	return now.Sub(s.at)
 }
--- a/confstore/servers.go
+++ b/confstore/servers.go
@@ -77,12 +77,12 @@
 // addServers adds the server list if it changed, unless the host already has a newer
 // one. Servers of the host's region take its requests; those of other regions may have
 // its prompts cached. The age is that of the list of the host's region.
-func (n *Node) addServers(a *wheelgauge.FleetHeartbeatResponse, b wheelgauge.FleetHeartbeat, sameStore bool) {
+func (n *Node) addServers(a *wheelgauge.FleetHeartbeatResponse, hb wheelgauge.FleetHeartbeat, sameStore bool) {
 	list, version := n.servers.All()
-	current := sameStore && b.ServersVersion == version
-	since, ok := n.servers.Age(b.Host.Region)
+	current := sameStore && hb.ServersVersion == version
+	since, ok := n.servers.Age(hb.Host.Region)
 	age := since.Milliseconds()
-	if !ok || !current && b.ListAgeMS > 0 && age > b.ListAgeMS {
+	if !ok || !current && hb.ListAgeMS > 0 && age > hb.ListAgeMS {
 		return
 	}
 	a.ServersVersion, a.ServersAgeMS = version, age
--- a/confstore/servers_test.go
+++ b/confstore/servers_test.go
@@ -17,7 +17,8 @@
 	"wheelgauge/serverlist"
 )
 
-// The response to a primary heartbeat has the server list unless the host has this list or a newer one.
+// The response to a primary heartbeat has the server list unless the host has this list or a
+// newer one.
 func TestHeartbeatSendsServerList(t *testing.T) {
 	const age = 2 * time.Second
 	tests := []struct {
--- a/contract.go
+++ b/contract.go
@@ -123,7 +123,7 @@
 type StateMachine interface {
 	// Apply executes one committed command and returns its result.
 	Apply(index uint64, command []byte) []byte
-	// Snapshot returns the whole state.
+	// Snapshot returns the complete state.
 	Snapshot() ([]byte, error)
 	// Restore replaces the state.
 	Restore(snapshot []byte) error
--- a/fleet.go
+++ b/fleet.go
@@ -102,7 +102,8 @@
 	Crashes        []Crash `json:"crashes,omitempty"`
 	CrashesVersion uint64  `json:"crashes_at,omitempty"`
 	// Limits are those that servers announced in responses to this host and that this store
-	// has not received yet. LimitsVersion is the version of the limits last received from the store.
+	// has not received yet. LimitsVersion is the version of the limits last received from the
+	// store.
 	Limits        []ServerLimit `json:"limits,omitempty"`
 	LimitsVersion uint64        `json:"limits_at,omitempty"`
 	// Rollouts are the host's reports on rollouts in progress.
@@ -182,7 +183,7 @@
 	// Partial is set while the store has not been up long enough to have received a
 	// heartbeat of every host: hosts that it does not list may exist nevertheless.
 	Partial bool `json:"partial,omitempty"`
-	// Hosts is the whole table of entry hosts, sent when its version changed.
+	// Hosts is the complete table of entry hosts, sent when its version changed.
 	HostsVersion   uint64      `json:"hosts_at,omitempty"`
 	Hosts          []FleetHost `json:"hosts,omitempty"`
 	ServersVersion uint64      `json:"servers_at,omitempty"`
@@ -193,7 +194,8 @@
 	ServerUsage []ServerUsage `json:"uses,omitempty"`
 	// Regions is the load of all regions.
 	Regions []RegionUsage `json:"regions,omitempty"`
-	// Crashes are those of quarantined requests: the whole list, sent when its version changed.
+	// Crashes are those of quarantined requests: the complete list, sent when its version
+	// changed.
 	CrashesVersion uint64  `json:"crashes_at,omitempty"`
 	Crashes        []Crash `json:"crashes,omitempty"`
 	// Limits are those that changed since the version named in the heartbeat.
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -163,7 +163,7 @@
 		fmt.Sprintf("the expected wait for a server is %s", here.Wait.Round(time.Millisecond))).WithRetryAfter(admission.RetryAfter(here.Wait))
 }
 
-// chooseRegion returns the region to forward a request to, by the away policy.
+// chooseRegion returns the region to forward a request to, by the forwarding policy.
 func (g *Gateway) chooseRegion(rq *request, here spillover.RegionState, fits bool, service time.Duration) (string, bool) {
 	var places [maxRegions]spillover.RegionState
 	n := 0
--- a/gateway/deadline.go
+++ b/gateway/deadline.go
@@ -9,7 +9,7 @@
 // suspended returns the total time that the host has been suspended so far.
 func (g *Gateway) suspended() time.Duration { return g.clock.Now().Sub(time.Now()) }
 
-// localDeadline returns the request's deadline on the steady clock, which connections use. It
+// localDeadline returns the request's deadline on the monotonic clock, which connections use. It
 // moves earlier by the time the host was suspended, because the caller's time goes on then.
 func (g *Gateway) localDeadline(rq *request) time.Time {
 	return rq.call.Deadline.Add(rq.suspendedAtStart - g.suspended())
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -95,7 +95,7 @@
 	breakers *circuitbreaker.Breakers
 	// quarantine refuses requests that crash servers.
 	quarantine *quarantine.Table
-	// limits are those that servers have stated; permits enforces them over all hosts of the
+	// limits are those that servers have announced; permits enforces them over all hosts of the
 	// region.
 	limits    *serverlimit.Table
 	permits   wheelgauge.PermitSource
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -51,7 +51,7 @@
 	return limited && rate == row.rate
 }
 
-// openPermits sets up the limits that servers state and the permits for them.
+// openPermits sets up the limits that servers announce and the permits for them.
 func (g *Gateway) openPermits() {
 	g.limits = serverlimit.New(g.clock.Now)
 	g.deferrals.limits = g.limits
@@ -77,8 +77,8 @@
 	}
 }
 
-// pickPermitted picks a server that may get the call. The limit that a server states applies to
-// all hosts of the region together, so a call to it needs a permit.
+// pickPermitted picks a server that may get the call. The limit that a server announces applies
+// to all hosts of the region together, so a call to it needs a permit.
 func (g *Gateway) pickPermitted(ctx context.Context, rq *request, tried []string) (*catalog.Server, bool) {
 	for ctx.Err() == nil && !g.expired(rq) {
 		server, ok := g.pickServer(rq, tried)
@@ -95,7 +95,8 @@
 	return nil, false
 }
 
-// permit takes a permit for a call to a server that has stated a limit; other servers need none.
+// permit takes a permit for a call to a server that has announced a limit; other servers need
+// none.
 func (g *Gateway) permit(ctx context.Context, rq *request, server string) (after time.Duration, ok bool) {
 	if _, limited := g.limits.Rate(server); !limited {
 		return 0, true
--- a/gateway/suspend_test.go
+++ b/gateway/suspend_test.go
@@ -10,8 +10,8 @@
 )
 
 // A request held by a suspended host must not be sent after the host wakes if its deadline has
-// passed. On the steady clock no time has passed meanwhile, so the deadline must be checked on
-// the clock that counts suspended time; the caller may have left long ago.
+// passed. On the monotonic clock no time has passed meanwhile, so the deadline must be checked
+// on the clock that counts suspended time; the caller may have left long ago.
 func TestExpiredRequestIsNotSentAfterSuspend(t *testing.T) {
 	const limit = 10 * time.Second
 	tests := []struct {
@@ -48,7 +48,7 @@
 }
 
 // A call in flight must end at its deadline even if the host was suspended meanwhile. The call's
-// own deadline is on the steady clock, which excludes the suspended time.
+// own deadline is on the monotonic clock, which excludes the suspended time.
 func TestCallInFlightExpiresAfterSuspend(t *testing.T) {
 	const limit = time.Hour
 	g, clock := newTestGateway(t), &suspendclock.Clock{}
--- a/heartbeat/client.go
+++ b/heartbeat/client.go
@@ -219,8 +219,8 @@
 func (c *Client) send(ctx context.Context, s *store, now time.Time) {
 	s.inFlight, s.sentInterval = true, c.interval(s)
 	s.dueAt = now.Add(s.sentInterval)
-	b := c.heartbeat(s)
-	s.sentHost = b.Host
+	hb := c.heartbeat(s)
+	s.sentHost = hb.Host
 	timeout := callTimeout
 	if c.startingUp() {
 		s.dueAt, timeout = now.Add(min(startupInterval, c.options.Interval)), startupTimeout
@@ -233,7 +233,7 @@
 		defer c.group.Done()
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		c.call(ctx, s, b)
+		c.call(ctx, s, hb)
 	}()
 }
 
@@ -249,32 +249,32 @@
 
 // heartbeat builds the message for a store; the lock is held.
 func (c *Client) heartbeat(s *store) wheelgauge.FleetHeartbeat {
-	b := wheelgauge.FleetHeartbeat{Host: c.options.Self(), Primary: s.address == c.primary, IntervalMS: c.interval(s).Milliseconds()}
+	hb := wheelgauge.FleetHeartbeat{Host: c.options.Self(), Primary: s.address == c.primary, IntervalMS: c.interval(s).Milliseconds()}
 	uses, totals := c.options.Usage()
-	b.ServiceTotals = totals
+	hb.ServiceTotals = totals
 	if c.options.Crashes != nil {
-		b.Crashes, s.crashesSent = c.options.Crashes.Since(s.crashesAcked)
+		hb.Crashes, s.crashesSent = c.options.Crashes.Since(s.crashesAcked)
 	}
 	if c.options.Limits != nil {
-		b.Limits, s.limitsSent = c.options.Limits.LocalSince(s.limitsAcked)
+		hb.Limits, s.limitsSent = c.options.Limits.LocalSince(s.limitsAcked)
 	}
 	if c.options.Rollouts != nil {
 		s.rolloutsSent = c.options.Rollouts.Changes()
-		b.Rollouts = c.options.Rollouts.Reports()
+		hb.Rollouts = c.options.Rollouts.Reports()
 	}
-	if b.Primary {
-		b.ServerUsage, b.StoreBoot, b.HostsVersion, b.ServersVersion, b.CrashesVersion, b.LimitsVersion = uses, s.boot, s.hostsVersion, s.serversVersion, s.crashesVersion, s.limitsVersion
+	if hb.Primary {
+		hb.ServerUsage, hb.StoreBoot, hb.HostsVersion, hb.ServersVersion, hb.CrashesVersion, hb.LimitsVersion = uses, s.boot, s.hostsVersion, s.serversVersion, s.crashesVersion, s.limitsVersion
 		if !c.listTime.IsZero() {
-			b.ListAgeMS = max(1, c.now().Sub(c.listTime).Milliseconds())
+			hb.ListAgeMS = max(1, c.now().Sub(c.listTime).Milliseconds())
 		}
 	}
-	return b
+	return hb
 }
 
-func (c *Client) call(ctx context.Context, s *store, b wheelgauge.FleetHeartbeat) {
+func (c *Client) call(ctx context.Context, s *store, hb wheelgauge.FleetHeartbeat) {
 	sentAt, began := c.now(), time.Now()
 	var answer wheelgauge.FleetHeartbeatResponse
-	err := c.options.Client.Call(ctx, http.MethodPost, s.address, Path, b, &answer)
+	err := c.options.Client.Call(ctx, http.MethodPost, s.address, Path, hb, &answer)
 	c.deliverMu.Lock()
 	defer c.deliverMu.Unlock()
 	if err != nil {
@@ -282,9 +282,9 @@
 		return
 	}
 	answer = c.dropOlderList(answer, sentAt)
-	c.recordAnswer(s, b, answer)
+	c.recordAnswer(s, hb, answer)
 	c.options.Receiver.RoundTrip(answer.Region, time.Since(began))
-	c.deliver(b, answer, sentAt)
+	c.deliver(hb, answer, sentAt)
 }
 
 // dropOlderList removes a list of servers from an answer if it is older than the current
@@ -321,7 +321,7 @@
 }
 
 // recordAnswer updates the store from its answer.
-func (c *Client) recordAnswer(s *store, b wheelgauge.FleetHeartbeat, a wheelgauge.FleetHeartbeatResponse) {
+func (c *Client) recordAnswer(s *store, hb wheelgauge.FleetHeartbeat, a wheelgauge.FleetHeartbeatResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s.inFlight, s.longTimeout, s.answeredInterval, s.misses = false, false, s.sentInterval, 0
@@ -332,7 +332,7 @@
 		// The store has restarted and lost what was sent to it before.
 		s.boot, s.hostsVersion, s.serversVersion, s.crashesVersion, s.crashesAcked, s.limitsAcked = a.StoreBoot, 0, 0, 0, 0, 0
 	}
-	if b.Primary {
+	if hb.Primary {
 		s.hostsVersion, s.serversVersion, s.crashesVersion, s.limitsVersion = a.HostsVersion, a.ServersVersion, a.CrashesVersion, a.LimitsVersion
 	}
 	if a.Connected && len(a.StoreAddresses) > 0 {
@@ -369,20 +369,20 @@
 
 // deliver passes an answer to the Receiver: the updates of the primary, and that the state
 // is current.
-func (c *Client) deliver(b wheelgauge.FleetHeartbeat, a wheelgauge.FleetHeartbeatResponse, sentAt time.Time) {
-	n := c.options.Receiver
+func (c *Client) deliver(hb wheelgauge.FleetHeartbeat, a wheelgauge.FleetHeartbeatResponse, sentAt time.Time) {
+	receiver := c.options.Receiver
 	// A store that is cut off from the others may not know of a newer state.
 	if a.Connected && c.current() {
-		n.StateCurrent()
+		receiver.StateCurrent()
 	}
-	if !b.Primary {
+	if !hb.Primary {
 		return
 	}
 	if a.Hosts != nil {
-		n.Hosts(a.Hosts, a.Partial)
+		receiver.Hosts(a.Hosts, a.Partial)
 	}
-	if a.CrashesVersion != b.CrashesVersion || a.StoreBoot != b.StoreBoot {
-		n.Crashes(a.Crashes, a.Partial || !a.Connected)
+	if a.CrashesVersion != hb.CrashesVersion || a.StoreBoot != hb.StoreBoot {
+		receiver.Crashes(a.Crashes, a.Partial || !a.Connected)
 	}
 	if c.options.Limits != nil {
 		c.options.Limits.Merge(a.Limits)
@@ -390,10 +390,10 @@
 	requestedAt := listTime(a, sentAt)
 	switch {
 	case a.Servers != nil:
-		n.Servers(a.Servers, requestedAt)
+		receiver.Servers(a.Servers, requestedAt)
 	case a.ServersVersion > 0:
-		n.ServersUnchanged(requestedAt)
+		receiver.ServersUnchanged(requestedAt)
 	}
-	n.ServerUsage(a.ServerUsage)
-	n.RegionUsage(a.Regions, a.Partial)
+	receiver.ServerUsage(a.ServerUsage)
+	receiver.RegionUsage(a.Regions, a.Partial)
 }
--- a/heartbeat/client_test.go
+++ b/heartbeat/client_test.go
@@ -122,37 +122,37 @@
 	from        string
 }
 
-func (n *recorder) State(s wheelgauge.FleetState) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.generations = append(n.generations, s.Generation)
+func (r *recorder) State(s wheelgauge.FleetState) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.generations = append(r.generations, s.Generation)
 }
-func (n *recorder) Hosts([]wheelgauge.FleetHost, bool) {}
-func (n *recorder) Servers(list []wheelgauge.Server, _ time.Time) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.from = list[0].Instance
+func (r *recorder) Hosts([]wheelgauge.FleetHost, bool) {}
+func (r *recorder) Servers(list []wheelgauge.Server, _ time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.from = list[0].Instance
 }
-func (n *recorder) RoundTrip(string, time.Duration)            {}
-func (n *recorder) StateCurrent()                              {}
-func (n *recorder) ServersUnchanged(time.Time)                 {}
-func (n *recorder) ServerUsage([]wheelgauge.ServerUsage)       {}
-func (n *recorder) RegionUsage([]wheelgauge.RegionUsage, bool) {}
-func (n *recorder) Crashes([]wheelgauge.Crash, bool)           {}
+func (r *recorder) RoundTrip(string, time.Duration)            {}
+func (r *recorder) StateCurrent()                              {}
+func (r *recorder) ServersUnchanged(time.Time)                 {}
+func (r *recorder) ServerUsage([]wheelgauge.ServerUsage)       {}
+func (r *recorder) RegionUsage([]wheelgauge.RegionUsage, bool) {}
+func (r *recorder) Crashes([]wheelgauge.Crash, bool)           {}
 
-func (n *recorder) primary() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.from
+func (r *recorder) primary() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.from
 }
 
-func (n *recorder) states() []uint64 {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return slices.Clone(n.generations)
+func (r *recorder) states() []uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.generations)
 }
 
-func startClient(t *testing.T, n *recorder, leaving *bool, seeds ...*fakeStore) *Client {
+func startClient(t *testing.T, r *recorder, leaving *bool, seeds ...*fakeStore) *Client {
 	t.Helper()
 	var mu sync.Mutex
 	return startWith(t, seeds, Options{
@@ -161,7 +161,7 @@
 			defer mu.Unlock()
 			return wheelgauge.FleetHost{Name: "g", Region: "here", Leaving: leaving != nil && *leaving}
 		},
-		FarInterval: interval, Receiver: n, Log: logr.Discard(),
+		FarInterval: interval, Receiver: r, Log: logr.Discard(),
 	})
 }
 
--- a/hosttable/sums.go
+++ b/hosttable/sums.go
@@ -26,22 +26,22 @@
 // regionLoads maps regions to their load.
 type regionLoads map[string]*load
 
-func (b regionLoads) add(region string, hosts int, uses []wheelgauge.ServiceUsage) {
-	if b[region] == nil {
-		b[region] = &load{services: map[string]wheelgauge.ServiceUsage{}}
+func (l regionLoads) add(region string, hosts int, uses []wheelgauge.ServiceUsage) {
+	if l[region] == nil {
+		l[region] = &load{services: map[string]wheelgauge.ServiceUsage{}}
 	}
-	b[region].add(hosts, uses)
+	l[region].add(hosts, uses)
 }
 
 // serverUsage is what is in flight at each server, by region and instance.
 type serverUsage map[string]map[string]wheelgauge.ServerUsage
 
-func (a serverUsage) add(region string, uses []wheelgauge.ServerUsage) {
-	if a[region] == nil {
-		a[region] = map[string]wheelgauge.ServerUsage{}
+func (s serverUsage) add(region string, uses []wheelgauge.ServerUsage) {
+	if s[region] == nil {
+		s[region] = map[string]wheelgauge.ServerUsage{}
 	}
 	for _, u := range uses {
-		a[region][u.Instance] = a[region][u.Instance].Plus(u)
+		s[region][u.Instance] = s[region][u.Instance].Plus(u)
 	}
 }
 
--- a/hosttable/table.go
+++ b/hosttable/table.go
@@ -69,22 +69,22 @@
 }
 
 // RecordHeartbeat records a heartbeat of a host that sends one every interval.
-func (t *Table) RecordHeartbeat(b wheelgauge.FleetHeartbeat, interval time.Duration) {
+func (t *Table) RecordHeartbeat(hb wheelgauge.FleetHeartbeat, interval time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.entries[b.Host.Name]
-	if e == nil || e.host != b.Host {
+	e := t.entries[hb.Host.Name]
+	if e == nil || e.host != hb.Host {
 		t.version++
 	}
 	if e == nil {
 		e = &entry{}
-		t.entries[b.Host.Name] = e
+		t.entries[hb.Host.Name] = e
 	}
-	if b.Host.Leaving && !e.host.Leaving {
-		t.lastLoss[b.Host.Region] = t.now()
+	if hb.Host.Leaving && !e.host.Leaving {
+		t.lastLoss[hb.Host.Region] = t.now()
 	}
-	e.host, e.lastSeen, e.interval, e.primary = b.Host, t.now(), interval, b.Primary
-	e.totals, e.uses = b.ServiceTotals, b.ServerUsage
+	e.host, e.lastSeen, e.interval, e.primary = hb.Host, t.now(), interval, hb.Primary
+	e.totals, e.uses = hb.ServiceTotals, hb.ServerUsage
 }
 
 // refresh removes hosts that were silent for too long and recomputes the sums, unless these
@@ -146,10 +146,10 @@
 }
 
 // RecordStore records another store's report of the hosts of which it is the primary.
-func (t *Table) RecordStore(n wheelgauge.StoreUpdate) {
+func (t *Table) RecordStore(update wheelgauge.StoreUpdate) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.relays[n.Address] = relayed{receivedAt: t.now(), region: n.Region, loads: n.Loads, uses: n.ServerUsage}
+	t.relays[update.Address] = relayed{receivedAt: t.now(), region: update.Region, loads: update.Loads, uses: update.ServerUsage}
 }
 
 // LocalLoad returns the load of the hosts of which this store is the primary, by region, and
--- a/message.go
+++ b/message.go
@@ -19,8 +19,8 @@
 	HeaderLeaving = "Wheelgauge-Leaving"
 	// The headers below are used on the peer listener only.
 	HeaderForwardedFrom = "Wheelgauge-Forwarded-From"
-	// HeaderMustAccept marks a request that was forwarded because the forwarding region could not take
-	// it. It is admitted even if all slots are taken.
+	// HeaderMustAccept marks a request that was forwarded because the forwarding region could not
+	// take it. It is admitted even if all slots are taken.
 	HeaderMustAccept = "Wheelgauge-Forward-Must"
 	HeaderClient     = "Wheelgauge-Client"
 	HeaderClass      = "Wheelgauge-Class"
@@ -64,8 +64,8 @@
 	Op   ChangeOp `json:"op"`
 	Kind Kind     `json:"kind"`
 	Name string   `json:"name"`
-	// ExpectedGeneration is the resource generation that the operator saw: 0 for a new resource, nil
-	// to accept any.
+	// ExpectedGeneration is the resource generation that the operator saw: 0 for a new resource,
+	// nil to accept any.
 	ExpectedGeneration *uint64         `json:"expected,omitempty"`
 	Spec               json.RawMessage `json:"spec,omitempty"`
 	Operator           string          `json:"operator,omitempty"`
@@ -175,8 +175,8 @@
 	Boot       uint64 `json:"b"`
 	Leaving    bool   `json:"v,omitempty"`
 	Generation uint64 `json:"g"`
-	// Forwardable is the number of requests, by pool, that wait at this host and may be forwarded to
-	// another region.
+	// Forwardable is the number of requests, by pool, that wait at this host and may be
+	// forwarded to another region.
 	Forwardable map[string]int `json:"k,omitempty"`
 	// Servers are the backend servers that this host polls.
 	Servers []ServerStatus `json:"s,omitempty"`
@@ -207,14 +207,14 @@
 	Hosts  int    `json:"h"`
 	// Down lists configured hosts that are dead or leaving.
 	Down []string `json:"d,omitempty"`
-	// Forwardable is the number of requests, by pool, that wait in this region and may be forwarded
-	// to another one.
+	// Forwardable is the number of requests, by pool, that wait in this region and may be
+	// forwarded to another one.
 	Forwardable map[string]int         `json:"k,omitempty"`
 	Pools       map[string]PoolSummary `json:"p,omitempty"`
 	// Crashes are the latest ones recorded by hosts of the region.
 	Crashes []Crash `json:"c,omitempty"`
-	// Unreachable is set by the receiving side when no summary of the region has arrived for several
-	// intervals.
+	// Unreachable is set by the receiving side when no summary of the region has arrived for
+	// several intervals.
 	Unreachable bool `json:"x,omitempty"`
 }
 
@@ -240,8 +240,8 @@
 	// ServerLoads identify servers by number, because load reports make up most of the traffic.
 	ServerLoads []PackedServerStatus `json:"s,omitempty"`
 	Regions     []RegionSummary      `json:"r,omitempty"`
-	// Crashes are those of the requests to quarantine: the whole list, sent when its version
-	// changed.
+	// Crashes are those of the requests to quarantine: the complete list, sent when its
+	// version changed.
 	CrashesVersion uint64  `json:"ca,omitempty"`
 	Crashes        []Crash `json:"c,omitempty"`
 	// Limits are those that changed since the version named in the heartbeat.
@@ -249,32 +249,32 @@
 	Limits        []ServerLimit `json:"l,omitempty"`
 }
 
-// PackedServerStatus is the packed state of a backend server: its number at the hub, its flags,
+// PackedServerStatus is the packed status of a backend server: its number at the hub, its flags,
 // and its running and waiting requests.
 type PackedServerStatus [4]int
 
-// Flags of a packed server state.
+// Flags of a PackedServerStatus.
 const (
 	FlagAlive   = 1
 	FlagLeaving = 2
 )
 
-// PackServerStatus packs the state of the server with the given number.
-func PackServerStatus(number int, e ServerStatus) PackedServerStatus {
+// PackServerStatus packs the status of the server with the given number.
+func PackServerStatus(number int, s ServerStatus) PackedServerStatus {
 	flags := 0
-	if e.Alive {
+	if s.Alive {
 		flags |= FlagAlive
 	}
-	if e.Leaving {
+	if s.Leaving {
 		flags |= FlagLeaving
 	}
-	return PackedServerStatus{number, flags, e.Running, e.Waiting}
+	return PackedServerStatus{number, flags, s.Running, s.Waiting}
 }
 
 // Number returns the number that the hub assigned to the server.
-func (l PackedServerStatus) Number() int { return l[0] }
+func (p PackedServerStatus) Number() int { return p[0] }
 
-// Unpack unpacks the state of the server with the given name and ready models.
-func (l PackedServerStatus) Unpack(name, models string) ServerStatus {
-	return ServerStatus{Server: name, Models: models, Alive: l[1]&FlagAlive != 0, Leaving: l[1]&FlagLeaving != 0, Running: l[2], Waiting: l[3]}
+// Unpack unpacks the status of the server with the given name and ready models.
+func (p PackedServerStatus) Unpack(name, models string) ServerStatus {
+	return ServerStatus{Server: name, Models: models, Alive: p[1]&FlagAlive != 0, Leaving: p[1]&FlagLeaving != 0, Running: p[2], Waiting: p[3]}
 }
--- a/pendingrules/pendingrules.go
+++ b/pendingrules/pendingrules.go
@@ -97,7 +97,8 @@
 	return StoreReport{Store: a.replica.Status().Self.Name, Generation: a.registry.Generation(), Hosts: a.table.List()}
 }
 
-// Reports returns the reports of all stores. The report of a store that does not respond has generation 0.
+// Reports returns the reports of all stores. The report of a store that does not respond
+// has generation 0.
 func (a *Acceptor) Reports(ctx context.Context) []StoreReport {
 	callCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
--- a/quarantine/join.go
+++ b/quarantine/join.go
@@ -15,8 +15,8 @@
 	maxPersisted = 2048
 )
 
-// MergePersisted returns the persisted crashes with updates merged in, and whether anything changed. It
-// changes neither list and is deterministic, so all replicas get the same result.
+// MergePersisted returns the persisted crashes with updates merged in, and whether anything
+// changed. It changes neither list and is deterministic, so all replicas get the same result.
 func MergePersisted(persisted, updates []wheelgauge.Crash) ([]wheelgauge.Crash, bool) {
 	out, changed := persisted, false
 	perRequest := map[wheelgauge.Fingerprint]int{}
@@ -45,8 +45,8 @@
 	return out, changed
 }
 
-// RemoveRequests returns the persisted crashes without those of some requests, and whether there were
-// any.
+// RemoveRequests returns the persisted crashes without those of some requests, and whether
+// there were any.
 func RemoveRequests(persisted []wheelgauge.Crash, requests []wheelgauge.Fingerprint) ([]wheelgauge.Crash, bool) {
 	out := slices.DeleteFunc(slices.Clone(persisted), func(c wheelgauge.Crash) bool { return slices.Contains(requests, c.Fingerprint) })
 	return out, len(out) < len(persisted)
--- a/rollout/controller/controller.go
+++ b/rollout/controller/controller.go
@@ -95,12 +95,12 @@
 
 // Take adds the reports of one instance of a host on all rollouts that it knows to be
 // running.
-func (d *Controller) Take(host string, boot uint64, reports []wheelgauge.RolloutReport) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.now()
+func (c *Controller) Take(host string, boot uint64, reports []wheelgauge.RolloutReport) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.now()
 	for _, r := range reports {
-		t := d.tracker(r.Service, r.Number)
+		t := c.tracker(r.Service, r.Number)
 		if t == nil {
 			continue // report on an earlier rollout
 		}
@@ -119,14 +119,14 @@
 
 // tracker returns the tracker of a rollout, or nil if a later rollout is known. The caller
 // holds the lock.
-func (d *Controller) tracker(service string, number uint64) *tracker {
-	t := d.trackers[service]
+func (c *Controller) tracker(service string, number uint64) *tracker {
+	t := c.trackers[service]
 	if t != nil && t.number > number {
 		return nil
 	}
 	if t == nil || t.number < number {
-		t = &tracker{number: number, evaluator: d.newEvaluator(), hosts: map[string]*hostState{}, targetAnswers: map[string]uint64{}, otherAnswers: map[string]uint64{}}
-		d.trackers[service] = t
+		t = &tracker{number: number, evaluator: c.newEvaluator(), hosts: map[string]*hostState{}, targetAnswers: map[string]uint64{}, otherAnswers: map[string]uint64{}}
+		c.trackers[service] = t
 	}
 	return t
 }
@@ -169,8 +169,8 @@
 	}
 	var out []wheelgauge.ServerFailures
 	for _, f := range faults {
-		b := byServer[f.Server]
-		f.Failures, f.Responses = saturatingSub(f.Failures, b.Failures), saturatingSub(f.Responses, b.Responses)
+		p := byServer[f.Server]
+		f.Failures, f.Responses = saturatingSub(f.Failures, p.Failures), saturatingSub(f.Responses, p.Responses)
 		if f.Failures > 0 || f.Responses > 0 {
 			out = append(out, f)
 		}
@@ -192,15 +192,15 @@
 }
 
 // Decide returns the next step of a rollout.
-func (d *Controller) Decide(r wheelgauge.Rollout, v FleetView) Decision {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	t := d.tracker(r.Service, r.Number)
+func (c *Controller) Decide(r wheelgauge.Rollout, v FleetView) Decision {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	t := c.tracker(r.Service, r.Number)
 	if t == nil || !r.Running() {
 		return Decision{}
 	}
 	verdict := t.evaluator.Evaluate(v.TargetServers)
-	out := Decision{Score: verdict.RegressionScore, Proof: verdict.EquivalenceScore, MinDetectableRate: verdict.DetectableFailureShare, Answers: sum(t.targetAnswers), IncompleteHosts: t.incompleteHosts(v, d.now())}
+	out := Decision{Score: verdict.RegressionScore, Proof: verdict.EquivalenceScore, MinDetectableRate: verdict.DetectableFailureShare, Answers: sum(t.targetAnswers), IncompleteHosts: t.incompleteHosts(v, c.now())}
 	switch {
 	case verdict.Worse:
 		out.Step, out.Cause = RollBack, verdict.Cause
@@ -258,12 +258,12 @@
 }
 
 // Retain drops the state of rollouts that are not running.
-func (d *Controller) Retain(running map[string]uint64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for service, t := range d.trackers {
+func (c *Controller) Retain(running map[string]uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for service, t := range c.trackers {
 		if number, ok := running[service]; ok && t.number < number || !ok {
-			delete(d.trackers, service)
+			delete(c.trackers, service)
 		}
 	}
 }
--- a/rollout/selector/choose.go
+++ b/rollout/selector/choose.go
@@ -11,21 +11,21 @@
 // for the given time. A retry goes to versions that are known to work. The choice is tracked
 // until release is called, which happens once: when the request has ended, or when it is not
 // sent to a server of this region.
-func (l *Selector) Choose(name, route string, expected time.Duration, retry bool) (c wheelgauge.VersionFilter, release func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	s := l.service(name)
-	c = l.choose(s, route, expected, retry)
-	return c, l.trackChoice(s, c)
+func (sel *Selector) Choose(name, route string, expected time.Duration, retry bool) (c wheelgauge.VersionFilter, release func()) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	s := sel.service(name)
+	c = sel.choose(s, route, expected, retry)
+	return c, sel.trackChoice(s, c)
 }
 
 // ChooseFallback returns the versions to use if no server of the chosen version takes the request;
 // ok is false if no other version may serve it. listed reports whether the chosen version has
 // servers in the region.
-func (l *Selector) ChooseFallback(name string, prev wheelgauge.VersionFilter, listed bool) (c wheelgauge.VersionFilter, release func(), ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	s := l.service(name)
+func (sel *Selector) ChooseFallback(name string, prev wheelgauge.VersionFilter, listed bool) (c wheelgauge.VersionFilter, release func(), ok bool) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	s := sel.service(name)
 	version, only := prev.Only()
 	switch {
 	case !only || s.othersClosed && s.rollout.Running() || s.rollout.Version != version:
@@ -35,31 +35,31 @@
 	case s.rollout.State != wheelgauge.RolloutCompleted || listed:
 		return c, nil, false
 	}
-	return c, l.trackChoice(s, c), true
+	return c, sel.trackChoice(s, c), true
 }
 
 // trackChoice counts a choice as open until release is called. The caller holds the lock.
-func (l *Selector) trackChoice(s *service, c wheelgauge.VersionFilter) (release func()) {
+func (sel *Selector) trackChoice(s *service, c wheelgauge.VersionFilter) (release func()) {
 	version, only := c.Only()
 	if !only {
 		version = ""
 	}
 	s.open[version]++
 	return func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
+		sel.mu.Lock()
+		defer sel.mu.Unlock()
 		if s.open[version]--; s.open[version] == 0 {
 			delete(s.open, version)
 		}
 	}
 }
 
-func (l *Selector) choose(s *service, route string, expected time.Duration, retry bool) wheelgauge.VersionFilter {
+func (sel *Selector) choose(s *service, route string, expected time.Duration, retry bool) wheelgauge.VersionFilter {
 	if !s.hasRollout {
 		return wheelgauge.VersionFilter{}
 	}
 	target, others := wheelgauge.OnlyVersion(s.rollout.Version), wheelgauge.ExceptVersion(s.rollout.Version)
-	now := l.options.Now()
+	now := sel.options.Now()
 	switch {
 	case s.rollout.State == wheelgauge.RolloutCompleted && now.After(s.deadline.Add(wheelgauge.OldVersionGracePeriod)):
 		return wheelgauge.VersionFilter{}
@@ -68,17 +68,17 @@
 	case !s.rollout.Running():
 		return others
 	}
-	l.closeOthers(s, now)
+	sel.closeOthers(s, now)
 	switch {
-	case s.othersClosed && !l.allowsTarget(s, now):
+	case s.othersClosed && !sel.allowsTarget(s, now):
 		return wheelgauge.NoVersion() // only until the time limit, which is near
 	case s.othersClosed:
 		return target
-	case retry || now.Sub(l.confirmedAt) > stateLease || !l.allowsTarget(s, now):
+	case retry || now.Sub(sel.confirmedAt) > stateLease || !sel.allowsTarget(s, now):
 		return others
 	case s.rollout.Shifting && !now.Add(expected).Before(s.deadline.Add(-completionMargin)):
 		return target // on another version it would not end in time
-	case l.routeCredit(s, route) >= 1 || l.allowsSlackCanary(s, route, now):
+	case sel.routeCredit(s, route) >= 1 || sel.allowsSlackCanary(s, route, now):
 		return target
 	}
 	return others
@@ -86,20 +86,20 @@
 
 // allowsTarget reports whether one more request may go to the target version: always after
 // the time limit, within this host's share before it.
-func (l *Selector) allowsTarget(s *service, now time.Time) bool {
-	return s.rollout.Shifting && !now.Before(s.deadline) || l.remainingShare(s) >= 1
+func (sel *Selector) allowsTarget(s *service, now time.Time) bool {
+	return s.rollout.Shifting && !now.Before(s.deadline) || sel.remainingShare(s) >= 1
 }
 
 // allowsSlackCanary reports whether a request may be a canary from the slack. These canaries
 // are spread over the rollout's time and go to the routes with the fewest canaries so far.
 // The caller holds the lock.
-func (l *Selector) allowsSlackCanary(s *service, route string, now time.Time) bool {
+func (sel *Selector) allowsSlackCanary(s *service, route string, now time.Time) bool {
 	if !s.sawStart || s.rollout.Shifting || !now.Before(s.deadline) {
 		return false
 	}
 	duration := time.Duration(s.rollout.DurationMS) * time.Millisecond
 	elapsed := 1 - float64(s.deadline.Sub(now))/float64(duration)
-	if l.hostSlack()*elapsed-s.slackUsed < 1 {
+	if sel.hostSlack()*elapsed-s.slackUsed < 1 {
 		return false
 	}
 	for _, sent := range s.canaries {
@@ -111,30 +111,32 @@
 }
 
 // hostSlack returns this host's share of the slack.
-func (l *Selector) hostSlack() float64 { return slackRatio * l.options.Slack / float64(l.hostCount) }
+func (sel *Selector) hostSlack() float64 {
+	return slackRatio * sel.options.Slack / float64(sel.hostCount)
+}
 
 // remainingShare returns how many more requests this host may send to the target version.
-func (l *Selector) remainingShare(s *service) float64 {
-	allowed := usedShareRatio * l.options.Share * float64(s.sent+1)
+func (sel *Selector) remainingShare(s *service) float64 {
+	allowed := usedShareRatio * sel.options.Share * float64(s.sent+1)
 	if s.sawStart {
-		allowed += l.hostSlack()
+		allowed += sel.hostSlack()
 	}
 	return allowed - float64(s.sentTarget)
 }
 
 // closeOthers closes the other versions once this host needs to send nothing to them any
 // more.
-func (l *Selector) closeOthers(s *service, now time.Time) {
+func (sel *Selector) closeOthers(s *service, now time.Time) {
 	if s.othersClosed || !s.rollout.Shifting || s.sent > 0 && s.sentTarget == 0 {
 		return // no server of the target version is known to answer here
 	}
-	unconfirmed := now.Sub(l.confirmedAt)
+	unconfirmed := now.Sub(sel.confirmedAt)
 	switch {
 	case !now.Before(s.deadline):
 		s.othersClosed = unconfirmed <= stateLease || unconfirmed > presumedCompleteAfter
 	case now.Before(s.deadline.Add(-completionMargin)) || unconfirmed > stateLease:
 	default:
 		expected := s.rate.At(now) * s.deadline.Sub(now).Seconds()
-		s.othersClosed = l.remainingShare(s) >= 1+expected+spareDeviations*math.Sqrt(expected+1)
+		s.othersClosed = sel.remainingShare(s) >= 1+expected+spareDeviations*math.Sqrt(expected+1)
 	}
 }
--- a/rollout/selector/report.go
+++ b/rollout/selector/report.go
@@ -9,11 +9,11 @@
 )
 
 // RunningRollouts returns the numbers of the running rollouts by service.
-func (l *Selector) RunningRollouts() map[string]uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (sel *Selector) RunningRollouts() map[string]uint64 {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
 	out := map[string]uint64{}
-	for name, s := range l.services {
+	for name, s := range sel.services {
 		if s.hasRollout && s.rollout.Running() {
 			out[name] = s.rollout.Number
 		}
@@ -23,10 +23,10 @@
 
 // Target returns the target version and the number of the rollout of a service; ok is false
 // if none is running.
-func (l *Selector) Target(name string) (version string, number uint64, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	s := l.services[name]
+func (sel *Selector) Target(name string) (version string, number uint64, ok bool) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	s := sel.services[name]
 	if s == nil || !s.hasRollout || !s.rollout.Running() {
 		return "", 0, false
 	}
@@ -34,16 +34,16 @@
 }
 
 // Reports returns a report on each running rollout, without counts of answers.
-func (l *Selector) Reports() []wheelgauge.RolloutReport {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (sel *Selector) Reports() []wheelgauge.RolloutReport {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
 	var out []wheelgauge.RolloutReport
-	now := l.options.Now()
-	for name, s := range l.services {
+	now := sel.options.Now()
+	for name, s := range sel.services {
 		if !s.hasRollout || !s.rollout.Running() {
 			continue
 		}
-		l.updateComplete(s, now)
+		sel.updateComplete(s, now)
 		out = append(out, wheelgauge.RolloutReport{Service: name, Number: s.rollout.Number, Sent: s.sent, SentTarget: s.sentTarget, Complete: s.reportedComplete})
 	}
 	slices.SortFunc(out, func(a, b wheelgauge.RolloutReport) int { return cmp.Compare(a.Service, b.Service) })
@@ -65,23 +65,23 @@
 }
 
 // updateComplete updates whether this host is complete. The caller holds the lock.
-func (l *Selector) updateComplete(s *service, now time.Time) {
-	l.closeOthers(s, now)
+func (sel *Selector) updateComplete(s *service, now time.Time) {
+	sel.closeOthers(s, now)
 	if complete := s.complete(); complete != s.reportedComplete {
 		s.reportedComplete = complete
-		l.changes++
+		sel.changes++
 	}
 }
 
 // Changes returns a number that grows when this host should report to the stores at once.
-func (l *Selector) Changes() uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.options.Now()
-	for _, s := range l.services {
+func (sel *Selector) Changes() uint64 {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	now := sel.options.Now()
+	for _, s := range sel.services {
 		if s.hasRollout && s.rollout.Running() {
-			l.updateComplete(s, now)
+			sel.updateComplete(s, now)
 		}
 	}
-	return l.changes
+	return sel.changes
 }
--- a/rollout/selector/selector.go
+++ b/rollout/selector/selector.go
@@ -105,26 +105,26 @@
 }
 
 // SetHosts sets how many hosts divide the slack.
-func (l *Selector) SetHosts(count int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.hostCount = max(1, count)
+func (sel *Selector) SetHosts(count int) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	sel.hostCount = max(1, count)
 }
 
 // SetRollouts applies the rollouts of the state in force, with the time elapsed of each.
-func (l *Selector) SetRollouts(rollouts []wheelgauge.Rollout) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.options.Now()
+func (sel *Selector) SetRollouts(rollouts []wheelgauge.Rollout) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	now := sel.options.Now()
 	for _, r := range rollouts {
-		s := l.service(r.Service)
+		s := sel.service(r.Service)
 		if !s.hasRollout || s.rollout.Number != r.Number {
 			s.reset(r)
 		}
 		s.hasRollout, s.rollout = true, r
 		s.deadline = now.Add(r.Left())
 	}
-	l.confirmedAt = now
+	sel.confirmedAt = now
 }
 
 // reset clears the counts of an earlier rollout.
@@ -136,28 +136,28 @@
 }
 
 // ConfirmState records that no newer state is known now.
-func (l *Selector) ConfirmState() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.confirmedAt = l.options.Now()
+func (sel *Selector) ConfirmState() {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	sel.confirmedAt = sel.options.Now()
 }
 
 // service returns the state of a service, creating it if needed. The caller holds the lock.
-func (l *Selector) service(name string) *service {
-	s := l.services[name]
+func (sel *Selector) service(name string) *service {
+	s := sel.services[name]
 	if s == nil {
 		s = &service{open: map[string]int{}}
-		l.services[name] = s
+		sel.services[name] = s
 	}
 	return s
 }
 
 // routeCredit returns the credit of a route. The initial value is spread over 0 to 1 by a
 // hash, so that hosts with few requests neither all start late nor all start at once.
-func (l *Selector) routeCredit(s *service, route string) float64 {
+func (sel *Selector) routeCredit(s *service, route string) float64 {
 	credit, ok := s.credit[route]
 	if !ok {
-		hash := rendezvous.Score(rendezvous.Hash(l.options.Host)+s.rollout.Number, rendezvous.Hash(route))
+		hash := rendezvous.Score(rendezvous.Hash(sel.options.Host)+s.rollout.Number, rendezvous.Hash(route))
 		credit = float64(hash) / math.MaxUint64
 		s.credit[route] = credit
 	}
@@ -165,22 +165,22 @@
 }
 
 // RecordSent counts a request of a route that is sent to a server of a version.
-func (l *Selector) RecordSent(name, route, version string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if s := l.service(name); s.hasRollout && s.rollout.Running() {
-		l.countSent(s, route, version)
+func (sel *Selector) RecordSent(name, route, version string) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	if s := sel.service(name); s.hasRollout && s.rollout.Running() {
+		sel.countSent(s, route, version)
 	}
 }
 
-func (l *Selector) countSent(s *service, route, version string) {
+func (sel *Selector) countSent(s *service, route, version string) {
 	s.sent++
-	s.rate.Add(1, l.options.Now())
+	s.rate.Add(1, sel.options.Now())
 	ratio := canaryRatio
 	if s.rollout.Shifting {
 		ratio = shiftingCanaryRatio
 	}
-	credit := min(maxCredit, l.routeCredit(s, route)+ratio*l.options.Share)
+	credit := min(maxCredit, sel.routeCredit(s, route)+ratio*sel.options.Share)
 	s.canaries[route] += 0 // makes the route known to allowsSlackCanary
 	if version == s.rollout.Version {
 		s.sentTarget++
--- a/routegate/call.go
+++ b/routegate/call.go
@@ -224,10 +224,10 @@
 	return max(minOverloadRetryAfter, c.gate.limitRetries.next(c.service, c.gate.options.Clock.Now(), earliest, latest))
 }
 
-// refuse answers with an error. Unused cap units are returned first, as the caller may retry
+// refuse answers with an error. Unused cap units are refunded first, as the caller may retry
 // as soon as it has read the answer.
 func (c *call) refuse(e *wheelgauge.Error) {
-	c.returnCapUnits()
+	c.refundCapUnits()
 	c.status = e.Status()
 	if c.cause == "" {
 		c.cause = string(e.Reason())
@@ -245,9 +245,9 @@
 	c.request.Abort()
 }
 
-// close returns unused cap units, and records and logs the result of the request.
+// close refunds unused cap units, and records and logs the result of the request.
 func (c *call) close() {
-	c.returnCapUnits()
+	c.refundCapUnits()
 	g := c.gate
 	elapsed := time.Since(c.started)
 	name := "none"
--- a/routegate/caps.go
+++ b/routegate/caps.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// returnCapUnits returns units that were taken for a request that did not run.
-func (c *call) returnCapUnits() {
+// refundCapUnits gives back units that were taken for a request that did not run.
+func (c *call) refundCapUnits() {
 	if c.capUnits > 0 {
 		c.gate.options.Caps.Refund(c.workspace, c.capUnits)
 		c.capUnits = 0
--- a/routegate/caps_test.go
+++ b/routegate/caps_test.go
@@ -11,11 +11,11 @@
 	"wheelgauge/routetable"
 )
 
-// fakeLimiter allows a number of requests, and sums the units taken and returned.
+// fakeLimiter allows a number of requests, and sums the units taken and refunded.
 type fakeLimiter struct {
 	mu        sync.Mutex
 	remaining int
-	blocks    bool // no store answers: Take waits until the context ends
+	blocks    bool // no store answers: Acquire waits until the context ends
 	taken     float64
 	returned  float64
 }
@@ -35,17 +35,17 @@
 	return nil
 }
 
-// returnPause lets an answer that does not wait for Return arrive before it.
-const returnPause = 20 * time.Millisecond
+// refundPause lets an answer that does not wait for Refund arrive before it.
+const refundPause = 20 * time.Millisecond
 
 func (l *fakeLimiter) Refund(_ *wheelgauge.Workspace, units float64) {
-	time.Sleep(returnPause)
+	time.Sleep(refundPause)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.returned += units
 }
 
-// Checks which units a request takes from the cap of its workspace, and which are returned by
+// Checks which units a request takes from the cap of its workspace, and which are refunded by
 // the time the caller reads the answer: a caller that retries at once must find them there.
 func TestCapUnits(t *testing.T) {
 	const headers = "Wheelgauge-Key: capped-key\r\nWheelgauge-Tokens: 900,100\r\n"
--- a/routegate/place.go
+++ b/routegate/place.go
@@ -38,24 +38,24 @@
 	local, ok := c.predictLocal()
 	wait := c.gate.waits.correct(c.route.Name, local.Wait())
 	region, remote := c.bestRemote(ok)
-	away := region != "" && (!ok || remote.Cost() < local.Cost()+c.excess(wait-local.Wait()) || c.tooLate(wait))
-	if away && c.gate.mayOutlastProcess(c.route.Name, c.route.Timeout, c.gate.options.Peers.RoundTrip(region)) {
+	forward := region != "" && (!ok || remote.Cost() < local.Cost()+c.excess(wait-local.Wait()) || c.tooLate(wait))
+	if forward && c.gate.mayOutlastProcess(c.route.Name, c.route.Timeout, c.gate.options.Peers.RoundTrip(region)) {
 		if !ok {
 			return placement{leaving: true}
 		}
-		away = false
+		forward = false
 	}
-	if away {
+	if forward {
 		wait = remote.Wait()
 	}
 	switch {
-	case !ok && !away:
+	case !ok && !forward:
 		return placement{}
 	case c.tooLate(wait):
 		c.predictedWait = wait
 		return placement{tooLate: true}
 	}
-	if away {
+	if forward {
 		if p := c.peer(region); p != nil {
 			c.predictedWait = wait
 			return placement{peer: p}
--- a/routegate/pushback_test.go
+++ b/routegate/pushback_test.go
@@ -155,8 +155,8 @@
 // permitHook grants every permit at once, after a callback.
 type permitHook func()
 
-func (w permitHook) Acquire(context.Context, string, time.Duration) (time.Duration, bool) {
-	w()
+func (h permitHook) Acquire(context.Context, string, time.Duration) (time.Duration, bool) {
+	h()
 	return 0, true
 }
 
--- a/routegate/suspend_test.go
+++ b/routegate/suspend_test.go
@@ -22,9 +22,9 @@
 	duration time.Duration
 }
 
-func (n *suspendingLimiter) Acquire(ctx context.Context, w *wheelgauge.Workspace, units float64) *wheelgauge.Error {
-	n.clock.Suspend(n.duration)
-	return n.fakeLimiter.Acquire(ctx, w, units)
+func (l *suspendingLimiter) Acquire(ctx context.Context, w *wheelgauge.Workspace, units float64) *wheelgauge.Error {
+	l.clock.Suspend(l.duration)
+	return l.fakeLimiter.Acquire(ctx, w, units)
 }
 
 // A request that expires while the host is suspended is not sent. Computed without the
--- a/routes.go
+++ b/routes.go
@@ -82,7 +82,8 @@
 // on both sides of the relay.
 const MaxSlowConnBytes = 160 << 10
 
-// CallerLimits bounds the size of a caller's request and the time that the caller may take to send it.
+// CallerLimits bounds the size of a caller's request and the time that the caller may take
+// to send it.
 type CallerLimits struct {
 	MaxHeaderBytes int           `json:"header_bytes"`
 	MaxBodyBytes   int           `json:"body_bytes"`
--- a/serverset/backoff_simulation_test.go
+++ b/serverset/backoff_simulation_test.go
@@ -47,7 +47,8 @@
 // backoffServer is a simulated server.
 type backoffServer struct {
 	spec wheelgauge.Server
-	// overloadedUntil is until when it rejects requests, maxBackoff the longest backoff it asks for.
+	// overloadedUntil is until when it rejects requests, maxBackoff the longest backoff it asks
+	// for.
 	overloadedUntil time.Time
 	maxBackoff      time.Duration
 	// leaving is set once its answers announce its leaving, listed while it is on the list.
--- a/serverset/limit.go
+++ b/serverset/limit.go
@@ -7,7 +7,7 @@
 
 // LimitFunc returns the limit that an instance of a server has announced, in requests per
 // second; ok is false without one.
-type LimitFunc func(life string) (rate float64, ok bool)
+type LimitFunc func(instanceKey string) (rate float64, ok bool)
 
 // SetLimits sets the function that returns the limits announced by servers.
 func (t *Table) SetLimits(lookup LimitFunc) {
@@ -31,7 +31,7 @@
 	if t.limitOf == nil {
 		return 0, true // nothing would show that the limit ended
 	}
-	return t.limitOf(s.life)
+	return t.limitOf(s.instanceKey)
 }
 
 // hasLimit reports whether a server has announced a limit.
@@ -39,7 +39,7 @@
 	if t.limitOf == nil {
 		return false
 	}
-	_, limited := t.limitOf(s.life)
+	_, limited := t.limitOf(s.instanceKey)
 	return limited
 }
 
--- a/serverset/limit_test.go
+++ b/serverset/limit_test.go
@@ -76,7 +76,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			tb, c, _ := newTestTable(plain, 6)
-			tb.SetLimits(func(life string) (float64, bool) { return rate, life == limitedInstance })
+			tb.SetLimits(func(instanceKey string) (float64, bool) { return rate, instanceKey == limitedInstance })
 			job := NewJob(plain, prompt.Prompt{}, 0, nil)
 			for range 6 {
 				k := tb.Choose(job)
@@ -183,7 +183,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			tb, c, _ := newTestTable(plain, 6)
 			limited := false
-			tb.SetLimits(func(life string) (float64, bool) { return 0.4, limited && life == server })
+			tb.SetLimits(func(instanceKey string) (float64, bool) { return 0.4, limited && instanceKey == server })
 			job := NewJob(plain, prompt.Prompt{}, 0, nil)
 			for range 20 {
 				for n := range 6 {
@@ -217,15 +217,15 @@
 	}
 }
 
-// chooseInstance chooses a server by its life.
-func chooseInstance(t *testing.T, tb *Table, job Job, life string) *Pick {
+// chooseInstance chooses a server by its instance key.
+func chooseInstance(t *testing.T, tb *Table, job Job, instanceKey string) *Pick {
 	t.Helper()
 	for {
 		k := tb.Choose(job)
 		if k == nil {
-			t.Fatalf("%s is not available", life)
+			t.Fatalf("%s is not available", instanceKey)
 		}
-		if k.Server().InstanceKey() == life {
+		if k.Server().InstanceKey() == instanceKey {
 			return k
 		}
 		job.tried = append(job.tried, k.Server().Instance())
--- a/serverset/mixed_load_test.go
+++ b/serverset/mixed_load_test.go
@@ -21,60 +21,60 @@
 }
 
 func newMixedSim(seed uint64, hosts, engineCount int) *mixedSim {
-	p := &mixedSim{engines: map[string]*stepEngine{}}
+	sim := &mixedSim{engines: map[string]*stepEngine{}}
 	var list []wheelgauge.Server
 	for i := range engineCount {
 		s := wheelgauge.Server{Instance: fmt.Sprint("e", i), Service: engines, Address: fmt.Sprint("127.0.0.1:", i+1), Hall: fmt.Sprint("h", i%2), Slots: stepSlots}
 		list = append(list, s)
-		p.engines[s.Instance] = &stepEngine{slow: 1}
+		sim.engines[s.Instance] = &stepEngine{slow: 1}
 	}
-	p.start(seed, hosts, list)
-	return p
+	sim.start(seed, hosts, list)
+	return sim
 }
 
 // lognormal draws a size with a mean, a spread and an upper bound.
-func (p *mixedSim) lognormal(mean, spread, most float64) float64 {
-	return min(most, mean*math.Exp(spread*p.random.NormFloat64()-spread*spread/2))
+func (sim *mixedSim) lognormal(mean, spread, most float64) float64 {
+	return min(most, mean*math.Exp(spread*sim.random.NormFloat64()-spread*spread/2))
 }
 
-func (p *mixedSim) short(host int) {
-	own := p.lognormal(1800, 1.1, 6900)
-	p.send(host, 0, fmt.Sprintf("sys:340,s%d:230", p.random.IntN(2000)), own, 20, &p.shorts)
+func (sim *mixedSim) short(host int) {
+	own := sim.lognormal(1800, 1.1, 6900)
+	sim.send(host, 0, fmt.Sprintf("sys:340,s%d:230", sim.random.IntN(2000)), own, 20, &sim.shorts)
 }
 
-func (p *mixedSim) long(host int) {
-	own := p.lognormal(6600, 1.1, 54600)
-	p.send(host, 1, fmt.Sprintf("sys:510,l%d:4900", p.random.IntN(1900)), own, 380, &p.longs)
+func (sim *mixedSim) long(host int) {
+	own := sim.lognormal(6600, 1.1, 54600)
+	sim.send(host, 1, fmt.Sprintf("sys:510,l%d:4900", sim.random.IntN(1900)), own, 380, &sim.longs)
 }
 
 // send dispatches a request. Shared parts are prefilled unless the table predicts them to be
 // cached.
-func (p *mixedSim) send(host, rank int, shared string, own float64, output int, firstEventTimes *[]time.Duration) {
-	p.count++
-	pr := prompt.Parse(fmt.Sprintf("%s,own%d:%d", shared, p.count, int(own)), fmt.Sprintf("%d,%d", int(own)+600, output), "")
-	k := p.hosts[host].Choose(NewJob(engines, pr, rank, nil))
-	e := p.engines[k.Server().Instance()]
+func (sim *mixedSim) send(host, rank int, shared string, own float64, output int, firstEventTimes *[]time.Duration) {
+	sim.count++
+	pr := prompt.Parse(fmt.Sprintf("%s,own%d:%d", shared, sim.count, int(own)), fmt.Sprintf("%d,%d", int(own)+600, output), "")
+	k := sim.hosts[host].Choose(NewJob(engines, pr, rank, nil))
+	e := sim.engines[k.Server().Instance()]
 	unread := float64(k.MissingTokens())
 	if k.Source() != "" {
 		unread = own // the rest is fetched
 	}
-	arrivedAt := p.at
+	arrivedAt := sim.at
 	e.waiting = append(e.waiting, &stepRequest{
 		rank: rank, unread: unread, want: output,
 		first: func() {
 			k.FirstEvent()
-			*firstEventTimes = append(*firstEventTimes, p.at.Sub(arrivedAt))
+			*firstEventTimes = append(*firstEventTimes, sim.at.Sub(arrivedAt))
 		},
 		last: func() { k.Done(Served) },
 	})
 	if !e.busy {
-		e.step(p.after)
+		e.step(sim.after)
 	}
 }
 
 // simulateMixed simulates requests at rates per second, and returns the shares whose first
 // event comes in time: short ones within 600 ms, long ones within 800 ms.
-func simulateMixed(shortRate, longRate float64, change func(p *mixedSim)) (short, long float64) {
+func simulateMixed(shortRate, longRate float64, change func(sim *mixedSim)) (short, long float64) {
 	const (
 		hostCount   = 32
 		engineCount = 56
@@ -83,14 +83,14 @@
 	)
 	var shorts, longs []time.Duration
 	for _, seed := range []uint64{1, 2, 3} {
-		p := newMixedSim(seed, hostCount, engineCount)
-		change(p)
-		p.scheduleArrivals(shortRate, p.short)
-		p.scheduleArrivals(longRate, p.long)
-		p.run(warmUp)
-		p.shorts, p.longs = nil, nil
-		p.run(playTime)
-		shorts, longs = append(shorts, p.shorts...), append(longs, p.longs...)
+		sim := newMixedSim(seed, hostCount, engineCount)
+		change(sim)
+		sim.scheduleArrivals(shortRate, sim.short)
+		sim.scheduleArrivals(longRate, sim.long)
+		sim.run(warmUp)
+		sim.shorts, sim.longs = nil, nil
+		sim.run(playTime)
+		shorts, longs = append(shorts, sim.shorts...), append(longs, sim.longs...)
 	}
 	return inTime(shorts, 600*time.Millisecond), inTime(longs, 800*time.Millisecond)
 }
@@ -125,9 +125,9 @@
 // and only 0.977 of the short requests come in time.
 func TestSlowEnginesGetLessWork(t *testing.T) {
 	const leastShort, leastLong = 0.985, 0.88
-	short, long := simulateMixed(900, 195, func(p *mixedSim) {
+	short, long := simulateMixed(900, 195, func(sim *mixedSim) {
 		for i := range 7 {
-			p.engines[fmt.Sprint("e", 8*i)].slow = 5
+			sim.engines[fmt.Sprint("e", 8*i)].slow = 5
 		}
 	})
 	t.Logf("%.3f of short requests and %.3f of long ones in time", short, long)
--- a/serverset/pick.go
+++ b/serverset/pick.go
@@ -147,14 +147,14 @@
 }
 
 func (t *Table) allowCold(s *Server, take bool) bool {
-	l := t.serviceConfig(s.spec.Service)
-	if l == nil || l.ColdRate <= 0 {
+	config := t.serviceConfig(s.spec.Service)
+	if config == nil || config.ColdRate <= 0 {
 		return true
 	}
 	if !take {
-		return t.coldRates.IsHolder(s.spec.Instance, t.place.Host, t.place.Advertised)
+		return t.coldRates.IsHolder(s.spec.Instance, t.place.Host, t.place.Announced)
 	}
-	return t.coldRates.Take(s.spec.Instance, t.place.Host, t.place.Advertised, l.ColdRate)
+	return t.coldRates.Take(s.spec.Instance, t.place.Host, t.place.Announced, config.ColdRate)
 }
 
 // evaluate predicts the wait at a server, and scores the choice by its cost to this
@@ -307,8 +307,8 @@
 
 // isEngine reports whether a server is a model engine; the lock is held.
 func (t *Table) isEngine(s *Server) bool {
-	l := t.serviceConfig(s.spec.Service)
-	return l != nil && l.KVCacheTokens > 0
+	config := t.serviceConfig(s.spec.Service)
+	return config != nil && config.KVCacheTokens > 0
 }
 
 // Outcome is how a dispatch ended.
--- a/serverset/pushback.go
+++ b/serverset/pushback.go
@@ -74,7 +74,7 @@
 // listedEntry returns the listed entry of the same instance: the instance may have been off
 // the list since it was chosen. The lock is held.
 func (t *Table) listedEntry(s *Server) *Server {
-	if listed := t.servers[s.instance]; listed != nil && listed.life == s.life {
+	if listed := t.servers[s.instance]; listed != nil && listed.instanceKey == s.instanceKey {
 		return listed
 	}
 	return s
@@ -124,22 +124,22 @@
 // savePushback saves the pushback of an instance that leaves the list. The lock is held.
 func (t *Table) savePushback(s *Server) {
 	if !s.pushback.Expired(t.now()) {
-		t.unlistedPushbacks[s.life] = s.pushback
+		t.unlistedPushbacks[s.instanceKey] = s.pushback
 	}
 }
 
 // takePushback removes and returns the saved pushback of an instance. The lock is held.
-func (t *Table) takePushback(life string) pushback.State {
-	state := t.unlistedPushbacks[life]
-	delete(t.unlistedPushbacks, life)
+func (t *Table) takePushback(instanceKey string) pushback.State {
+	state := t.unlistedPushbacks[instanceKey]
+	delete(t.unlistedPushbacks, instanceKey)
 	return state
 }
 
 // prunePushbacks drops pushbacks that are over. The lock is held.
 func (t *Table) prunePushbacks() {
-	for life, state := range t.unlistedPushbacks {
+	for instanceKey, state := range t.unlistedPushbacks {
 		if state.Expired(t.now()) {
-			delete(t.unlistedPushbacks, life)
+			delete(t.unlistedPushbacks, instanceKey)
 		}
 	}
 }
--- a/serverset/server.go
+++ b/serverset/server.go
@@ -38,12 +38,12 @@
 )
 
 // Server is one backend server as seen by this host. The lock of its table guards it,
-// except for instance, address, startMS, life and pool, which never change.
+// except for instance, address, startMS, instanceKey and pool, which never change.
 type Server struct {
-	instance string
-	address  string
-	startMS  int64
-	life     string
+	instance    string
+	address     string
+	startMS     int64
+	instanceKey string
 	// spec is the server's entry in the latest list.
 	spec wheelgauge.Server
 	// firstSeen is when this host first listed the server; versionListedAt is when its version
@@ -103,7 +103,7 @@
 
 func newServer(spec wheelgauge.Server, conns int, now func() time.Time) *Server {
 	return &Server{
-		instance: spec.Instance, address: spec.Address, startMS: spec.StartUnixMS, life: spec.InstanceKey(),
+		instance: spec.Instance, address: spec.Address, startMS: spec.StartUnixMS, instanceKey: spec.InstanceKey(),
 		spec: spec, hash: rendezvous.Hash(spec.Instance), pool: serverconn.New(spec.Address, conns, serverconn.SameRegion(now)),
 		cachedParts: map[uint64]time.Time{}, firstSeen: now(),
 	}
@@ -119,7 +119,7 @@
 func (s *Server) StartUnixMS() int64 { return s.startMS }
 
 // InstanceKey identifies this instance of the server by its name and start.
-func (s *Server) InstanceKey() string { return s.life }
+func (s *Server) InstanceKey() string { return s.instanceKey }
 
 // Pool returns the connections to the server.
 func (s *Server) Pool() *serverconn.Pool { return s.pool }
--- a/serverset/simulation_test.go
+++ b/serverset/simulation_test.go
@@ -66,37 +66,37 @@
 )
 
 // start creates hosts that know the listed servers.
-func (p *simulation) start(seed uint64, hosts int, list []wheelgauge.Server) {
-	*p = simulation{clock: clock{at: time.Unix(1000, 0)}, random: rand.New(rand.NewPCG(seed, 1))}
+func (sim *simulation) start(seed uint64, hosts int, list []wheelgauge.Server) {
+	*sim = simulation{clock: clock{at: time.Unix(1000, 0)}, random: rand.New(rand.NewPCG(seed, 1))}
 	for i := range hosts {
-		tb := New(Place{Host: fmt.Sprint("a", i), Hall: list[i%len(list)].Hall}, testServiceConfig, p.now)
-		tb.Update(list, p.at)
-		p.hosts = append(p.hosts, tb)
-		p.reported = append(p.reported, nil)
-		p.after(time.Duration(p.random.Int64N(int64(heartbeatInterval))), func() { p.heartbeat(i) })
+		tb := New(Place{Host: fmt.Sprint("a", i), Hall: list[i%len(list)].Hall}, testServiceConfig, sim.now)
+		tb.Update(list, sim.at)
+		sim.hosts = append(sim.hosts, tb)
+		sim.reported = append(sim.reported, nil)
+		sim.after(time.Duration(sim.random.Int64N(int64(heartbeatInterval))), func() { sim.heartbeat(i) })
 	}
 }
 
-func (p *simulation) after(d time.Duration, do func()) {
-	heap.Push(&p.queue, event{at: p.at.Add(d), do: do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	heap.Push(&sim.queue, event{at: sim.at.Add(d), do: do})
 }
 
 // run advances the simulation by d.
-func (p *simulation) run(d time.Duration) {
-	until := p.at.Add(d)
-	for len(p.queue) > 0 && p.queue[0].at.Before(until) {
-		e := heap.Pop(&p.queue).(event)
-		p.at = e.at
+func (sim *simulation) run(d time.Duration) {
+	until := sim.at.Add(d)
+	for len(sim.queue) > 0 && sim.queue[0].at.Before(until) {
+		e := heap.Pop(&sim.queue).(event)
+		sim.at = e.at
 		e.do()
 	}
-	p.at = until
+	sim.at = until
 }
 
 // heartbeat reports what a host has in flight, and gives the host what all others reported last.
-func (p *simulation) heartbeat(host int) {
-	p.reported[host], _ = p.hosts[host].Uses()
+func (sim *simulation) heartbeat(host int) {
+	sim.reported[host], _ = sim.hosts[host].Uses()
 	sums := map[string]wheelgauge.ServerUsage{}
-	for i, uses := range p.reported {
+	for i, uses := range sim.reported {
 		for _, u := range uses {
 			if i != host {
 				was := sums[u.Instance]
@@ -104,47 +104,47 @@
 			}
 		}
 	}
-	p.hosts[host].SetUses(slices.Collect(maps.Values(sums)))
-	p.after(heartbeatInterval, func() { p.heartbeat(host) })
+	sim.hosts[host].SetUses(slices.Collect(maps.Values(sums)))
+	sim.after(heartbeatInterval, func() { sim.heartbeat(host) })
 }
 
 // scheduleArrivals lets requests arrive at a rate per second.
-func (p *simulation) scheduleArrivals(rate float64, send func(host int)) {
-	p.after(time.Duration(p.random.ExpFloat64()/rate*float64(time.Second)), func() {
-		send(p.random.IntN(len(p.hosts)))
-		p.scheduleArrivals(rate, send)
+func (sim *simulation) scheduleArrivals(rate float64, send func(host int)) {
+	sim.after(time.Duration(sim.random.ExpFloat64()/rate*float64(time.Second)), func() {
+		send(sim.random.IntN(len(sim.hosts)))
+		sim.scheduleArrivals(rate, send)
 	})
 }
 
 func newPoolSim(seed uint64, hosts, servers int) *poolSim {
-	p := &poolSim{}
+	sim := &poolSim{}
 	var list []wheelgauge.Server
 	for i := range servers {
 		list = append(list, wheelgauge.Server{Instance: fmt.Sprint("i", i), Service: plain, Address: "127.0.0.1:1", Hall: "h", Slots: poolSlots})
-		p.servers = append(p.servers, &simServer{slots: poolSlots, capacity: poolSlots + poolQueue})
+		sim.servers = append(sim.servers, &simServer{slots: poolSlots, capacity: poolSlots + poolQueue})
 	}
-	p.start(seed, hosts, list)
-	return p
+	sim.start(seed, hosts, list)
+	return sim
 }
 
 // send dispatches a request that arrived at arrivedAt.
-func (p *poolSim) send(host int, arrivedAt time.Time, tried []string) {
-	k := p.hosts[host].Choose(NewJob(plain, prompt.Prompt{}, 2, tried))
+func (sim *poolSim) send(host int, arrivedAt time.Time, tried []string) {
+	k := sim.hosts[host].Choose(NewJob(plain, prompt.Prompt{}, 2, tried))
 	if k == nil || len(tried) > 1 {
-		p.refused++
+		sim.refused++
 		return
 	}
 	var at int
 	fmt.Sscanf(k.Server().Instance(), "i%d", &at)
-	s := p.servers[at]
+	s := sim.servers[at]
 	if s.running+len(s.waiting) >= s.capacity {
-		p.sheds++
+		sim.sheds++
 		k.Report(LoadReport{running: s.running, waiting: len(s.waiting), slots: s.slots}, true)
 		k.Done(Shed)
-		p.send(host, arrivedAt, append(tried, k.Server().Instance()))
+		sim.send(host, arrivedAt, append(tried, k.Server().Instance()))
 		return
 	}
-	start := func() { p.work(s, k, arrivedAt) }
+	start := func() { sim.work(s, k, arrivedAt) }
 	if s.running < s.slots {
 		start()
 		return
@@ -153,9 +153,9 @@
 }
 
 // work runs a request and then the next queued one.
-func (p *poolSim) work(s *simServer, k *Pick, arrivedAt time.Time) {
+func (sim *poolSim) work(s *simServer, k *Pick, arrivedAt time.Time) {
 	s.running++
-	p.after(time.Duration(p.random.ExpFloat64()*float64(poolServiceTime)), func() {
+	sim.after(time.Duration(sim.random.ExpFloat64()*float64(poolServiceTime)), func() {
 		s.running--
 		if len(s.waiting) > 0 {
 			next := s.waiting[0]
@@ -164,10 +164,10 @@
 		}
 		k.Report(LoadReport{running: s.running, waiting: len(s.waiting), slots: s.slots}, false)
 		k.Done(Served)
-		if p.at.Sub(arrivedAt) <= poolDeadline {
-			p.inTime++
+		if sim.at.Sub(arrivedAt) <= poolDeadline {
+			sim.inTime++
 		} else {
-			p.late++
+			sim.late++
 		}
 	})
 }
@@ -181,14 +181,14 @@
 	const maxShedShare = 0.04
 	arrived, sheds, inTime := 0, 0, 0
 	for _, seed := range []uint64{1, 2, 3} {
-		p := newPoolSim(seed, 64, 2)
-		p.scheduleArrivals(350, func(host int) {
-			p.arrived++
-			p.send(host, p.at, nil)
+		sim := newPoolSim(seed, 64, 2)
+		sim.scheduleArrivals(350, func(host int) {
+			sim.arrived++
+			sim.send(host, sim.at, nil)
 		})
-		p.run(20 * time.Second)
-		arrived, sheds, inTime = arrived+p.arrived, sheds+p.sheds, inTime+p.inTime
-		t.Logf("seed %d: %d arrived, %d in time, %d late, %d refused, %d shed", seed, p.arrived, p.inTime, p.late, p.refused, p.sheds)
+		sim.run(20 * time.Second)
+		arrived, sheds, inTime = arrived+sim.arrived, sheds+sim.sheds, inTime+sim.inTime
+		t.Logf("seed %d: %d arrived, %d in time, %d late, %d refused, %d shed", seed, sim.arrived, sim.inTime, sim.late, sim.refused, sim.sheds)
 	}
 	if float64(sheds) > maxShedShare*float64(arrived) {
 		t.Errorf("%d of %d requests met a full queue, want at most %.0f in 100", sheds, arrived, 100*maxShedShare)
--- a/serverset/table.go
+++ b/serverset/table.go
@@ -50,10 +50,10 @@
 type Place struct {
 	Host string
 	Hall string
-	// Peers are the names of all live hosts of the region, Advertised those of them that
-	// callers are given.
-	Peers      []string
-	Advertised []string
+	// Peers are the names of all live hosts of the region, Announced those of them that are
+	// announced to callers.
+	Peers     []string
+	Announced []string
 }
 
 // Table is the set of servers of the region. It is safe for concurrent use.
@@ -75,7 +75,7 @@
 	// that are not new; stateConfirmedAt is when the state was last confirmed as the newest.
 	versionsSince    map[string]map[string]time.Time
 	stateConfirmedAt time.Time
-	// unlistedPushbacks are those of instances that are no longer listed, by life.
+	// unlistedPushbacks are those of instances that are no longer listed, by instance key.
 	unlistedPushbacks map[string]pushback.State
 	// limitOf returns the limits that servers have announced; nil without any.
 	limitOf LimitFunc
@@ -97,12 +97,11 @@
 	}
 }
 
-// SetPeers sets the hosts that share the region, and which of them callers are
-// given.
-func (t *Table) SetPeers(peers, advertised []string) {
+// SetPeers sets the hosts that share the region, and which of them are announced to callers.
+func (t *Table) SetPeers(peers, announced []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.place.Peers, t.place.Advertised = slices.Clone(peers), slices.Clone(advertised)
+	t.place.Peers, t.place.Announced = slices.Clone(peers), slices.Clone(announced)
 	for _, s := range t.servers {
 		s.pool.SetMaxConns(t.connLimit(s.spec.Service))
 	}
@@ -112,16 +111,16 @@
 func (t *Table) LowRateHosts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.Clone(t.place.Advertised)
+	return slices.Clone(t.place.Announced)
 }
 
 // connLimit is this host's share of a server's connections.
 func (t *Table) connLimit(service string) int {
-	l := t.serviceConfig(service)
-	if l == nil || l.MaxConns == 0 {
+	config := t.serviceConfig(service)
+	if config == nil || config.MaxConns == 0 {
 		return minConns
 	}
-	return max(minConns, l.MaxConns/(len(t.place.Peers)+1))
+	return max(minConns, config.MaxConns/(len(t.place.Peers)+1))
 }
 
 // Update replaces the list of the region's servers by one that was requested at
@@ -165,7 +164,7 @@
 		t.savePushback(old)
 	}
 	s := newServer(spec, t.connLimit(spec.Service), t.now)
-	s.pushback = t.takePushback(s.life)
+	s.pushback = t.takePushback(s.instanceKey)
 	s.statsStale = s.pushback.BackedOff()
 	t.servers[spec.Instance] = s
 	return s
@@ -249,7 +248,7 @@
 		}
 		t.undrainedAt[hall] = t.now()
 		for _, s := range t.servers {
-			if l := t.serviceConfig(s.spec.Service); s.spec.Hall == hall && l != nil && l.ColdRate > 0 {
+			if config := t.serviceConfig(s.spec.Service); s.spec.Hall == hall && config != nil && config.ColdRate > 0 {
 				s.coldUntil = t.now().Add(coldAfterUndrain)
 			}
 		}
--- a/serverset/table_test.go
+++ b/serverset/table_test.go
@@ -35,7 +35,7 @@
 // newTestTable returns a table with n servers of a service, in hall h.
 func newTestTable(service string, n int) (*Table, *clock, []wheelgauge.Server) {
 	c := &clock{at: time.Unix(1000, 0)}
-	t := New(Place{Host: "a", Hall: "h", Peers: []string{"a"}, Advertised: []string{"a"}}, testServiceConfig, c.now)
+	t := New(Place{Host: "a", Hall: "h", Peers: []string{"a"}, Announced: []string{"a"}}, testServiceConfig, c.now)
 	var list []wheelgauge.Server
 	for i := range n {
 		list = append(list, wheelgauge.Server{Instance: fmt.Sprint("i", i), Service: service, Address: "127.0.0.1:1", Hall: "h", Slots: 4})
--- a/serverset/thundering_herd_test.go
+++ b/serverset/thundering_herd_test.go
@@ -40,54 +40,54 @@
 }
 
 func newEngineSim(seed uint64, hosts, engineCount, prefixCount int) (*engineSim, []wheelgauge.Server) {
-	p := &engineSim{engines: map[string]*engine{}}
+	sim := &engineSim{engines: map[string]*engine{}}
 	var list []wheelgauge.Server
 	for i := range engineCount {
 		s := wheelgauge.Server{Instance: fmt.Sprint("e", i), Service: engines, Address: fmt.Sprint("127.0.0.1:", i+1), Hall: fmt.Sprint("h", i%2), Slots: 24}
 		list = append(list, s)
-		p.engines[s.Instance] = &engine{cachedAt: map[uint64]time.Time{}}
+		sim.engines[s.Instance] = &engine{cachedAt: map[uint64]time.Time{}}
 	}
 	for i := range prefixCount {
-		p.prefixes = append(p.prefixes, fmt.Sprint("subject", i))
+		sim.prefixes = append(sim.prefixes, fmt.Sprint("subject", i))
 	}
-	p.start(seed, hosts, list)
-	return p, list
+	sim.start(seed, hosts, list)
+	return sim, list
 }
 
 // send dispatches one request with a random prefix.
-func (p *engineSim) send(host int) {
-	p.count++
-	own := int(min(8*6000, 6000*p.random.ExpFloat64()))
-	text := fmt.Sprintf("sys:500,%s:4900,own%d:%d", p.prefixes[p.random.IntN(len(p.prefixes))], p.count, own)
+func (sim *engineSim) send(host int) {
+	sim.count++
+	own := int(min(8*6000, 6000*sim.random.ExpFloat64()))
+	text := fmt.Sprintf("sys:500,%s:4900,own%d:%d", sim.prefixes[sim.random.IntN(len(sim.prefixes))], sim.count, own)
 	pr := prompt.Parse(text, fmt.Sprint(5400+own, ",300"), "")
-	k := p.hosts[host].Choose(NewJob(engines, pr, 1, nil))
+	k := sim.hosts[host].Choose(NewJob(engines, pr, 1, nil))
 	if k == nil {
 		return
 	}
-	e := p.engines[k.Server().Instance()]
-	if p.at.Sub(e.windowStart) >= burstWindow {
-		e.windowStart, e.inWindow = p.at, 0
+	e := sim.engines[k.Server().Instance()]
+	if sim.at.Sub(e.windowStart) >= burstWindow {
+		e.windowStart, e.inWindow = sim.at, 0
 	}
 	e.inWindow++
-	p.maxInWindow = max(p.maxInWindow, e.inWindow)
-	start := p.at
+	sim.maxInWindow = max(sim.maxInWindow, e.inWindow)
+	start := sim.at
 	if e.freeAt.After(start) {
 		start = e.freeAt
 	}
-	e.freeAt = start.Add(time.Duration(p.prefillTokens(e, k, pr) / engineTokensPerMS * float64(time.Millisecond)))
+	e.freeAt = start.Add(time.Duration(sim.prefillTokens(e, k, pr) / engineTokensPerMS * float64(time.Millisecond)))
 	e.cachedAt[pr.PrefixID()] = e.freeAt
-	arrivedAt := p.at
-	p.after(e.freeAt.Sub(p.at), func() {
-		p.firstEventTimes = append(p.firstEventTimes, p.at.Sub(arrivedAt))
+	arrivedAt := sim.at
+	sim.after(e.freeAt.Sub(sim.at), func() {
+		sim.firstEventTimes = append(sim.firstEventTimes, sim.at.Sub(arrivedAt))
 		k.FirstEvent()
-		p.after(engineDecodeTime, func() { k.Done(Served) })
+		sim.after(engineDecodeTime, func() { k.Done(Served) })
 	})
 }
 
 // prefillTokens is how many tokens an engine must prefill of a prompt.
-func (p *engineSim) prefillTokens(e *engine, k *Pick, pr prompt.Prompt) float64 {
-	holds := func(e *engine) bool { return e != nil && p.at.Sub(e.cachedAt[pr.PrefixID()]) < engineCacheTime }
-	source := p.engineAt(k.Source())
+func (sim *engineSim) prefillTokens(e *engine, k *Pick, pr prompt.Prompt) float64 {
+	holds := func(e *engine) bool { return e != nil && sim.at.Sub(e.cachedAt[pr.PrefixID()]) < engineCacheTime }
+	source := sim.engineAt(k.Source())
 	if holds(e) || holds(source) {
 		return float64(pr.Tokens() - pr.SharedTokens())
 	}
@@ -95,12 +95,12 @@
 }
 
 // engineAt returns the engine at an address.
-func (p *engineSim) engineAt(address string) *engine {
+func (sim *engineSim) engineAt(address string) *engine {
 	var port int
 	if n, err := fmt.Sscanf(address, "127.0.0.1:%d", &port); n != 1 || err != nil {
 		return nil
 	}
-	return p.engines[fmt.Sprint("e", port-1)]
+	return sim.engines[fmt.Sprint("e", port-1)]
 }
 
 // Half of a region's engines fail, and the others run at 0.85 of their capacity. Hosts with
@@ -110,21 +110,21 @@
 func TestNoThunderingHerd(t *testing.T) {
 	const most, leastInTime = 16, 0.78
 	for _, seed := range []uint64{1, 2, 3} {
-		p, list := newEngineSim(seed, 64, 80, 1100)
-		p.scheduleArrivals(560, p.send)
-		p.run(4 * time.Second)
-		for _, h := range p.hosts {
-			h.Update(list[:40], p.at)
+		sim, list := newEngineSim(seed, 64, 80, 1100)
+		sim.scheduleArrivals(560, sim.send)
+		sim.run(4 * time.Second)
+		for _, h := range sim.hosts {
+			h.Update(list[:40], sim.at)
 		}
-		p.firstEventTimes, p.maxInWindow = nil, 0
-		p.run(8 * time.Second)
-		slices.Sort(p.firstEventTimes)
-		inTime, _ := slices.BinarySearch(p.firstEventTimes, engineDeadline)
-		share := float64(inTime) / float64(len(p.firstEventTimes))
-		t.Logf("seed %d: %d requests, %.3f in time, p50 %s p99 %s, busiest %d in %s", seed, len(p.firstEventTimes), share,
-			p.firstEventTimes[len(p.firstEventTimes)/2], p.firstEventTimes[len(p.firstEventTimes)*99/100], p.maxInWindow, burstWindow)
-		if p.maxInWindow > most || share < leastInTime {
-			t.Errorf("seed %d: busiest engine got %d requests in %s, want at most %d; %.3f in time, want at least %.2f", seed, p.maxInWindow, burstWindow, most, share, leastInTime)
+		sim.firstEventTimes, sim.maxInWindow = nil, 0
+		sim.run(8 * time.Second)
+		slices.Sort(sim.firstEventTimes)
+		inTime, _ := slices.BinarySearch(sim.firstEventTimes, engineDeadline)
+		share := float64(inTime) / float64(len(sim.firstEventTimes))
+		t.Logf("seed %d: %d requests, %.3f in time, p50 %s p99 %s, busiest %d in %s", seed, len(sim.firstEventTimes), share,
+			sim.firstEventTimes[len(sim.firstEventTimes)/2], sim.firstEventTimes[len(sim.firstEventTimes)*99/100], sim.maxInWindow, burstWindow)
+		if sim.maxInWindow > most || share < leastInTime {
+			t.Errorf("seed %d: busiest engine got %d requests in %s, want at most %d; %.3f in time, want at least %.2f", seed, sim.maxInWindow, burstWindow, most, share, leastInTime)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 // All engines but one are full, and all hosts know it from the same update.
 func TestNoThunderingHerdOnSameUpdate(t *testing.T) {
 	const hosts, engineCount, most = 64, 40, 24
-	p, list := newEngineSim(1, hosts, engineCount, 1000)
+	sim, list := newEngineSim(1, hosts, engineCount, 1000)
 	var uses []wheelgauge.ServerUsage
 	for i, s := range list {
 		running := 30
@@ -143,7 +143,7 @@
 		uses = append(uses, wheelgauge.ServerUsage{Instance: s.Instance, Running: running, PrefillTokens: 800 * running, Work: work})
 	}
 	got := map[string]int{}
-	for i, h := range p.hosts {
+	for i, h := range sim.hosts {
 		h.SetUses(uses)
 		pr := prompt.Parse(fmt.Sprintf("sys:300,s%d:230,own%d:1300", i, i), "1830,30", "")
 		got[h.Choose(NewJob(engines, pr, 0, nil)).Server().Instance()]++
--- a/spillover/decider.go
+++ b/spillover/decider.go
@@ -125,12 +125,12 @@
 	return here.Wait.Seconds()*d.weights.SecondValue + here.price(work) - d.cost(other, work)
 }
 
-func (d *Decider) cost(p RegionState, work RequestSize) float64 {
+func (d *Decider) cost(s RegionState, work RequestSize) float64 {
 	cold := d.weights.ColdPrefill.Seconds() * float64(work.Bytes) / unitSize
-	delay := p.Wait.Seconds() + 2*p.Latency.Seconds() + cold
-	return delay*d.weights.SecondValue + p.price(work) + d.weights.ForwardCost
+	delay := s.Wait.Seconds() + 2*s.Latency.Seconds() + cold
+	return delay*d.weights.SecondValue + s.price(work) + d.weights.ForwardCost
 }
 
-func (p *RegionState) price(work RequestSize) float64 {
-	return p.Price * float64(work.Tokens) / unitSize
+func (s *RegionState) price(work RequestSize) float64 {
+	return s.Price * float64(work.Tokens) / unitSize
 }
