--- a/capallocator/allocator_test.go
+++ b/capallocator/allocator_test.go
@@ -85,8 +85,8 @@
 		for _, store := range stores {
 			store.HostSeen("h", 1)
 		}
-		b := stores[granted%len(stores)]
-		g := drawFrom(b, "tiny", 1)
+		store := stores[granted%len(stores)]
+		g := drawFrom(store, "tiny", 1)
 		for _, other := range stores {
 			if !g.Granted && other.options.Self == g.OtherStore {
 				g = other.Draw(wheelgauge.CapUnitsRequest{Host: "h", Redirected: true, Items: []wheelgauge.CapUnitsItem{{Workspace: "tiny", Units: 1}}}).Grants[0]
@@ -134,8 +134,8 @@
 			}
 			for _, w := range []string{"w", "tiny"} {
 				sum := 0.0
-				for _, b := range stores {
-					sum += shareOf(b, w)
+				for _, store := range stores {
+					sum += shareOf(store, w)
 				}
 				if sum > 1.0001 {
 					t.Fatalf("seed %d, step %d: shares of %s add up to %.3f, want at most 1", seed, step, w, sum)
@@ -246,15 +246,15 @@
 	}
 	for _, tt := range tests {
 		c := newClock()
-		b := c.newAllocator("a", 1, []string{"a"})
-		before := shareOfCap(b)
-		g := draw(b, 1)
+		a := c.newAllocator("a", 1, []string{"a"})
+		before := shareOfCap(a)
+		g := draw(a, 1)
 		if g.StandaloneRate <= 0 || g.StandaloneMS <= 0 {
 			t.Fatalf("the grant has no standalone rate or time: %+v", g)
 		}
 		c.advance(hostSilenceTimeout + time.Millisecond)
-		tt.after(b, c)
-		if got := shareOfCap(b); (got < before) != tt.less {
+		tt.after(a, c)
+		if got := shareOfCap(a); (got < before) != tt.less {
 			t.Errorf("%s: share is %.2f of %.2f", tt.name, got, before)
 		}
 	}
@@ -262,14 +262,14 @@
 
 func TestDraw(t *testing.T) {
 	c := newClock()
-	b := c.newAllocator("a", 1, []string{"a"})
+	a := c.newAllocator("a", 1, []string{"a"})
 	c.advance(time.Minute)
-	if g := b.Draw(wheelgauge.CapUnitsRequest{Host: "h", Items: []wheelgauge.CapUnitsItem{{Workspace: "free", Units: 1e12}}}).Grants[0]; !g.Granted {
+	if g := a.Draw(wheelgauge.CapUnitsRequest{Host: "h", Items: []wheelgauge.CapUnitsItem{{Workspace: "free", Units: 1e12}}}).Grants[0]; !g.Granted {
 		t.Error("a workspace without a cap is refused")
 	}
 	sum, refused := 0.0, 0
 	for range 1000 {
-		if g := draw(b, 5000); g.Granted {
+		if g := draw(a, 5000); g.Granted {
 			sum += 5000
 		} else {
 			refused++
@@ -283,11 +283,11 @@
 		t.Errorf("%.0f units of a burst of 1e6 granted at once, %d requests refused", sum, refused)
 	}
 	// Small requests pass where large ones must wait.
-	if g := draw(b, 10); !g.Granted {
+	if g := draw(a, 10); !g.Granted {
 		t.Error("a small request is refused")
 	}
 	c.advance(time.Second)
-	if g := draw(b, 5000); !g.Granted {
+	if g := draw(a, 5000); !g.Granted {
 		t.Error("a request is still refused a second later")
 	}
 }
@@ -296,15 +296,15 @@
 // small cap.
 func TestCapChanges(t *testing.T) {
 	c := newClock()
-	b := c.newAllocator("a", 1, []string{"a"})
+	a := c.newAllocator("a", 1, []string{"a"})
 	c.advance(time.Minute)
-	b.SetCaps([]wheelgauge.Workspace{{Name: "w", Cap: wheelgauge.Cap{Rate: 36000, Burst: 36000, Unit: wheelgauge.CapTokens}}})
-	if g := draw(b, 30000); !g.Granted {
+	a.SetCaps([]wheelgauge.Workspace{{Name: "w", Cap: wheelgauge.Cap{Rate: 36000, Burst: 36000, Unit: wheelgauge.CapTokens}}})
+	if g := draw(a, 30000); !g.Granted {
 		t.Error("a request of 30,000 units is refused with a burst of 36,000")
 	}
 	sum := 0.0
 	for range 100 {
-		if g := draw(b, 12000); g.Granted {
+		if g := draw(a, 12000); g.Granted {
 			sum += 12000
 		}
 	}
@@ -360,8 +360,8 @@
 				stores[i] = c.newAllocator(members[i], boots[i], members)
 			}
 			sum := 0.0
-			for _, b := range stores {
-				sum += shareOfCap(b)
+			for _, store := range stores {
+				sum += shareOfCap(store)
 			}
 			if sum > 1.0001 {
 				t.Fatalf("step %d: shares add up to %.3f, want at most 1", n, sum)
--- a/capallocator/hosts.go
+++ b/capallocator/hosts.go
@@ -56,7 +56,7 @@
 	return out
 }
 
-// Draw takes units for a host; grants are in the order of the wants.
+// Draw takes units for a host; grants are in the order of the items.
 func (a *Allocator) Draw(req wheelgauge.CapUnitsRequest) wheelgauge.CapUnitsResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -67,8 +67,8 @@
 		h = a.touchHost(req, now)
 	}
 	var out wheelgauge.CapUnitsResponse
-	for _, w := range req.Items {
-		out.Grants = append(out.Grants, a.drawOne(h, w, req.Redirected, now))
+	for _, item := range req.Items {
+		out.Grants = append(out.Grants, a.drawOne(h, item, req.Redirected, now))
 	}
 	return out
 }
@@ -83,33 +83,33 @@
 	return h
 }
 
-func (a *Allocator) drawOne(h *host, w wheelgauge.CapUnitsItem, moved bool, now time.Time) wheelgauge.CapGrant {
-	b := a.buckets[w.Workspace]
+func (a *Allocator) drawOne(h *host, item wheelgauge.CapUnitsItem, redirected bool, now time.Time) wheelgauge.CapGrant {
+	b := a.buckets[item.Workspace]
 	if b == nil {
 		// This store has no cap for the workspace. A host that has one uses a newer or an
 		// older configuration, for a few hundred milliseconds.
 		return wheelgauge.CapGrant{Granted: true}
 	}
-	if w.Units > 0 {
-		b.recordSize(w.Units)
+	if item.Units > 0 {
+		b.recordSize(item.Units)
 	}
-	if !moved {
-		b.demand.Add(w.Units, now)
+	if !redirected {
+		b.demand.Add(item.Units, now)
 	}
-	after, ok := b.draw(w.Units, now)
-	if moved {
+	after, ok := b.draw(item.Units, now)
+	if redirected {
 		return wheelgauge.CapGrant{Granted: ok, RetryAfterMS: after.Milliseconds()}
 	}
-	h.standaloneShares[w.Workspace] = standaloneFraction * b.share / float64(len(a.hosts))
+	h.standaloneShares[item.Workspace] = standaloneFraction * b.share / float64(len(a.hosts))
 	g := wheelgauge.CapGrant{
 		Granted: ok, RetryAfterMS: after.Milliseconds(),
-		StandaloneRate: h.standaloneShares[w.Workspace] * b.cap.Rate, StandaloneMS: standaloneTime.Milliseconds(),
+		StandaloneRate: h.standaloneShares[item.Workspace] * b.cap.Rate, StandaloneMS: standaloneTime.Milliseconds(),
 	}
-	if ok && w.Prefetch > 0 {
-		g.Prefetched = b.prefetch(w.Prefetch, now)
+	if ok && item.Prefetch > 0 {
+		g.Prefetched = b.prefetch(item.Prefetch, now)
 	}
 	if !ok {
-		g.OtherStore = a.alternative(b, w.Units, now)
+		g.OtherStore = a.alternative(b, item.Units, now)
 	}
 	return g
 }
--- a/capallocator/suspend_test.go
+++ b/capallocator/suspend_test.go
@@ -64,8 +64,8 @@
 		}
 		clocks[busy].suspended += pause
 		sum := 0.0
-		for _, b := range stores {
-			sum += shareOfCap(b)
+		for _, store := range stores {
+			sum += shareOfCap(store)
 		}
 		largest = max(largest, sum)
 	}
--- a/capclient/client_test.go
+++ b/capclient/client_test.go
@@ -29,7 +29,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			var mu sync.Mutex
 			given := 0.0
-			p := New(Options{
+			client := New(Options{
 				Host: "h", Boot: 1, Now: time.Now,
 				Stores: func() []wheelgauge.StoreEndpoint {
 					return []wheelgauge.StoreEndpoint{{Address: "s", SameRegion: tt.near}}
@@ -45,7 +45,7 @@
 			waits, used := 0, 0.0
 			for range 200 {
 				start := time.Now()
-				if err := p.Acquire(context.Background(), testWorkspace, 3000); err != nil {
+				if err := client.Acquire(context.Background(), testWorkspace, 3000); err != nil {
 					t.Fatal(err)
 				}
 				used += 3000
@@ -54,7 +54,7 @@
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
-			p.Close()
+			client.Close()
 			if waits > tt.waits {
 				t.Errorf("%s: %d of 200 requests waited for a round trip, want fewer", tt.name, waits)
 			}
@@ -92,7 +92,7 @@
 	for _, tt := range tests {
 		synctest.Test(t, func(t *testing.T) {
 			calls := 0
-			p := New(Options{
+			client := New(Options{
 				Host: "h", Boot: 1, Now: time.Now, Stores: func() []wheelgauge.StoreEndpoint { return tt.stores },
 				Draw: func(ctx context.Context, address string, _ wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
 					calls++
@@ -103,8 +103,8 @@
 					return wheelgauge.CapUnitsResponse{}, errors.New("unreachable")
 				},
 			})
-			defer p.Close()
-			err := p.Acquire(context.Background(), testWorkspace, 100)
+			defer client.Close()
+			err := client.Acquire(context.Background(), testWorkspace, 100)
 			status, after := 0, time.Duration(0)
 			if err != nil {
 				status, after = err.Status(), err.RetryAfter()
@@ -133,7 +133,7 @@
 	for _, tt := range tests {
 		synctest.Test(t, func(t *testing.T) {
 			calls := 0
-			p := New(Options{
+			client := New(Options{
 				Host: "h", Boot: 1, Now: time.Now,
 				Stores: func() []wheelgauge.StoreEndpoint { return []wheelgauge.StoreEndpoint{{Address: "s", SameRegion: true}} },
 				Draw: func(ctx context.Context, _ string, _ wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
@@ -142,10 +142,10 @@
 					return wheelgauge.CapUnitsResponse{}, ctx.Err()
 				},
 			})
-			defer p.Close()
+			defer client.Close()
 			for range 2 {
 				ctx, cancel := context.WithTimeout(t.Context(), tt.within)
-				p.Acquire(ctx, testWorkspace, 1)
+				client.Acquire(ctx, testWorkspace, 1)
 				cancel()
 			}
 			if calls != tt.calls {
@@ -166,17 +166,17 @@
 	for _, tt := range tests {
 		synctest.Test(t, func(t *testing.T) {
 			calls := 0
-			p := New(Options{
+			client := New(Options{
 				Host: "h", Boot: 1, Now: time.Now, Stores: func() []wheelgauge.StoreEndpoint { return []wheelgauge.StoreEndpoint{{Address: "a", SameRegion: true}} },
 				Draw: func(context.Context, string, wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
 					calls++
 					return wheelgauge.CapUnitsResponse{Grants: []wheelgauge.CapGrant{{Granted: true}}}, nil
 				},
 			})
-			defer p.Close()
-			p.Refund(testWorkspace, 100)
+			defer client.Close()
+			client.Refund(testWorkspace, 100)
 			time.Sleep(tt.after)
-			if err := p.Acquire(context.Background(), testWorkspace, tt.units); err != nil || calls != tt.calls {
+			if err := client.Acquire(context.Background(), testWorkspace, tt.units); err != nil || calls != tt.calls {
 				t.Errorf("%s: error %v, %d draws", tt.name, err, calls)
 			}
 		})
@@ -187,7 +187,7 @@
 func TestStandalone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		unreachable := false
-		p := New(Options{
+		client := New(Options{
 			Host: "h", Boot: 1, Now: time.Now, Stores: func() []wheelgauge.StoreEndpoint { return []wheelgauge.StoreEndpoint{{Address: "a", SameRegion: true}} },
 			Draw: func(ctx context.Context, _ string, _ wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
 				if unreachable {
@@ -197,14 +197,14 @@
 				return wheelgauge.CapUnitsResponse{Grants: []wheelgauge.CapGrant{{Granted: true, StandaloneRate: 10000, StandaloneMS: 5000}}}, nil
 			},
 		})
-		defer p.Close()
-		if err := p.Acquire(context.Background(), testWorkspace, 100); err != nil {
+		defer client.Close()
+		if err := client.Acquire(context.Background(), testWorkspace, 100); err != nil {
 			t.Fatal(err)
 		}
 		unreachable = true
 		start, sent := time.Now(), 0.0
 		for time.Since(start) < 4*time.Second {
-			if p.Acquire(context.Background(), testWorkspace, 2000) == nil {
+			if client.Acquire(context.Background(), testWorkspace, 2000) == nil {
 				sent += 2000
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -215,7 +215,7 @@
 			t.Errorf("%.0f units sent in 4 s standalone at 10,000 a second, want 2000 to 88000", sent)
 		}
 		time.Sleep(2 * time.Second)
-		if err := p.Acquire(context.Background(), testWorkspace, 100); err == nil || err.Status() != http.StatusServiceUnavailable {
+		if err := client.Acquire(context.Background(), testWorkspace, 100); err == nil || err.Status() != http.StatusServiceUnavailable {
 			t.Errorf("error after the standalone time is %v, want status 503", err)
 		}
 	})
--- a/capclient/schedule_test.go
+++ b/capclient/schedule_test.go
@@ -172,14 +172,14 @@
 		if alloc == nil || frozen {
 			continue
 		}
-		sent, n := time.Now(), alloc.Report(to.address)
+		sent, update := time.Now(), alloc.Report(to.address)
 		time.Sleep(linkLatency(from.region, to.region))
 		other := s.reach(from.region, to)
 		if other == nil {
 			time.Sleep(800 * time.Millisecond)
 			continue
 		}
-		lease := other.GrantLease(from.address, boot, n)
+		lease := other.GrantLease(from.address, boot, update)
 		time.Sleep(linkLatency(from.region, to.region))
 		s.mu.Lock()
 		lost := !s.linked(from.region, to.region) || from.allocator != alloc || from.frozen
@@ -291,7 +291,7 @@
 		}
 		s.mu.Lock()
 		up := !time.Now().Before(s.downUntil[h])
-		spec, p := w.spec, client()
+		spec, c := w.spec, client()
 		s.mu.Unlock()
 		if !up {
 			continue
@@ -299,10 +299,10 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			err := s.takeUnits(ctx, p, h, w, &spec, units)
+			err := s.takeUnits(ctx, c, h, w, &spec, units)
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if err == nil && p != client() {
+			if err == nil && c != client() {
 				return // the host was killed during the request
 			}
 			s.arrivals[w.spec.Name] = append(s.arrivals[w.spec.Name], arrival{at: s.elapsed(), units: units, sent: err == nil, final: err == nil || err.Status() == 429})
--- a/capclient/suspend_test.go
+++ b/capclient/suspend_test.go
@@ -28,7 +28,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			clock := manualclock.New()
 			unreachable := false
-			p := New(Options{
+			client := New(Options{
 				Host: "h", Boot: 1, Now: clock.Now,
 				Stores: func() []wheelgauge.StoreEndpoint { return []wheelgauge.StoreEndpoint{{Address: "s"}} },
 				Draw: func(_ context.Context, _ string, req wheelgauge.CapUnitsRequest) (wheelgauge.CapUnitsResponse, error) {
@@ -38,16 +38,16 @@
 					return wheelgauge.CapUnitsResponse{Grants: []wheelgauge.CapGrant{{Granted: true, Prefetched: req.Items[0].Prefetch, StandaloneRate: 1e6, StandaloneMS: 8000}}}, nil
 				},
 			})
-			defer p.Close()
-			if err := p.Acquire(context.Background(), testWorkspace, units); err != nil {
+			defer client.Close()
+			if err := client.Acquire(context.Background(), testWorkspace, units); err != nil {
 				t.Fatal(err)
 			}
 			unreachable = true
 			clock.Advance(tt.suspended)
-			if left := p.takeCached(testWorkspace.Name, units); left != tt.prefetched {
+			if left := client.takeCached(testWorkspace.Name, units); left != tt.prefetched {
 				t.Errorf("prefetched units used: %v, want %v", left, tt.prefetched)
 			}
-			err := p.takeStandalone(testWorkspace.Name, units)
+			err := client.takeStandalone(testWorkspace.Name, units)
 			if (err == nil) != tt.standalone {
 				t.Errorf("request passed standalone: %v, want %v", err == nil, tt.standalone)
 			}
--- a/heartbeat/client_test.go
+++ b/heartbeat/client_test.go
@@ -77,7 +77,7 @@
 	if s.silent.Load() {
 		time.Sleep(callTimeout + 50*time.Millisecond)
 	}
-	b, err := peerhttp.Decode[wheelgauge.FleetHeartbeat](ctx)
+	hb, err := peerhttp.Decode[wheelgauge.FleetHeartbeat](ctx)
 	if err != nil {
 		peerhttp.WriteError(ctx, err)
 		return
@@ -85,9 +85,9 @@
 	time.Sleep(s.latency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heartbeats = append(s.heartbeats, b)
+	s.heartbeats = append(s.heartbeats, hb)
 	a := s.answer
-	if b.Primary {
+	if hb.Primary {
 		a.ServersVersion = 1
 		a.Servers = []wheelgauge.Server{{Instance: a.Region}}
 	}
@@ -195,31 +195,31 @@
 
 func TestPrimary(t *testing.T) {
 	near, far := newStore(t, "here", 3), newStore(t, "there", 3)
-	n := &recorder{}
-	startClient(t, n, nil, near, far)
-	waitFor(t, "the list of the near store", func() bool { return n.primary() == "here" })
+	r := &recorder{}
+	startClient(t, r, nil, near, far)
+	waitFor(t, "the list of the near store", func() bool { return r.primary() == "here" })
 	near.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.Connected = false })
-	waitFor(t, "the list of the store that is connected to the others", func() bool { return n.primary() == "there" })
+	waitFor(t, "the list of the store that is connected to the others", func() bool { return r.primary() == "there" })
 	near.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.Connected = true })
-	waitFor(t, "the list of the near store again", func() bool { return n.primary() == "here" })
+	waitFor(t, "the list of the near store again", func() bool { return r.primary() == "here" })
 }
 
 func TestDisconnectedStoreIsUsedIfAlone(t *testing.T) {
 	s := newStore(t, "here", 3)
 	s.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.Connected = false })
-	n := &recorder{}
-	startClient(t, n, nil, s)
-	waitFor(t, "configuration and servers", func() bool { return len(n.states()) == 1 && n.primary() == "here" })
+	r := &recorder{}
+	startClient(t, r, nil, s)
+	waitFor(t, "configuration and servers", func() bool { return len(r.states()) == 1 && r.primary() == "here" })
 }
 
 // A host must get the newest configuration from another store when its primary lags.
 func TestLaggingPrimary(t *testing.T) {
 	near, far := newStore(t, "here", 3), newStore(t, "there", 3)
-	n := &recorder{}
-	startClient(t, n, nil, near, far)
-	waitFor(t, "first configuration", func() bool { return len(n.states()) > 0 })
+	r := &recorder{}
+	startClient(t, r, nil, near, far)
+	waitFor(t, "first configuration", func() bool { return len(r.states()) > 0 })
 	far.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.Generation = 8 })
-	waitFor(t, "the newer configuration", func() bool { return slices.Contains(n.states(), 8) })
+	waitFor(t, "the newer configuration", func() bool { return slices.Contains(r.states(), 8) })
 }
 
 func TestStoreDiscovery(t *testing.T) {
@@ -236,9 +236,9 @@
 func TestConfigurationOverLongLink(t *testing.T) {
 	near, far := newStore(t, "here", 0), newStore(t, "there", 3)
 	far.latency = 450 * time.Millisecond
-	n := &recorder{}
-	startClient(t, n, nil, near, far)
-	waitFor(t, "the configuration of the far store", func() bool { return len(n.states()) > 0 })
+	r := &recorder{}
+	startClient(t, r, nil, near, far)
+	waitFor(t, "the configuration of the far store", func() bool { return len(r.states()) > 0 })
 }
 
 // primaryChanges counts the log lines about a change of the primary.
@@ -260,15 +260,15 @@
 	var changes primaryChanges
 	var selfCalls atomic.Int64
 	stores := []*fakeStore{newStore(t, "there", 3), newStore(t, "beyond", 3)}
-	n := &recorder{}
+	r := &recorder{}
 	c := startWith(t, stores, Options{
 		Self: func() wheelgauge.FleetHost {
 			selfCalls.Add(1)
 			return wheelgauge.FleetHost{Name: "g", Region: "here"}
 		},
-		FarInterval: time.Second, Receiver: n, Log: funcr.New(changes.write, funcr.Options{}),
+		FarInterval: time.Second, Receiver: r, Log: funcr.New(changes.write, funcr.Options{}),
 	})
-	waitFor(t, "a state and a server list", func() bool { return n.primary() != "" && len(n.states()) > 0 })
+	waitFor(t, "a state and a server list", func() bool { return r.primary() != "" && len(r.states()) > 0 })
 	for _, s := range stores {
 		s.silent.Store(true)
 	}
@@ -299,18 +299,18 @@
 func TestOlderListIsIgnored(t *testing.T) {
 	near, far := newStore(t, "here", 3), newStore(t, "there", 3)
 	far.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.ServersAgeMS = time.Hour.Milliseconds() })
-	n := &recorder{}
-	startClient(t, n, nil, near, far)
-	waitFor(t, "the list of the near store", func() bool { return n.primary() == "here" })
+	r := &recorder{}
+	startClient(t, r, nil, near, far)
+	waitFor(t, "the list of the near store", func() bool { return r.primary() == "here" })
 	near.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.Connected = false })
 	waitFor(t, "heartbeats to the far store as the primary", func() bool { return far.last().Primary })
 	from := far.count()
 	waitFor(t, "more heartbeats", func() bool { return far.count() > from+10 })
-	if got := n.primary(); got != "here" {
+	if got := r.primary(); got != "here" {
 		t.Errorf("the current list is that of the store %q, which is an hour old", got)
 	}
 	far.set(func(a *wheelgauge.FleetHeartbeatResponse) { a.ServersAgeMS = 0 })
-	waitFor(t, "the list of the far store after it was read again", func() bool { return n.primary() == "there" })
+	waitFor(t, "the list of the far store after it was read again", func() bool { return r.primary() == "there" })
 }
 
 // Stores of the host's region come first, also one that is cut off from the other stores:
--- a/rollout/controller/controller_test.go
+++ b/rollout/controller/controller_test.go
@@ -55,12 +55,12 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			d := New(func() wheelgauge.VersionEvaluator { return sequential.New() }, func() time.Time { return now })
+			ctrl := New(func() wheelgauge.VersionEvaluator { return sequential.New() }, func() time.Time { return now })
 			for host, r := range tt.reports {
-				d.Take(host, boot, []wheelgauge.RolloutReport{r})
+				ctrl.Take(host, boot, []wheelgauge.RolloutReport{r})
 			}
 			now = now.Add(tt.silent)
-			if got := d.Decide(tt.rollout, FleetView{Remaining: tt.left, LiveHosts: tt.live, TargetServers: 3}); got.Step != tt.want {
+			if got := ctrl.Decide(tt.rollout, FleetView{Remaining: tt.left, LiveHosts: tt.live, TargetServers: 3}); got.Step != tt.want {
 				t.Errorf("got %+v, want step %q", got, tt.want)
 			}
 		})
--- a/rollout/selector/selector_test.go
+++ b/rollout/selector/selector_test.go
@@ -64,13 +64,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l, c := newSelector(1, 50)
+			sel, c := newSelector(1, 50)
 			if len(tt.rollouts) > 0 {
-				l.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
+				sel.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
 			}
-			l.SetRollouts(tt.rollouts)
+			sel.SetRollouts(tt.rollouts)
 			c.at = c.at.Add(tt.unconfirmed)
-			got, release := l.Choose(name, "r", tt.expected, tt.retry)
+			got, release := sel.Choose(name, "r", tt.expected, tt.retry)
 			if got != tt.want {
 				t.Errorf("got %+v, want %+v", got, tt.want)
 			}
@@ -88,10 +88,10 @@
 			rng := rand.New(rand.NewPCG(uint64(count), 2))
 			at := time.Unix(1000, 0)
 			start := func(n int) *Selector {
-				l := New(Options{Host: fmt.Sprint(n), Share: share, Slack: slack, Now: func() time.Time { return at }})
-				l.SetHosts(count)
-				l.SetRollouts(rollout(wheelgauge.RolloutRunning, true, at.Sub(time.Unix(1000, 0))))
-				return l
+				sel := New(Options{Host: fmt.Sprint(n), Share: share, Slack: slack, Now: func() time.Time { return at }})
+				sel.SetHosts(count)
+				sel.SetRollouts(rollout(wheelgauge.RolloutRunning, true, at.Sub(time.Unix(1000, 0))))
+				return sel
 			}
 			hosts, restartableAt := make([]*Selector, count), make([]time.Time, count)
 			for n := range hosts {
@@ -105,15 +105,15 @@
 					hosts[n] = start(n)
 					restartableAt[n] = at.Add(minRestartInterval)
 				}
-				l := hosts[n]
-				l.ConfirmState()
-				choice, release := l.Choose(name, fmt.Sprint(rng.IntN(3)), time.Duration(rng.IntN(30))*time.Second, rng.IntN(20) == 0)
+				sel := hosts[n]
+				sel.ConfirmState()
+				choice, release := sel.Choose(name, fmt.Sprint(rng.IntN(3)), time.Duration(rng.IntN(30))*time.Second, rng.IntN(20) == 0)
 				version := "v1"
 				if only, ok := choice.Only(); ok {
 					version = only
 				}
 				if choice.Allows(version) {
-					l.RecordSent(name, "r", version)
+					sel.RecordSent(name, "r", version)
 					sent++
 					if version == target {
 						sentTarget++
@@ -132,22 +132,22 @@
 // A host is complete once the other versions are closed and it has no requests in flight
 // there.
 func TestHostComplete(t *testing.T) {
-	l, c := newSelector(0.1, 1000)
-	_, releaseEarlier := l.Choose(name, "r", 0, false)
-	l.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
-	complete := func() bool { return l.Reports()[0].Complete }
+	sel, c := newSelector(0.1, 1000)
+	_, releaseEarlier := sel.Choose(name, "r", 0, false)
+	sel.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
+	complete := func() bool { return sel.Reports()[0].Complete }
 	if complete() {
 		t.Error("complete before the version proved good")
 	}
-	choice, releaseCanary := l.Choose(name, "r", 0, false)
-	l.RecordSent(name, "r", target)
-	l.SetRollouts(rollout(wheelgauge.RolloutRunning, true, 19*time.Second))
+	choice, releaseCanary := sel.Choose(name, "r", 0, false)
+	sel.RecordSent(name, "r", target)
+	sel.SetRollouts(rollout(wheelgauge.RolloutRunning, true, 19*time.Second))
 	if complete() {
 		t.Errorf("complete long before the limit; the choice was %+v", choice)
 	}
 	c.at = c.at.Add(900 * time.Millisecond)
-	l.ConfirmState()
-	changes := l.Changes()
+	sel.ConfirmState()
+	changes := sel.Changes()
 	releaseCanary()
 	if complete() {
 		t.Error("complete while a request is in flight")
@@ -156,33 +156,33 @@
 	if !complete() {
 		t.Error("not complete after the last request ended")
 	}
-	if l.Changes() <= changes {
+	if sel.Changes() <= changes {
 		t.Error("change number did not grow; stores would not get a report at once")
 	}
-	if choice, _ := l.Choose(name, "r", 0, true); choice != wheelgauge.OnlyVersion(target) {
+	if choice, _ := sel.Choose(name, "r", 0, true); choice != wheelgauge.OnlyVersion(target) {
 		t.Errorf("a complete host chose %+v", choice)
 	}
 }
 
 // A complete host whose share is used up rejects requests until the time limit.
 func TestCompleteHostWithoutShare(t *testing.T) {
-	l, c := newSelector(0.1, 40)
-	l.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
-	l.SetRollouts(rollout(wheelgauge.RolloutRunning, true, 19_500*time.Millisecond))
-	_, release := l.Choose(name, "r", 0, false)
+	sel, c := newSelector(0.1, 40)
+	sel.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
+	sel.SetRollouts(rollout(wheelgauge.RolloutRunning, true, 19_500*time.Millisecond))
+	_, release := sel.Choose(name, "r", 0, false)
 	release()
-	if !l.Reports()[0].Complete {
+	if !sel.Reports()[0].Complete {
 		t.Fatal("not complete shortly before the limit")
 	}
 	for range 40 {
-		l.RecordSent(name, "r", target)
+		sel.RecordSent(name, "r", target)
 	}
-	choice, _ := l.Choose(name, "r", 0, false)
+	choice, _ := sel.Choose(name, "r", 0, false)
 	if choice.Allows(target) || choice.Allows("v1") {
 		t.Errorf("before the limit: got %+v, want no version", choice)
 	}
 	c.at = c.at.Add(600 * time.Millisecond)
-	if choice, _ := l.Choose(name, "r", 0, false); choice != wheelgauge.OnlyVersion(target) {
+	if choice, _ := sel.Choose(name, "r", 0, false); choice != wheelgauge.OnlyVersion(target) {
 		t.Errorf("past the limit: got %+v, want the target version only", choice)
 	}
 }
@@ -206,9 +206,9 @@
 		{"rolled back in the meantime", rollout(wheelgauge.RolloutRolledBack, true, 0), only, true, wheelgauge.VersionFilter{}, false},
 	}
 	for _, tt := range tests {
-		l, _ := newSelector(0.1, 50)
-		l.SetRollouts(tt.rollouts)
-		got, _, ok := l.ChooseFallback(name, tt.prev, tt.listed)
+		sel, _ := newSelector(0.1, 50)
+		sel.SetRollouts(tt.rollouts)
+		got, _, ok := sel.ChooseFallback(name, tt.prev, tt.listed)
 		if got != tt.want || ok != tt.ok {
 			t.Errorf("%s: got %+v, %t, want %+v, %t", tt.name, got, ok, tt.want, tt.ok)
 		}
@@ -216,12 +216,12 @@
 }
 
 func BenchmarkChoose(b *testing.B) {
-	l, _ := newSelector(0.1, 50)
-	l.SetRollouts(rollout(wheelgauge.RolloutRunning, true, 0))
+	sel, _ := newSelector(0.1, 50)
+	sel.SetRollouts(rollout(wheelgauge.RolloutRunning, true, 0))
 	b.ReportAllocs()
 	for b.Loop() {
-		_, release := l.Choose(name, "r", time.Second, false)
-		l.RecordSent(name, "r", "v1")
+		_, release := sel.Choose(name, "r", time.Second, false)
+		sel.RecordSent(name, "r", "v1")
 		release()
 	}
 }
@@ -230,24 +230,24 @@
 // the slack.
 func TestSlackCanariesCoverRareRoutes(t *testing.T) {
 	const share, slack = 0.1, 60.0
-	l, c := newSelector(share, slack)
-	l.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
+	sel, c := newSelector(share, slack)
+	sel.SetRollouts(rollout(wheelgauge.RolloutRunning, false, 0))
 	sent, canaries := 0, map[string]int{}
 	early := 0
 	for ; c.at.Before(time.Unix(1020, 0)); c.at = c.at.Add(10 * time.Millisecond) {
-		l.ConfirmState()
+		sel.ConfirmState()
 		route := "often"
 		if sent%20 == 0 {
 			route = "seldom"
 		}
 		sent++
-		choice, release := l.Choose(name, route, 0, false)
+		choice, release := sel.Choose(name, route, 0, false)
 		version := "v1"
 		if only, ok := choice.Only(); ok {
 			version = only
 			canaries[route]++
 		}
-		l.RecordSent(name, route, version)
+		sel.RecordSent(name, route, version)
 		release()
 		if c.at.Before(time.Unix(1002, 0)) {
 			early = canaries["often"] + canaries["seldom"]
--- a/spillover/decider.go
+++ b/spillover/decider.go
@@ -91,14 +91,14 @@
 	return best
 }
 
-func (d *Decider) rejects(p RegionState, fits bool, gain float64) bool {
+func (d *Decider) rejects(s RegionState, fits bool, gain float64) bool {
 	if d.policy == PolicyCheapest {
 		return fits && gain <= 0
 	}
 	if !fits {
 		return false // even without a grant: the receiving region knows what it can take
 	}
-	return p.InFlight >= p.Granted || gain < d.margin(p.Region)
+	return s.InFlight >= s.Granted || gain < d.margin(s.Region)
 }
 
 func (d *Decider) margin(region string) float64 {
