--- a/circuitbreaker/table.go
+++ b/circuitbreaker/table.go
@@ -26,7 +26,7 @@
 	records map[string]*record
 }
 
-// New returns an empty table.
+// New returns breakers that allow every server.
 func New() *Breakers { return &Breakers{records: map[string]*record{}} }
 
 // Allowed reports whether a server may get work now. After failureThreshold
--- a/rollout/controller/simulation_test.go
+++ b/rollout/controller/simulation_test.go
@@ -136,7 +136,7 @@
 	want    string
 }
 
-// simulation is the simulation of one rollout.
+// simulation simulates one rollout.
 type simulation struct {
 	deployment  deployment
 	rng         *rand.Rand
--- a/stallwatch/watch.go
+++ b/stallwatch/watch.go
@@ -24,7 +24,7 @@
 	lastMonotonic time.Time
 }
 
-// New returns a watch that starts now.
+// New returns a watcher that starts now.
 func New(clock wheelgauge.Clock, log logr.Logger) *Watcher {
 	w := &Watcher{clock: clock, monotonic: wheelgauge.MonotonicClock{}, log: log}
 	w.lastTime, w.lastMonotonic = clock.Now(), w.monotonic.Now()
