--- a/capclient/schedule_test.go
+++ b/capclient/schedule_test.go
@@ -172,14 +172,14 @@
 		if alloc == nil || frozen {
 			continue
 		}
-		sent, n := time.Now(), alloc.Report(to.address)
+		sent, update := time.Now(), alloc.Report(to.address)
 		time.Sleep(linkLatency(from.region, to.region))
 		other := s.reach(from.region, to)
 		if other == nil {
 			time.Sleep(800 * time.Millisecond)
 			continue
 		}
-		lease := other.GrantLease(from.address, boot, n)
+		lease := other.GrantLease(from.address, boot, update)
 		time.Sleep(linkLatency(from.region, to.region))
 		s.mu.Lock()
 		lost := !s.linked(from.region, to.region) || from.allocator != alloc || from.frozen
@@ -266,11 +266,11 @@
 	})
 }
 
-func (s *schedule) takeUnits(ctx context.Context, p *Client, h int, w *workspace, spec *wheelgauge.Workspace, units float64) *wheelgauge.Error {
+func (s *schedule) takeUnits(ctx context.Context, c *Client, h int, w *workspace, spec *wheelgauge.Workspace, units float64) *wheelgauge.Error {
 	if s.take != nil {
 		return s.take(ctx, h, w, units)
 	}
-	return p.Acquire(ctx, spec, units)
+	return c.Acquire(ctx, spec, units)
 }
 
 // generateLoad sends the requests of one host's callers for one workspace.
@@ -291,7 +291,7 @@
 		}
 		s.mu.Lock()
 		up := !time.Now().Before(s.downUntil[h])
-		spec, p := w.spec, client()
+		spec, c := w.spec, client()
 		s.mu.Unlock()
 		if !up {
 			continue
@@ -299,10 +299,10 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			err := s.takeUnits(ctx, p, h, w, &spec, units)
+			err := s.takeUnits(ctx, c, h, w, &spec, units)
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if err == nil && p != client() {
+			if err == nil && c != client() {
 				return // the host was killed during the request
 			}
 			s.arrivals[w.spec.Name] = append(s.arrivals[w.spec.Name], arrival{at: s.elapsed(), units: units, sent: err == nil, final: err == nil || err.Status() == 429})
@@ -331,15 +331,15 @@
 	s.set(func() { s.started = time.Now() })
 	for h := range s.hosts {
 		region := s.regions[h%len(s.regions)]
-		var p *Client
+		var c *Client
 		var boot uint64
 		// The lock is held.
 		client := func() *Client {
-			if b := s.boot(h); p == nil || b != boot {
-				p, boot = s.newClient(h, region, b), b
-				s.clients = append(s.clients, p)
+			if b := s.boot(h); c == nil || b != boot {
+				c, boot = s.newClient(h, region, b), b
+				s.clients = append(s.clients, c)
 			}
-			return p
+			return c
 		}
 		phase := float64(h%len(s.regions)) / float64(len(s.regions))
 		// Regions have their busy hours in turn: load goes from 0.17 to 2.8 times the mean
--- a/spillover/decider.go
+++ b/spillover/decider.go
@@ -91,14 +91,14 @@
 	return best
 }
 
-func (d *Decider) rejects(p RegionState, fits bool, gain float64) bool {
+func (d *Decider) rejects(s RegionState, fits bool, gain float64) bool {
 	if d.policy == PolicyCheapest {
 		return fits && gain <= 0
 	}
 	if !fits {
 		return false // even without a grant: the receiving region knows what it can take
 	}
-	return p.InFlight >= p.Granted || gain < d.margin(p.Region)
+	return s.InFlight >= s.Granted || gain < d.margin(s.Region)
 }
 
 func (d *Decider) margin(region string) float64 {
@@ -125,12 +125,12 @@
 	return here.Wait.Seconds()*d.weights.SecondValue + here.price(work) - d.cost(other, work)
 }
 
-func (d *Decider) cost(p RegionState, work RequestSize) float64 {
+func (d *Decider) cost(s RegionState, work RequestSize) float64 {
 	cold := d.weights.ColdPrefill.Seconds() * float64(work.Bytes) / unitSize
-	delay := p.Wait.Seconds() + 2*p.Latency.Seconds() + cold
-	return delay*d.weights.SecondValue + p.price(work) + d.weights.ForwardCost
+	delay := s.Wait.Seconds() + 2*s.Latency.Seconds() + cold
+	return delay*d.weights.SecondValue + s.price(work) + d.weights.ForwardCost
 }
 
-func (p *RegionState) price(work RequestSize) float64 {
-	return p.Price * float64(work.Tokens) / unitSize
+func (s *RegionState) price(work RequestSize) float64 {
+	return s.Price * float64(work.Tokens) / unitSize
 }
